--- a/core/decision/dogwoodburn/burn_test.go
+++ b/core/decision/dogwoodburn/burn_test.go
@@ -37,14 +37,14 @@
 	}
 }
 
-func lineOf(t *testing.T, report Report, customer dogwoodfleet.Customer, upTo int) Line {
+func findLine(t *testing.T, report Report, customer dogwoodfleet.Customer, upToTokens int) Line {
 	t.Helper()
 	for _, line := range report.Lines {
-		if line.Customer == customer && line.DataCentre == "" && line.Objective.UpToTokens == upTo {
+		if line.Customer == customer && line.DataCentre == "" && line.Objective.UpToTokens == upToTokens {
 			return line
 		}
 	}
-	t.Fatalf("line of %q up to %d: got none", customer, upTo)
+	t.Fatalf("line of %q up to %d tokens: got none", customer, upToTokens)
 	return Line{}
 }
 
@@ -61,17 +61,17 @@
 		class               Class
 		inTime, wantExclude bool
 	}{
-		{name: "a fault going on pages", goodBefore: 80, badNow: 20, want5m: 20, want1h: 20, want3d: 20, wantBudget: -19, wantAlert: Page, wantCause: "Deadline", reason: dogwoodfleet.ReasonDeadline, class: Refused},
-		{name: "a burst that is over only leaves a ticket", goodBefore: 80, badNow: 20, badAge: 35 * time.Minute, want5m: 0, want1h: 20, want3d: 20, wantBudget: -19, wantAlert: Ticket, wantCause: "EndpointDied", reason: dogwoodfleet.ReasonEndpointDied, class: Failed},
+		{name: "an ongoing fault pages", goodBefore: 80, badNow: 20, want5m: 20, want1h: 20, want3d: 20, wantBudget: -19, wantAlert: Page, wantCause: "Deadline", reason: dogwoodfleet.ReasonDeadline, class: Refused},
+		{name: "a past burst raises only a ticket", goodBefore: 80, badNow: 20, badAge: 35 * time.Minute, want5m: 0, want1h: 20, want3d: 20, wantBudget: -19, wantAlert: Ticket, wantCause: "EndpointDied", reason: dogwoodfleet.ReasonEndpointDied, class: Failed},
 		{name: "late answers are a cause", goodBefore: 98, badNow: 2, want5m: 2, want1h: 2, want3d: 2, wantBudget: -1, wantAlert: Ticket, wantCause: Late, class: Answered},
-		{name: "a caller that left is no fault", goodBefore: 99, badNow: 1, reason: dogwoodfleet.ReasonCancelled, class: Failed, wantBudget: 1, wantExclude: true},
+		{name: "a cancelled request is excluded", goodBefore: 99, badNow: 1, reason: dogwoodfleet.ReasonCancelled, class: Failed, wantBudget: 1, wantExclude: true},
 	}
 	for _, test := range tests {
 		ledger := NewLedger("entry-1", "i1", start)
 		now := start.Add(40 * time.Minute)
 		record(ledger, now.Add(-test.badAge), test.goodBefore, Outcome{Class: Answered, InTime: true})
 		record(ledger, now.Add(-test.badAge), test.badNow, Outcome{Class: test.class, Reason: test.reason})
-		line := lineOf(t, Make(now, text, []Snapshot{ledger.Snapshot(now, time.Time{})}), "", 0)
+		line := findLine(t, Make(now, text, []Snapshot{ledger.Snapshot(now, time.Time{})}), "", 0)
 		checkBurn(t, test.name+", 5m", line.Windows[0].Burn, test.want5m)
 		checkBurn(t, test.name+", 1h", line.Windows[2].Burn, test.want1h)
 		checkBurn(t, test.name+", 3d", line.Windows[4].Burn, test.want3d)
@@ -98,56 +98,56 @@
 	}
 }
 
-func TestFirstTokenGoesToTheShortestClass(t *testing.T) {
+func TestFirstTokenCountsInShortestClass(t *testing.T) {
 	ledger := NewLedger("entry-1", "i1", start)
 	record(ledger, start, 3, Outcome{Class: Answered, InTime: true, PromptTokens: 4000, FirstToken: 2 * time.Second})
 	record(ledger, start, 1, Outcome{Class: Answered, InTime: true, PromptTokens: 4001, FirstToken: 2 * time.Second})
 	report := Make(start, text, []Snapshot{ledger.Snapshot(start, time.Time{})})
-	if got := lineOf(t, report, "", 4000).Windows[0]; got.Bad != 3 || got.Total != 3 {
+	if got := findLine(t, report, "", 4000).Windows[0]; got.Bad != 3 || got.Total != 3 {
 		t.Errorf("up to 4000: got %d of %d, want 3 of 3", got.Bad, got.Total)
 	}
-	if got := lineOf(t, report, "", 1_000_000).Windows[0]; got.Bad != 0 || got.Total != 1 {
+	if got := findLine(t, report, "", 1_000_000).Windows[0]; got.Bad != 0 || got.Total != 1 {
 		t.Errorf("up to 1000000: got %d of %d, want 0 of 1", got.Bad, got.Total)
 	}
 }
 
-func TestCountersLeaveTheWindows(t *testing.T) {
+func TestCountsExpireFromWindows(t *testing.T) {
 	ledger := NewLedger("entry-1", "i1", start)
 	record(ledger, start, 5, Outcome{Class: Refused, Reason: dogwoodfleet.ReasonShare})
 	later := start.Add(80 * time.Hour)
 	record(ledger, later, 1, Outcome{Class: Answered, InTime: true})
-	for _, window := range lineOf(t, Make(later, text, []Snapshot{ledger.Snapshot(later, time.Time{})}), "", 0).Windows {
+	for _, window := range findLine(t, Make(later, text, []Snapshot{ledger.Snapshot(later, time.Time{})}), "", 0).Windows {
 		if window.Bad != 0 || window.Total != 1 {
 			t.Errorf("%v: got %d of %d, want 0 of 1", time.Duration(window.Window), window.Bad, window.Total)
 		}
 	}
 }
 
-// A caller makes up customers, or thousands come at once. If each had its own counters for
-// ever, the daemon would run out of memory; beyond the bound they share one row, and no
-// request is dropped from the service's sum.
+// Guards against running out of memory when a caller makes up customer names or thousands of
+// customers arrive at once. Customers beyond the bound share one row, and the service's total
+// still counts every request.
 func TestCustomersBeyondTheBoundShareARow(t *testing.T) {
 	ledger := NewLedger("entry-1", "i1", start)
-	const customers = rowsPerBucket + 500
+	const customers = maxRowsPerBucket + 500
 	for i := range customers {
 		record(ledger, start, 1, Outcome{Customer: dogwoodfleet.Customer(fmt.Sprint("customer-", i)), Class: Answered, InTime: true})
 	}
 	snapshot := ledger.Snapshot(start, time.Time{})
-	if got := len(snapshot.Minutes[0].Rows); got != rowsPerBucket+1 {
-		t.Errorf("rows: got %d, want %d", got, rowsPerBucket+1)
+	if got := len(snapshot.Minutes[0].Rows); got != maxRowsPerBucket+1 {
+		t.Errorf("rows: got %d, want %d", got, maxRowsPerBucket+1)
 	}
 	report := Make(start, text, []Snapshot{snapshot})
-	if got := lineOf(t, report, "", 0).Windows[0].Total; got != customers {
+	if got := findLine(t, report, "", 0).Windows[0].Total; got != customers {
 		t.Errorf("all: got %d, want %d", got, customers)
 	}
-	if got := lineOf(t, report, Others, 0).Windows[0].Total; got != 500 {
+	if got := findLine(t, report, Others, 0).Windows[0].Total; got != 500 {
 		t.Errorf("others: got %d, want 500", got)
 	}
 }
 
-// A daemon sends what changed since the last time, the answer is lost and it sends again; a
-// delayed older part comes last. The copy must count each request once.
-func TestPartsTakenTwiceCountOnce(t *testing.T) {
+// Guards against counting requests twice. A daemon sends the changed part of its snapshot, the
+// answer is lost and it sends the part again; a delayed older part arrives last.
+func TestRepeatedPartsCountOnce(t *testing.T) {
 	ledger := NewLedger("entry-1", "i1", start)
 	record(ledger, start, 2, Outcome{Class: Answered, InTime: true})
 	first := ledger.Snapshot(start, time.Time{})
@@ -157,19 +157,19 @@
 	if first.Hours == nil || second.Hours != nil {
 		t.Fatalf("hours: got %v and %v, want the first part to hold them", first.Hours, second.Hours)
 	}
-	var held Snapshot
+	var merged Snapshot
 	for _, part := range []Snapshot{first, second, second, first} {
-		held.Update(part)
+		merged.Update(part)
 	}
-	report := Make(later, text, []Snapshot{held, held, first})
-	for _, window := range lineOf(t, report, "", 0).Windows {
+	report := Make(later, text, []Snapshot{merged, merged, first})
+	for _, window := range findLine(t, report, "", 0).Windows {
 		if window.Total != 5 {
 			t.Errorf("%v: got %d, want 5", time.Duration(window.Window), window.Total)
 		}
 	}
 }
 
-// BenchmarkRecord is the cost that each request pays.
+// BenchmarkRecord measures the cost of counting one request.
 func BenchmarkRecord(b *testing.B) {
 	ledger := NewLedger("entry-1", "i1", start)
 	outcome := Outcome{Service: "model-pool", Customer: "kurume", DataCentre: "oita-c", Class: Answered, InTime: true, PromptTokens: 900, FirstToken: time.Second}
@@ -178,18 +178,18 @@
 	}
 }
 
-// BenchmarkLedgerMemory fills a ledger to its bounds.
+// BenchmarkLedgerMemory measures the memory of a ledger filled to its bounds.
 func BenchmarkLedgerMemory(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	ledger := NewLedger("entry-1", "i1", start)
-	for hour := range hoursKept {
+	for hour := range maxHourBuckets {
 		fillHour(ledger, start.Add(time.Duration(hour)*time.Hour))
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	rows := (hoursKept + minutesKept) * rowsPerBucket
+	rows := (maxHourBuckets + maxMinuteBuckets) * maxRowsPerBucket
 	for b.Loop() {
 		ledger.Snapshot(start, start)
 	}
@@ -199,7 +199,7 @@
 
 func fillHour(ledger *Ledger, from time.Time) {
 	for minute := range 60 {
-		for customer := range rowsPerBucket {
+		for customer := range maxRowsPerBucket {
 			record(ledger, from.Add(time.Duration(minute)*time.Minute), 1, Outcome{
 				Customer: dogwoodfleet.Customer(fmt.Sprint("customer-", customer)),
 				Class:    Answered, InTime: true, PromptTokens: 900, FirstToken: time.Second,
@@ -208,7 +208,8 @@
 	}
 }
 
-// BenchmarkSnapshotBytes gives the bytes of a minute's exchange for each active customer.
+// BenchmarkSnapshotBytes measures the encoded size of the snapshot of a minute, in total and for
+// each active customer.
 func BenchmarkSnapshotBytes(b *testing.B) {
 	for _, customers := range []int{10, 300} {
 		b.Run(fmt.Sprintf("customers=%d", customers), func(b *testing.B) {
--- a/core/decision/dogwoodburn/ledger.go
+++ b/core/decision/dogwoodburn/ledger.go
@@ -9,48 +9,51 @@
 )
 
 const (
-	// minutesKept is enough for the windows up to an hour, the running minute included.
-	minutesKept = 61
-	// hoursKept is enough for the longest window, three days, the running hour included.
-	hoursKept = 73
-	// rowsPerBucket bounds a bucket. Grounds: a daemon of 500 sees a part of 2,700
-	// customers in an hour; BenchmarkLedgerMemory gives what a full ledger holds.
-	rowsPerBucket = 1024
+	// maxMinuteBuckets covers the windows of up to an hour and the current minute.
+	maxMinuteBuckets = 61
+	// maxHourBuckets covers the longest window, three days, and the current hour.
+	maxHourBuckets = 73
+	// maxRowsPerBucket bounds the memory of a bucket. With 500 daemons and 2,700 customers,
+	// a daemon receives requests from only some of the customers in an hour.
+	// BenchmarkLedgerMemory measures the memory of a full ledger.
+	maxRowsPerBucket = 1024
 )
 
-// Row is the counts under one key.
+// Row holds the counts of one key.
 type Row struct {
 	Key    Key
 	Counts Counts
 }
 
-// Bucket is the counts of one minute or one hour.
+// Bucket holds the counts of one minute or one hour.
 type Bucket struct {
 	Start time.Time
 	Rows  []Row
 }
 
-// Snapshot is what one start of a daemon counted, or the newest part of it.
+// Snapshot holds the counts that one instance of a daemon has recorded since it started, or
+// the most recent part of them.
 type Snapshot struct {
 	VM       dogwoodfleet.VM
 	Instance dogwoodfleet.InstanceID
-	// Started is when the daemon began to count and TakenAt how far this snapshot goes.
+	// Started is the time at which the daemon began to count. TakenAt is the time up to which
+	// the snapshot is complete.
 	Started time.Time
 	TakenAt time.Time
 	Minutes []Bucket
 	Hours   []Bucket
 }
 
-// Ledger counts the outcomes that one daemon has seen. It is not safe for concurrent use.
+// Ledger counts the outcomes of one daemon's requests. It is not safe for concurrent use.
 type Ledger struct {
 	vm       dogwoodfleet.VM
 	instance dogwoodfleet.InstanceID
 	started  time.Time
-	minutes  []*openBucket
-	hours    []*openBucket
+	minutes  []*mutableBucket
+	hours    []*mutableBucket
 }
 
-type openBucket struct {
+type mutableBucket struct {
 	start time.Time
 	rows  map[Key]*Counts
 }
@@ -60,35 +63,38 @@
 	return &Ledger{vm: vm, instance: instance, started: now}
 }
 
-// Record counts an outcome at the given time, judged by the objectives of its service.
+// Record counts an outcome at the given time and evaluates it against the objectives of its
+// service.
 func (ledger *Ledger) Record(now time.Time, outcome Outcome, objectives dogwoodsettings.Objectives) {
-	ledger.minutes = open(ledger.minutes, now.Truncate(time.Minute), minutesKept)
-	ledger.hours = open(ledger.hours, now.Truncate(time.Hour), hoursKept)
+	ledger.minutes = appendBucket(ledger.minutes, now.Truncate(time.Minute), maxMinuteBuckets)
+	ledger.hours = appendBucket(ledger.hours, now.Truncate(time.Hour), maxHourBuckets)
 	key := Key{Service: outcome.Service, Customer: outcome.Customer, DataCentre: outcome.DataCentre}
 	ledger.minutes[len(ledger.minutes)-1].counts(key).add(outcome, objectives)
 	ledger.hours[len(ledger.hours)-1].counts(key).add(outcome, objectives)
 }
 
-// open makes sure that the last bucket is that of start, and drops the oldest beyond keep.
-func open(buckets []*openBucket, start time.Time, keep int) []*openBucket {
+// appendBucket appends a bucket for start unless the last one is as recent, and drops the
+// oldest buckets beyond maxBuckets.
+func appendBucket(buckets []*mutableBucket, start time.Time, maxBuckets int) []*mutableBucket {
 	if len(buckets) > 0 && !buckets[len(buckets)-1].start.Before(start) {
 		return buckets
 	}
-	buckets = append(buckets, &openBucket{start: start, rows: map[Key]*Counts{}})
-	if len(buckets) > keep {
-		buckets = slices.Delete(buckets, 0, len(buckets)-keep)
+	buckets = append(buckets, &mutableBucket{start: start, rows: map[Key]*Counts{}})
+	if len(buckets) > maxBuckets {
+		buckets = slices.Delete(buckets, 0, len(buckets)-maxBuckets)
 	}
 	return buckets
 }
 
-// counts returns the counts of a key, or of Others when the bucket is full.
-func (bucket *openBucket) counts(key Key) *Counts {
-	if counts, known := bucket.rows[key]; known {
+// counts returns the counts of a key. For a new key in a full bucket it returns those of the
+// customer Others.
+func (bucket *mutableBucket) counts(key Key) *Counts {
+	if counts, ok := bucket.rows[key]; ok {
 		return counts
 	}
-	if len(bucket.rows) >= rowsPerBucket {
+	if len(bucket.rows) >= maxRowsPerBucket {
 		key.Customer = Others
-		if counts, known := bucket.rows[key]; known {
+		if counts, ok := bucket.rows[key]; ok {
 			return counts
 		}
 	}
@@ -97,40 +103,41 @@
 	return counts
 }
 
-// hoursFromMinutes is how long a part may reach back and still leave out the hours, which
-// the receiver then adds up from its minutes. It is less than the minutes that are kept.
-const hoursFromMinutes = 30 * time.Minute
+// maxMinutesOnly is the longest period for which a part of a snapshot omits the hours. The
+// receiver then sums them from its minutes. It is shorter than the period for which minutes
+// are kept.
+const maxMinutesOnly = 30 * time.Minute
 
-// Snapshot returns the buckets that may have changed since the given time: those that were
-// open then and all later ones. The zero time gives all that is kept. A part that does not
-// reach far back holds minutes only, which halves it.
+// Snapshot returns the buckets that may have changed since the given time: those of the minute
+// and hour of that time and all later ones. The zero time returns all buckets. A part that
+// covers at most maxMinutesOnly holds only minutes, which halves its size.
 func (ledger *Ledger) Snapshot(now, since time.Time) Snapshot {
 	snapshot := Snapshot{
 		VM:       ledger.vm,
 		Instance: ledger.instance,
 		Started:  ledger.started,
 		TakenAt:  now,
-		Minutes:  closed(ledger.minutes, since.Truncate(time.Minute)),
+		Minutes:  copySince(ledger.minutes, since.Truncate(time.Minute)),
 	}
-	if now.Sub(since) > hoursFromMinutes {
-		snapshot.Hours = closed(ledger.hours, since.Truncate(time.Hour))
+	if now.Sub(since) > maxMinutesOnly {
+		snapshot.Hours = copySince(ledger.hours, since.Truncate(time.Hour))
 	}
 	return snapshot
 }
 
-// closed copies the buckets from a time on.
-func closed(buckets []*openBucket, from time.Time) []Bucket {
+// copySince returns copies of the buckets that start at or after the given time.
+func copySince(buckets []*mutableBucket, from time.Time) []Bucket {
 	var result []Bucket
 	for _, bucket := range buckets {
 		if bucket.start.Before(from) {
 			continue
 		}
-		result = append(result, bucket.bucket())
+		result = append(result, bucket.export())
 	}
 	return result
 }
 
-func (bucket *openBucket) bucket() Bucket {
+func (bucket *mutableBucket) export() Bucket {
 	rows := make([]Row, 0, len(bucket.rows))
 	for key, counts := range bucket.rows {
 		rows = append(rows, Row{Key: key, Counts: counts.clone()})
@@ -138,35 +145,35 @@
 	return Bucket{Start: bucket.start, Rows: rows}
 }
 
-// Update puts a newer part of the same daemon's snapshot over this one. Buckets are replaced
-// by their start, so the same part taken twice counts once. An older part changes nothing.
+// Update merges a newer part of the same daemon's snapshot into this one. It replaces buckets
+// that have the same start, so applying a part twice counts it once. An older part is ignored.
 func (snapshot *Snapshot) Update(newer Snapshot) {
 	if newer.TakenAt.Before(snapshot.TakenAt) {
 		return
 	}
 	snapshot.VM, snapshot.Instance = newer.VM, newer.Instance
 	snapshot.Started, snapshot.TakenAt = newer.Started, newer.TakenAt
-	snapshot.Minutes = replace(snapshot.Minutes, newer.Minutes, minutesKept)
+	snapshot.Minutes = replaceBuckets(snapshot.Minutes, newer.Minutes, maxMinuteBuckets)
 	if newer.Hours == nil {
-		newer.Hours = addUp(snapshot.Minutes, newer.Minutes)
+		newer.Hours = sumHours(snapshot.Minutes, newer.Minutes)
 	}
-	snapshot.Hours = replace(snapshot.Hours, newer.Hours, hoursKept)
+	snapshot.Hours = replaceBuckets(snapshot.Hours, newer.Hours, maxHourBuckets)
 }
 
-// addUp returns the hours that the changed minutes are in, as the sums of all minutes held.
-func addUp(minutes, changed []Bucket) []Bucket {
+// sumHours returns the hours that contain the changed minutes, each summed from all its minutes.
+func sumHours(minutes, changed []Bucket) []Bucket {
 	var hours []Bucket
 	for _, bucket := range changed {
 		start := bucket.Start.Truncate(time.Hour)
 		if len(hours) == 0 || !hours[len(hours)-1].Start.Equal(start) {
-			hours = append(hours, addUpHour(minutes, start))
+			hours = append(hours, sumHour(minutes, start))
 		}
 	}
 	return hours
 }
 
-func addUpHour(minutes []Bucket, start time.Time) Bucket {
-	sum := openBucket{start: start, rows: map[Key]*Counts{}}
+func sumHour(minutes []Bucket, start time.Time) Bucket {
+	sum := mutableBucket{start: start, rows: map[Key]*Counts{}}
 	for _, minute := range minutes {
 		if !minute.Start.Truncate(time.Hour).Equal(start) {
 			continue
@@ -175,27 +182,27 @@
 			sum.counts(minute.Rows[i].Key).merge(&minute.Rows[i].Counts)
 		}
 	}
-	return sum.bucket()
+	return sum.export()
 }
 
-func replace(buckets, newer []Bucket, keep int) []Bucket {
+func replaceBuckets(buckets, newer []Bucket, maxBuckets int) []Bucket {
 	for _, bucket := range newer {
-		at, known := slices.BinarySearchFunc(buckets, bucket.Start, func(held Bucket, start time.Time) int {
-			return held.Start.Compare(start)
+		index, found := slices.BinarySearchFunc(buckets, bucket.Start, func(existing Bucket, start time.Time) int {
+			return existing.Start.Compare(start)
 		})
-		if known {
-			buckets[at] = bucket
+		if found {
+			buckets[index] = bucket
 		} else {
-			buckets = slices.Insert(buckets, at, bucket)
+			buckets = slices.Insert(buckets, index, bucket)
 		}
 	}
-	if len(buckets) > keep {
-		buckets = slices.Delete(buckets, 0, len(buckets)-keep)
+	if len(buckets) > maxBuckets {
+		buckets = slices.Delete(buckets, 0, len(buckets)-maxBuckets)
 	}
 	return buckets
 }
 
-// Expired is true when nothing of the snapshot falls into the longest window any more.
+// Expired reports whether the whole snapshot is older than the longest window.
 func (snapshot *Snapshot) Expired(now time.Time) bool {
 	return now.Sub(snapshot.TakenAt) > LongestWindow
 }
--- a/core/decision/dogwoodburn/outcome.go
+++ b/core/decision/dogwoodburn/outcome.go
@@ -1,14 +1,15 @@
-// Package dogwoodburn keeps the outcomes of requests and works out how fast the error
-// budget of each objective burns.
+// Package dogwoodburn counts the outcomes of requests and computes how fast the error budget
+// of each objective burns.
 //
-// The load pattern: a fault that fails a few requests in a hundred thousand must show before
-// the budget of the period is gone, and a short burst of failures must not wake anybody once
-// it is over. A single window does one of the two; so each alert here needs a long window, to
-// be worth attention, and a short one, to be still going on.
+// Load pattern: a fault that fails a few requests in a hundred thousand must be detected
+// before the error budget of the period is spent, and a short burst of failures must not page
+// anybody after it has ended. A single window can't do both. Each alert therefore requires a
+// high burn rate in a long window, which shows that the fault matters, and in a short one,
+// which shows that it is still going on.
 //
-// Counters stand in one-minute buckets for an hour and in one-hour buckets for three days.
-// Each bucket is bounded: customers beyond the bound are counted together as Others, so that
-// a flood of new customers can't take the daemon's memory.
+// Counts are kept in one-minute buckets for an hour and in one-hour buckets for three days.
+// The size of a bucket is bounded: customers beyond the bound are counted together as Others,
+// so that a flood of new customers can't exhaust the daemon's memory.
 package dogwoodburn
 
 import (
@@ -19,22 +20,22 @@
 	"dogwoodmux.example/core/dogwoodsettings"
 )
 
-// Class tells how a request ended for its caller.
+// Class is the result of a request as its caller sees it.
 type Class string
 
-// The classes.
+// The values of Class.
 const (
 	Answered Class = "Answered"
 	Refused  Class = "Refused"
 	Failed   Class = "Failed"
 )
 
-// Outcome is how one request of a caller ended.
+// Outcome describes how one request of a caller ended.
 type Outcome struct {
 	Service  dogwoodfleet.Service
 	Customer dogwoodfleet.Customer
-	// DataCentre is that of the endpoint that ran the request, or that of the entry if
-	// none did.
+	// DataCentre is the data centre of the endpoint that ran the request, or that of the
+	// entry if no endpoint ran it.
 	DataCentre dogwoodfleet.DataCentre
 	Class      Class
 	// Reason is empty if Class is Answered.
@@ -42,12 +43,13 @@
 	// InTime is true if the whole answer was sent by the deadline.
 	InTime       bool
 	PromptTokens int
-	// FirstToken is the time from arrival to the first byte of the answer; 0 if there
-	// was none.
+	// FirstToken is the time from the arrival of the request to the first byte of the
+	// answer; 0 if there was no answer.
 	FirstToken time.Duration
 }
 
-// Cause says what spent the budget: a reason of a refusal or failure, or Late.
+// Cause is why a request was counted against the error budget: the reason of a refusal or
+// failure, or Late.
 type Cause string
 
 // Late is the cause of an answer that came after its deadline.
@@ -56,40 +58,41 @@
 // Others stands for all customers beyond a bucket's bound.
 const Others dogwoodfleet.Customer = "(others)"
 
-// Key is what counters are kept by.
+// Key identifies a set of counts.
 type Key struct {
 	Service    dogwoodfleet.Service
 	Customer   dogwoodfleet.Customer
 	DataCentre dogwoodfleet.DataCentre
 }
 
-// Counts are the outcomes under one key in one bucket.
+// Counts holds the outcomes of one key, in one bucket or summed over several.
 type Counts struct {
-	// Total is all requests but the excluded ones; InTime those answered in time.
+	// Total is the number of requests without the excluded ones; InTime is the number of those
+	// that were answered in time.
 	Total  uint64
 	InTime uint64
-	// Excluded are requests that the caller itself withdrew, that were over the customer's
-	// stated limit, that can't fit any endpoint or that were wrong. They are no fault of the
-	// service.
+	// Excluded is the number of requests that the caller cancelled, that exceeded the
+	// customer's stated limit, that don't fit any endpoint or that were invalid. They are not
+	// faults of the service.
 	Excluded   uint64            `json:",omitempty"`
 	Causes     []CauseCount      `json:",omitempty"`
 	FirstToken []FirstTokenCount `json:",omitempty"`
 }
 
-// CauseCount counts requests lost to one cause.
+// CauseCount is the number of requests counted against the error budget for one cause.
 type CauseCount struct {
 	Cause Cause
 	Count uint64
 }
 
-// FirstTokenCount counts first tokens of prompts of one length class.
+// FirstTokenCount holds the number of first tokens for prompts of one length class.
 type FirstTokenCount struct {
 	UpToTokens int
 	Total      uint64
 	InTime     uint64
 }
 
-// add counts one outcome.
+// add counts one outcome and evaluates it against the objectives.
 func (counts *Counts) add(outcome Outcome, objectives dogwoodsettings.Objectives) {
 	if excluded(outcome.Reason) {
 		counts.Excluded++
@@ -107,7 +110,7 @@
 	counts.addFirstToken(outcome, objectives.FirstToken)
 }
 
-// excluded is true for what the caller itself withdrew or got wrong.
+// excluded reports whether requests with the given reason are left out of all objectives.
 func excluded(reason dogwoodfleet.Reason) bool {
 	switch reason {
 	case dogwoodfleet.ReasonCancelled, dogwoodfleet.ReasonLimit, dogwoodfleet.ReasonTooLarge,
@@ -129,49 +132,49 @@
 	counts.Causes = append(counts.Causes, CauseCount{Cause: cause, Count: count})
 }
 
-// addFirstToken judges a first token by the objective of the shortest class that holds the
-// prompt.
+// addFirstToken counts a first token under the objective with the shortest length class that
+// fits the prompt.
 func (counts *Counts) addFirstToken(outcome Outcome, objectives []dogwoodsettings.FirstTokenObjective) {
 	if outcome.FirstToken <= 0 {
 		return
 	}
-	var class *dogwoodsettings.FirstTokenObjective
+	var objective *dogwoodsettings.FirstTokenObjective
 	for i := range objectives {
 		fits := outcome.PromptTokens <= objectives[i].UpToTokens
-		if fits && (class == nil || objectives[i].UpToTokens < class.UpToTokens) {
-			class = &objectives[i]
+		if fits && (objective == nil || objectives[i].UpToTokens < objective.UpToTokens) {
+			objective = &objectives[i]
 		}
 	}
-	if class == nil {
+	if objective == nil {
 		return
 	}
-	count := FirstTokenCount{UpToTokens: class.UpToTokens, Total: 1}
-	if outcome.FirstToken <= time.Duration(class.Within) {
+	count := FirstTokenCount{UpToTokens: objective.UpToTokens, Total: 1}
+	if outcome.FirstToken <= time.Duration(objective.Within) {
 		count.InTime = 1
 	}
 	counts.mergeFirstToken(count)
 }
 
-func (counts *Counts) mergeFirstToken(more FirstTokenCount) {
+func (counts *Counts) mergeFirstToken(added FirstTokenCount) {
 	for i := range counts.FirstToken {
-		if counts.FirstToken[i].UpToTokens == more.UpToTokens {
-			counts.FirstToken[i].Total += more.Total
-			counts.FirstToken[i].InTime += more.InTime
+		if counts.FirstToken[i].UpToTokens == added.UpToTokens {
+			counts.FirstToken[i].Total += added.Total
+			counts.FirstToken[i].InTime += added.InTime
 			return
 		}
 	}
-	counts.FirstToken = append(counts.FirstToken, more)
+	counts.FirstToken = append(counts.FirstToken, added)
 }
 
-// merge adds other counts to these.
-func (counts *Counts) merge(more *Counts) {
-	counts.Total += more.Total
-	counts.InTime += more.InTime
-	counts.Excluded += more.Excluded
-	for _, cause := range more.Causes {
+// merge adds the given counts to the receiver.
+func (counts *Counts) merge(added *Counts) {
+	counts.Total += added.Total
+	counts.InTime += added.InTime
+	counts.Excluded += added.Excluded
+	for _, cause := range added.Causes {
 		counts.addCause(cause.Cause, cause.Count)
 	}
-	for _, first := range more.FirstToken {
+	for _, first := range added.FirstToken {
 		counts.mergeFirstToken(first)
 	}
 }
--- a/core/decision/dogwoodburn/report.go
+++ b/core/decision/dogwoodburn/report.go
@@ -9,62 +9,63 @@
 	"dogwoodmux.example/core/dogwoodsettings"
 )
 
-// Report is the burn of all objectives over all daemons that were heard.
+// Report holds the burn rates of all objectives, summed over all daemons whose counts were
+// received.
 type Report struct {
 	At      time.Time
 	Daemons []Daemon
-	// Missing names what the figures lack. It is empty if they are whole.
+	// Missing lists the daemons whose counts are incomplete. It is empty if all are complete.
 	Missing []Missing
 	Lines   []Line
-	// Series give the burn rate minute by minute over the last hour, by service.
+	// Series holds the burn rate of each service for every minute of the last hour.
 	Series []Series
 }
 
-// Daemon is one start of a daemon whose counts are in the report.
+// Daemon identifies an instance of a daemon whose counts are in the report.
 type Daemon struct {
 	VM       dogwoodfleet.VM
 	Instance dogwoodfleet.InstanceID
-	// Until is how far its counts go. KeptBy is the daemon that gave them, if it was
-	// not itself.
+	// Until is the time up to which its counts are complete. KeptBy is the VM of the daemon
+	// that supplied them if it was another one.
 	Until  time.Time
 	KeptBy dogwoodfleet.VM `json:",omitempty"`
 }
 
-// Missing names a daemon whose counts are not whole.
+// Missing identifies a daemon whose counts are incomplete.
 type Missing struct {
 	VM dogwoodfleet.VM
-	// Since is from when on its counts are unknown; zero if all of them are.
+	// Since is the time from which its counts are unknown; zero if all of them are unknown.
 	Since time.Time `json:",omitzero"`
 	Why   string
 }
 
-// Objective is one objective of the operators' text. UpToTokens is 0 for the share of requests
-// that are answered in time, and the length class for first tokens.
+// Objective is one objective of the operators' text. For first tokens UpToTokens is the length
+// class; for the share of requests answered in time it is 0.
 type Objective struct {
 	UpToTokens int                      `json:",omitempty"`
 	Within     dogwoodsettings.Duration `json:",omitempty"`
 	Share      float64
 }
 
-// Line is the burn of one objective in one scope. Customer and DataCentre are empty where the
-// line is for all of them.
+// Line holds the burn rates of one objective in one scope. Customer or DataCentre is empty if
+// the line covers all customers or all data centres.
 type Line struct {
 	Service    dogwoodfleet.Service
 	Customer   dogwoodfleet.Customer   `json:",omitempty"`
 	DataCentre dogwoodfleet.DataCentre `json:",omitempty"`
 	Objective  Objective
 	Windows    []WindowBurn
-	// BudgetLeft is the share of the longest window's error budget that is not spent;
-	// negative if it is overspent.
+	// BudgetLeft is the unspent share of the longest window's error budget; negative if the
+	// budget is overspent.
 	BudgetLeft float64
 	Alert      Alert `json:",omitempty"`
-	// Causes are those of the longest window, the most frequent first.
+	// Causes holds the causes in the longest window, the most frequent first.
 	Causes []CauseCount `json:",omitempty"`
-	// Excluded counts requests that are in no objective.
+	// Excluded is the number of requests in the longest window that no objective counts.
 	Excluded uint64 `json:",omitempty"`
 }
 
-// WindowBurn is the burn over one window. A burn rate of 1 spends exactly the budget.
+// WindowBurn holds the burn rate over one window. A burn rate of 1 spends exactly the budget.
 type WindowBurn struct {
 	Window dogwoodsettings.Duration
 	Total  uint64
@@ -72,7 +73,7 @@
 	Burn   float64
 }
 
-// Series is the burn rate of one service's requests over time.
+// Series holds the burn rate of one service's requests over time.
 type Series struct {
 	Service dogwoodfleet.Service
 	Points  []Point
@@ -86,18 +87,18 @@
 	Burn  float64
 }
 
-// Make works out the report from the snapshots of different daemons. Two snapshots of one
-// instance count once: the newer.
+// Make computes the report from the snapshots of several daemons. Of two snapshots of one
+// instance it uses the newer.
 func Make(now time.Time, text *dogwoodsettings.Text, snapshots []Snapshot) Report {
 	report := Report{At: now}
-	latest := newest(snapshots)
-	folded := fold(now, latest)
-	for _, scope := range folded.scopes() {
-		service, known := text.Service(scope.Service)
-		if !known {
+	latest := latestByInstance(snapshots)
+	counts := aggregate(now, latest)
+	for _, scope := range counts.scopes() {
+		service, ok := text.Service(scope.Service)
+		if !ok {
 			continue
 		}
-		report.Lines = append(report.Lines, folded.lines(scope, service.Objectives)...)
+		report.Lines = append(report.Lines, counts.lines(scope, service.Objectives)...)
 	}
 	for i := range text.Services {
 		if series := makeSeries(now, &text.Services[i], latest); len(series.Points) > 0 {
@@ -107,12 +108,12 @@
 	return report
 }
 
-// newest keeps, of each instance, the snapshot that goes furthest.
-func newest(snapshots []Snapshot) []Snapshot {
+// latestByInstance returns the snapshot with the latest TakenAt of each instance.
+func latestByInstance(snapshots []Snapshot) []Snapshot {
 	byInstance := map[dogwoodfleet.InstanceID]Snapshot{}
 	for _, snapshot := range snapshots {
-		held, known := byInstance[snapshot.Instance]
-		if !known || snapshot.TakenAt.After(held.TakenAt) {
+		previous, ok := byInstance[snapshot.Instance]
+		if !ok || snapshot.TakenAt.After(previous.TakenAt) {
 			byInstance[snapshot.Instance] = snapshot
 		}
 	}
@@ -124,11 +125,11 @@
 	return result
 }
 
-// foldedCounts holds the counts of each scope for each window, in the order of Windows.
-type foldedCounts map[Key][]Counts
+// scopeCounts holds the counts of each scope for each window, in the order of Windows.
+type scopeCounts map[Key][]Counts
 
-func fold(now time.Time, snapshots []Snapshot) foldedCounts {
-	folded := foldedCounts{}
+func aggregate(now time.Time, snapshots []Snapshot) scopeCounts {
+	counts := scopeCounts{}
 	for i, window := range Windows() {
 		for _, snapshot := range snapshots {
 			buckets, length := snapshot.Minutes, time.Minute
@@ -137,16 +138,16 @@
 			}
 			for _, bucket := range buckets {
 				if bucket.Start.Add(length).After(now.Add(-window)) && !bucket.Start.After(now) {
-					folded.add(i, bucket.Rows)
+					counts.add(i, bucket.Rows)
 				}
 			}
 		}
 	}
-	return folded
+	return counts
 }
 
 // add counts each row for its service, for its customer and for its data centre.
-func (folded foldedCounts) add(window int, rows []Row) {
+func (scopeCounts scopeCounts) add(window int, rows []Row) {
 	for i := range rows {
 		key := rows[i].Key
 		scopes := []Key{{Service: key.Service}}
@@ -157,23 +158,24 @@
 			scopes = append(scopes, Key{Service: key.Service, DataCentre: key.DataCentre})
 		}
 		for _, scope := range scopes {
-			if folded[scope] == nil {
-				folded[scope] = make([]Counts, len(Windows()))
+			if scopeCounts[scope] == nil {
+				scopeCounts[scope] = make([]Counts, len(Windows()))
 			}
-			folded[scope][window].merge(&rows[i].Counts)
+			scopeCounts[scope][window].merge(&rows[i].Counts)
 		}
 	}
 }
 
-// scopes returns services, then customers, then data centres, each in order of name.
-func (folded foldedCounts) scopes() []Key {
-	scopes := make([]Key, 0, len(folded))
-	for scope := range folded {
+// scopes returns the scopes of services, then of customers, then of data centres, each group
+// sorted by name.
+func (scopeCounts scopeCounts) scopes() []Key {
+	scopes := make([]Key, 0, len(scopeCounts))
+	for scope := range scopeCounts {
 		scopes = append(scopes, scope)
 	}
 	slices.SortFunc(scopes, func(a, b Key) int {
 		return cmp.Or(
-			cmp.Compare(rank(a), rank(b)),
+			cmp.Compare(scopeRank(a), scopeRank(b)),
 			cmp.Compare(a.Service, b.Service),
 			cmp.Compare(a.Customer, b.Customer),
 			cmp.Compare(a.DataCentre, b.DataCentre),
@@ -182,7 +184,7 @@
 	return scopes
 }
 
-func rank(scope Key) int {
+func scopeRank(scope Key) int {
 	switch {
 	case scope.Customer != "":
 		return 1
@@ -193,8 +195,8 @@
 	}
 }
 
-func (folded foldedCounts) lines(scope Key, objectives dogwoodsettings.Objectives) []Line {
-	counts := folded[scope]
+func (scopeCounts scopeCounts) lines(scope Key, objectives dogwoodsettings.Objectives) []Line {
+	counts := scopeCounts[scope]
 	var lines []Line
 	if objectives.InTime > 0 {
 		line := makeLine(scope, Objective{Share: objectives.InTime}, counts, func(counts *Counts) (total, good uint64) {
@@ -228,7 +230,7 @@
 	return 0, 0
 }
 
-func makeLine(scope Key, objective Objective, counts []Counts, count func(*Counts) (total, good uint64)) Line {
+func makeLine(scope Key, objective Objective, counts []Counts, totals func(*Counts) (total, good uint64)) Line {
 	line := Line{
 		Service:    scope.Service,
 		Customer:   scope.Customer,
@@ -236,12 +238,12 @@
 		Objective:  objective,
 	}
 	for i, window := range Windows() {
-		total, good := count(&counts[i])
+		total, good := totals(&counts[i])
 		line.Windows = append(line.Windows, WindowBurn{
 			Window: dogwoodsettings.Duration(window),
 			Total:  total,
 			Bad:    total - good,
-			Burn:   burn(total, total-good, objective.Share),
+			Burn:   burnRate(total, total-good, objective.Share),
 		})
 	}
 	line.BudgetLeft = 1 - line.Windows[len(line.Windows)-1].Burn
@@ -249,15 +251,16 @@
 	return line
 }
 
-// leastBudget stands for the budget of an objective of 1, which would divide by zero.
-const leastBudget = 1e-6
+// minErrorBudget replaces the error budget of an objective of 1, which is 0, to avoid a division
+// by zero.
+const minErrorBudget = 1e-6
 
-// burn returns the share that failed over the share that may fail.
-func burn(total, bad uint64, share float64) float64 {
+// burnRate returns the share of bad requests divided by the share that the objective allows.
+func burnRate(total, bad uint64, share float64) float64 {
 	if total == 0 {
 		return 0
 	}
-	return float64(bad) / float64(total) / max(1-share, leastBudget)
+	return float64(bad) / float64(total) / max(1-share, minErrorBudget)
 }
 
 func makeSeries(now time.Time, service *dogwoodsettings.Service, snapshots []Snapshot) Series {
@@ -277,7 +280,7 @@
 	}
 	for start, counts := range byMinute {
 		bad := counts.Total - counts.InTime
-		rate := burn(counts.Total, bad, service.Objectives.InTime)
+		rate := burnRate(counts.Total, bad, service.Objectives.InTime)
 		series.Points = append(series.Points, Point{At: start, Total: counts.Total, Bad: bad, Burn: rate})
 	}
 	slices.SortFunc(series.Points, func(a, b Point) int { return a.At.Compare(b.At) })
--- a/core/decision/dogwoodburn/window.go
+++ b/core/decision/dogwoodburn/window.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// LongestWindow is the period that the error budget is for. Grounds: VMs keep nothing and are
-// all replaced within days, so that a longer period would mostly be missing.
+// LongestWindow is the period that the error budget covers. VMs store nothing and are all
+// replaced within days, so most counts of a longer period would be missing.
 const LongestWindow = 72 * time.Hour
 
-// Windows are the periods over which burn rates are given, shortest first. Windows of up to
-// an hour are exact to a minute, longer ones to an hour.
+// Windows returns the periods over which burn rates are computed, shortest first. Windows of
+// up to an hour have a resolution of a minute, longer ones of an hour.
 func Windows() []time.Duration {
 	return []time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, 6 * time.Hour, LongestWindow}
 }
 
-// Alert is how urgent a burn is.
+// Alert is the urgency of a burn rate; empty if it needs no attention.
 type Alert string
 
-// The alerts.
+// The values of Alert.
 const (
 	Page   Alert = "Page"
 	Ticket Alert = "Ticket"
 )
 
-// rule raises an alert when both windows burn at least at the rate.
+// rule raises an alert when the burn rates of both windows are at least rate.
 type rule struct {
 	alert       Alert
 	long, short time.Duration
 	rate        float64
 }
 
-// rules are the multi-window, multi-rate pairs of the Site Reliability Workbook's chapter on
-// alerting: the rates spend 2 % of a 30-day budget in an hour, 5 % in six hours and 10 % in
-// three days.
+// rules holds the multi-window, multi-burn-rate alerts of the Site Reliability Workbook's chapter
+// on alerting, the most urgent first. The rates spend 2 % of a 30-day budget in an hour, 5 % in
+// six hours and 10 % in three days.
 var rules = []rule{
 	{alert: Page, long: time.Hour, short: 5 * time.Minute, rate: 14.4},
 	{alert: Page, long: 6 * time.Hour, short: 30 * time.Minute, rate: 6},
 	{alert: Ticket, long: LongestWindow, short: 6 * time.Hour, rate: 1},
 }
 
-// alertFor returns the most urgent alert that the burn rates of the windows call for.
+// alertFor returns the most urgent alert whose rule the burn rates of the windows meet.
 func alertFor(windows []WindowBurn) Alert {
 	rates := map[time.Duration]float64{}
 	for _, window := range windows {
--- a/core/decision/dogwoodretry/retry.go
+++ b/core/decision/dogwoodretry/retry.go
@@ -1,11 +1,11 @@
-// Package dogwoodretry decides whether a failed try may be followed by another.
+// Package dogwoodretry decides whether a failed attempt may be retried.
 //
-// Load pattern: after an outage, or while an endpoint keeps failing, each failure begets
-// a retry and the retries keep the fleet down. A token bucket for each customer and
-// service lets retries be a tenth of first tries at most; what may not be repeated is
-// only tried again when it certainly did not run; nothing is tried again that can't end
-// by its deadline. Without it a fault of seconds becomes an overload of minutes, and a
-// reservation is held twice.
+// Load pattern: after an outage, or while an endpoint keeps failing, each failure causes
+// a retry, and the retries keep the fleet overloaded. A token bucket for each customer and
+// service limits retries to a tenth of first attempts. A request that is not repeatable is
+// retried only if it certainly did not run, and no request is retried that can't finish by
+// its deadline. Without these rules a fault of seconds becomes an overload of minutes, and
+// a reservation is held twice.
 package dogwoodretry
 
 import (
@@ -16,89 +16,92 @@
 )
 
 const (
-	// Share is how many retries a first try pays for. With a tenth, retries never add more
-	// than a tenth to the load, less than the headroom that any service is run with.
+	// Share is the number of retries that each first attempt adds to the budget. At 0.1,
+	// retries add at most a tenth to the load, which is less than the headroom that any
+	// service runs with.
 	Share = 0.1
-	// Burst is how many retries a customer that seldom calls has at once: enough for the
-	// requests of a few callers on one endpoint that died.
+	// Burst is the capacity of a bucket, and thus the number of retries available at once to
+	// a customer that seldom calls. It covers the requests of a few callers on one endpoint
+	// that died.
 	Burst = 10
-	// Backoff is the mean wait before the first retry; it doubles with each. Another
-	// endpoint is tried, so the first may come soon.
+	// Backoff is the mean wait before the first retry; it doubles with each retry. The first
+	// wait can be short because a retry goes to another endpoint.
 	Backoff = 20 * time.Millisecond
-	// MaxBackoff bounds it.
+	// MaxBackoff bounds the mean wait before a retry.
 	MaxBackoff = 2 * time.Second
-	// MaxTries bounds the tries of a request. With the doubling backoff eight span some
-	// two and a half seconds, about a restart of an engine; with four, a request that met
-	// two engines restarting was lost in 0.3 s although its deadline was far.
+	// MaxTries bounds the attempts of a request. With the doubling backoff, eight attempts
+	// span about 2.5 s, roughly the time that an engine takes to restart. With four, a
+	// request that met two restarting engines failed after 0.3 s, long before its deadline.
 	MaxTries = 8
-	// idle is when an unused bucket is dropped.
-	idle = 10 * time.Minute
+	// bucketTTL is the time after its last use at which a bucket is dropped.
+	bucketTTL = 10 * time.Minute
 )
 
-// Failure is what happened to a try.
+// Failure describes a failed attempt.
 type Failure struct {
 	Customer   dogwoodfleet.Customer
 	Service    dogwoodfleet.Service
 	State      dogwoodfleet.RunState
 	Reason     dogwoodfleet.Reason
 	Repeatable bool
-	// Streamed is true when a part of the answer went to the caller: another run's answer
-	// can't be joined to it.
+	// Streamed is true if part of the answer was sent to the caller. The answer of another
+	// run can't continue it.
 	Streamed bool
-	// Try counts from 1.
+	// Try is the number of the attempt, starting at 1.
 	Try int
-	// Left is the time to the deadline; Needs is the predicted time of a run.
+	// Left is the time until the deadline; Needs is the predicted duration of a run.
 	Left, Needs time.Duration
-	// After is what the refusal asked to wait; 0 if nothing.
+	// After is the minimum wait that the refusal asked for; 0 if it asked for none.
 	After time.Duration
 }
 
-// Verdict says whether to try again, and when.
+// Verdict is the decision on a retry.
 type Verdict struct {
 	Retry bool
 	Wait  time.Duration
-	// Why tells what forbids it, for the log and the caller's detail.
+	// Why is the reason for denying the retry.
 	Why string
 }
 
-type key struct {
+type bucketKey struct {
 	customer dogwoodfleet.Customer
 	service  dogwoodfleet.Service
 }
 
 type bucket struct {
-	tokens float64
-	used   time.Time
+	tokens   float64
+	lastUsed time.Time
 }
 
-// Budget holds the retry buckets of an entry. It is not safe for concurrent use.
+// Budget holds the token buckets that limit an entry's retries. It is not safe for
+// concurrent use.
 type Budget struct {
-	buckets map[key]*bucket
-	swept   time.Time
+	buckets   map[bucketKey]*bucket
+	lastSweep time.Time
 }
 
-// NewBudget returns a budget with full buckets.
+// NewBudget returns a budget whose buckets start full.
 func NewBudget() *Budget {
-	return &Budget{buckets: map[key]*bucket{}}
+	return &Budget{buckets: map[bucketKey]*bucket{}}
 }
 
-// First counts a first try: it pays for a share of a retry.
+// First records a first attempt, which adds Share to the bucket of its customer and service.
 func (budget *Budget) First(now time.Time, customer dogwoodfleet.Customer, service dogwoodfleet.Service) {
-	bucket := budget.bucket(now, key{customer, service})
+	bucket := budget.bucket(now, bucketKey{customer, service})
 	bucket.tokens = min(bucket.tokens+Share, Burst)
 }
 
-// Decide says whether the failed try may be followed by another, and takes it from the
-// budget if so.
+// Decide returns whether the failed attempt may be retried, and if so takes a token from the
+// bucket of its customer and service.
 func (budget *Budget) Decide(now time.Time, failure Failure, random *rand.Rand) Verdict {
-	if why := forbidden(failure); why != "" {
-		return Verdict{Why: why}
+	if reason := denialReason(failure); reason != "" {
+		return Verdict{Why: reason}
 	}
 	wait := backoff(failure, random)
 	if wait+failure.Needs >= failure.Left {
-		return Verdict{Why: "no time left for another try"}
+		return Verdict{Why: "no time left for another attempt"}
 	}
-	bucket := budget.bucket(now, key{failure.Customer, failure.Service})
+	bucket := budget.bucket(now, bucketKey{failure.Customer, failure.Service})
 	if bucket.tokens < 1 {
 		return Verdict{Why: "the retry budget of the customer is used up"}
 	}
@@ -106,49 +109,50 @@
 	return Verdict{Retry: true, Wait: wait}
 }
 
-func forbidden(failure Failure) string {
+// denialReason returns why the failure itself rules out a retry, or "" if it doesn't.
+func denialReason(failure Failure) string {
 	switch {
 	case failure.Streamed:
-		return "a part of the answer was sent"
+		return "part of the answer was sent"
 	case failure.State != dogwoodfleet.NotRun && !failure.Repeatable:
-		return "it may have run and may not be repeated"
+		return "it may have run and is not repeatable"
 	case failure.Try >= MaxTries:
-		return "it was tried too often"
+		return "the maximum number of attempts is reached"
 	}
 	switch failure.Reason {
 	case dogwoodfleet.ReasonEndpointDied, dogwoodfleet.ReasonNoEndpoint, dogwoodfleet.ReasonShutdown,
 		dogwoodfleet.ReasonInternal, dogwoodfleet.ReasonDependency:
 		return ""
 	default:
-		return "another try would end alike"
+		return "another attempt would fail in the same way"
 	}
 }
 
-// backoff is spread evenly between half and one and a half times its mean, so that what
-// failed together doesn't come back together.
+// backoff returns the wait before the next attempt. It is uniformly distributed between 0.5
+// and 1.5 times its mean, so that requests that failed together aren't retried together.
 func backoff(failure Failure, random *rand.Rand) time.Duration {
 	mean := min(Backoff<<max(failure.Try-1, 0), MaxBackoff)
 	return max(failure.After, mean/2+time.Duration(random.Int64N(int64(mean))))
 }
 
-func (budget *Budget) bucket(now time.Time, key key) *bucket {
+func (budget *Budget) bucket(now time.Time, key bucketKey) *bucket {
 	budget.sweep(now)
 	found := budget.buckets[key]
 	if found == nil {
 		found = &bucket{tokens: Burst}
 		budget.buckets[key] = found
 	}
-	found.used = now
+	found.lastUsed = now
 	return found
 }
 
 func (budget *Budget) sweep(now time.Time) {
-	if now.Sub(budget.swept) < idle {
+	if now.Sub(budget.lastSweep) < bucketTTL {
 		return
 	}
-	budget.swept = now
+	budget.lastSweep = now
 	for key, bucket := range budget.buckets {
-		if now.Sub(bucket.used) > idle {
+		if now.Sub(bucket.lastUsed) > bucketTTL {
 			delete(budget.buckets, key)
 		}
 	}
--- a/core/decision/dogwoodretry/retry_test.go
+++ b/core/decision/dogwoodretry/retry_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func died() Failure {
+func repeatableFailure() Failure {
 	return Failure{
 		Customer: "one", Service: "pool", State: dogwoodfleet.RunUnknown, Reason: dogwoodfleet.ReasonEndpointDied,
 		Repeatable: true, Try: 1, Left: 10 * time.Second, Needs: time.Second,
@@ -23,21 +23,21 @@
 		change func(failure *Failure)
 		want   bool
 	}{
-		{name: "repeatable and died", change: func(*Failure) {}, want: true},
-		{name: "may have run and may not be repeated", change: func(failure *Failure) { failure.Repeatable = false }, want: false},
-		{name: "not repeatable but not run", change: func(failure *Failure) {
+		{name: "repeatable, endpoint died", change: func(*Failure) {}, want: true},
+		{name: "may have run, not repeatable", change: func(failure *Failure) { failure.Repeatable = false }, want: false},
+		{name: "not run, not repeatable", change: func(failure *Failure) {
 			failure.Repeatable, failure.State = false, dogwoodfleet.NotRun
 		}, want: true},
-		{name: "part of the answer was sent", change: func(failure *Failure) { failure.Streamed = true }, want: false},
+		{name: "part of the answer sent", change: func(failure *Failure) { failure.Streamed = true }, want: false},
 		{name: "no time for another run", change: func(failure *Failure) { failure.Left = failure.Needs }, want: false},
-		{name: "tried too often", change: func(failure *Failure) { failure.Try = MaxTries }, want: false},
-		{name: "refused for its share", change: func(failure *Failure) {
+		{name: "maximum number of attempts reached", change: func(failure *Failure) { failure.Try = MaxTries }, want: false},
+		{name: "refused over the customer's share", change: func(failure *Failure) {
 			failure.State, failure.Reason = dogwoodfleet.NotRun, dogwoodfleet.ReasonShare
 		}, want: false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			failure := died()
+			failure := repeatableFailure()
 			test.change(&failure)
 			verdict := NewBudget().Decide(start, failure, rand.New(rand.NewPCG(1, 1)))
 			if got := verdict.Retry; got != test.want {
@@ -47,16 +47,17 @@
 	}
 }
 
-// All endpoints are down and every request fails at once. Retries of each would multiply
-// the load on what comes back by the number of tries.
-func TestRetriesStayAShareOfFirstTries(t *testing.T) {
+// Guards against a retry storm: all endpoints are down and every request fails at once.
+// Without a budget, retries multiply the load on recovering endpoints by the number of
+// attempts.
+func TestRetriesStayWithinShareOfFirstAttempts(t *testing.T) {
 	budget, random := NewBudget(), rand.New(rand.NewPCG(1, 1))
 	retries := 0
 	const first = 1000
 	for range first {
 		budget.First(start, "one", "pool")
 		for try := 1; try < MaxTries; try++ {
-			failure := died()
+			failure := repeatableFailure()
 			failure.Try = try
 			if !budget.Decide(start, failure, random).Retry {
 				break
@@ -64,7 +65,7 @@
 			retries++
 		}
 	}
-	if got, most := retries, int(first*Share)+Burst; got > most {
-		t.Errorf("got %d retries of %d first tries, want at most %d", got, first, most)
+	if got, limit := retries, int(first*Share)+Burst; got > limit {
+		t.Errorf("got %d retries for %d first attempts, want at most %d", got, first, limit)
 	}
 }
--- a/core/decision/dogwoodretry/share.go
+++ b/core/decision/dogwoodretry/share.go
@@ -7,99 +7,100 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Shared is one daemon's share of a retry budget that holds for all daemons together. In
-// any window each service may get no more repeats than a ratio of its requests and a fixed
-// allowance. Each daemon counts the requests that it took itself, so the ratios add up to
-// the whole by themselves; the allowance is divided by the number of daemons. Without it
-// daemons that each keep within a budget of their own exceed it together.
+// Shared is one daemon's share of a retry budget that covers all daemons. In any window a
+// service gets at most Ratio retries for each of its requests, plus a fixed allowance. Each
+// daemon counts only the requests that it accepted, so the parts that come from the ratio
+// add up without coordination; the allowance is divided by the number of daemons. Separate
+// budgets for each daemon would together exceed the limit.
 type Shared struct {
-	// Ratio is repeats over first requests.
+	// Ratio is the number of retries allowed for each first request.
 	Ratio float64
-	// Allowance is the number of repeats allowed in a window besides, over all daemons.
+	// Allowance is the number of retries allowed in a window in addition to Ratio, summed
+	// over all daemons.
 	Allowance float64
-	// Window is the span over which both are counted.
+	// Window is the period over which first requests and retries are counted.
 	Window time.Duration
 
 	mutex    sync.Mutex
-	services map[dogwoodfleet.Service]*counts
+	services map[dogwoodfleet.Service]*attempts
 }
 
-// counts are the moments of first requests and repeats within the last window.
-type counts struct {
-	first, repeats []time.Time
+// attempts holds the times of a service's first requests and retries in the last window.
+type attempts struct {
+	first, retries []time.Time
 }
 
-// First counts a request of a caller.
+// First records a first request of a caller.
 func (shared *Shared) First(now time.Time, service dogwoodfleet.Service) {
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
-	counts := shared.counts(now, service)
-	counts.first = append(counts.first, now)
+	attempts := shared.attempts(now, service)
+	attempts.first = append(attempts.first, now)
 }
 
-// Take takes one repeat from this daemon's share, or returns false if it is used up.
+// Take takes one retry from this daemon's share, or returns false if the share is used up.
 func (shared *Shared) Take(now time.Time, service dogwoodfleet.Service, daemons int) bool {
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
-	counts := shared.counts(now, service)
-	if shared.left(counts, daemons) < 1 {
+	attempts := shared.attempts(now, service)
+	if shared.remaining(attempts, daemons) < 1 {
 		return false
 	}
-	counts.repeats = append(counts.repeats, now)
+	attempts.retries = append(attempts.retries, now)
 	return true
 }
 
-// Return gives back a repeat that was taken and not made.
+// Return gives back a retry that was taken but not made.
 func (shared *Shared) Return(now time.Time, service dogwoodfleet.Service) {
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
-	counts := shared.counts(now, service)
-	if last := len(counts.repeats) - 1; last >= 0 {
-		counts.repeats = counts.repeats[:last]
+	attempts := shared.attempts(now, service)
+	if last := len(attempts.retries) - 1; last >= 0 {
+		attempts.retries = attempts.retries[:last]
 	}
 }
 
-// Allows tells whether Take would take a repeat now.
+// Allows reports whether Take would succeed now.
 func (shared *Shared) Allows(now time.Time, service dogwoodfleet.Service, daemons int) bool {
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
-	return shared.left(shared.counts(now, service), daemons) >= 1
+	return shared.remaining(shared.attempts(now, service), daemons) >= 1
 }
 
-// Left is how many repeats the service with the fewest left may still get now.
+// Left returns the number of retries left to the service that has the fewest left.
 func (shared *Shared) Left(now time.Time, daemons int) float64 {
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
-	least := shared.left(&counts{}, daemons)
+	least := shared.remaining(&attempts{}, daemons)
 	for service := range shared.services {
-		least = min(least, shared.left(shared.counts(now, service), daemons))
+		least = min(least, shared.remaining(shared.attempts(now, service), daemons))
 	}
 	return least
 }
 
-func (shared *Shared) left(counts *counts, daemons int) float64 {
-	allowed := shared.Ratio*float64(len(counts.first)) + shared.Allowance/float64(max(daemons, 1))
-	return allowed - float64(len(counts.repeats))
+func (shared *Shared) remaining(attempts *attempts, daemons int) float64 {
+	allowed := shared.Ratio*float64(len(attempts.first)) + shared.Allowance/float64(max(daemons, 1))
+	return allowed - float64(len(attempts.retries))
 }
 
-func (shared *Shared) counts(now time.Time, service dogwoodfleet.Service) *counts {
+func (shared *Shared) attempts(now time.Time, service dogwoodfleet.Service) *attempts {
 	if shared.services == nil {
-		shared.services = map[dogwoodfleet.Service]*counts{}
+		shared.services = map[dogwoodfleet.Service]*attempts{}
 	}
 	found := shared.services[service]
 	if found == nil {
-		found = &counts{}
+		found = &attempts{}
 		shared.services[service] = found
 	}
 	found.first = dropBefore(found.first, now.Add(-shared.Window))
-	found.repeats = dropBefore(found.repeats, now.Add(-shared.Window))
+	found.retries = dropBefore(found.retries, now.Add(-shared.Window))
 	return found
 }
 
-func dropBefore(moments []time.Time, start time.Time) []time.Time {
-	old := 0
-	for old < len(moments) && moments[old].Before(start) {
-		old++
+func dropBefore(times []time.Time, start time.Time) []time.Time {
+	expired := 0
+	for expired < len(times) && times[expired].Before(start) {
+		expired++
 	}
-	return append(moments[:0], moments[old:]...)
+	return append(times[:0], times[expired:]...)
 }
--- a/core/decision/dogwoodretry/share_test.go
+++ b/core/decision/dogwoodretry/share_test.go
@@ -7,8 +7,9 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// All daemons meet a service whose endpoints fail, and each would retry what it took. Added
-// up their repeats must stay within one budget for the service, in any window.
+// Guards against daemons exceeding a service's retry budget together. All of them retry
+// requests to a service whose endpoints fail; in any window the sum of their retries must
+// stay within the one budget.
 func TestSharesAddUpToOneBudget(t *testing.T) {
 	const daemons, perSecond, seconds = 8, 10, 60
 	window := 10 * time.Second
@@ -17,52 +18,52 @@
 		shares[i] = &Shared{Ratio: 0.2, Allowance: 50, Window: window}
 	}
 	start := time.Now()
-	var first, repeats []time.Time
+	var first, retries []time.Time
 	for step := range seconds * perSecond {
 		now := start.Add(time.Duration(step) * time.Second / perSecond)
 		for _, share := range shares {
 			share.First(now, "s")
 			first = append(first, now)
 			if share.Take(now, "s", daemons) {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 		}
 	}
 	for end := start.Add(window); end.Before(start.Add(seconds * time.Second)); end = end.Add(100 * time.Millisecond) {
-		got, allowed := within(repeats, end, window), 0.2*float64(within(first, end, window))+50
+		got, allowed := countWithin(retries, end, window), 0.2*float64(countWithin(first, end, window))+50
 		if float64(got) > allowed {
-			t.Fatalf("got %d repeats in a window, want at most %.0f", got, allowed)
+			t.Fatalf("got %d retries in a window, want at most %.0f", got, allowed)
 		}
 	}
-	if got, want := len(repeats), perSecond*seconds*daemons/10; got < want {
-		t.Errorf("got %d repeats in all, want at least %d: the budget is there to be used", got, want)
+	if got, want := len(retries), perSecond*seconds*daemons/10; got < want {
+		t.Errorf("got %d retries in total, want at least %d: the budget must be usable", got, want)
 	}
 }
 
-// An operator sees a daemon refuse repeats. What is left must tell of the service that has
-// the least, not of those that nobody repeats.
-func TestLeftIsOfTheServiceWithTheLeast(t *testing.T) {
+// Guards against a figure that hides an exhausted budget. An operator who sees a daemon deny
+// retries must see what is left to the service with the least, not to services without retries.
+func TestLeftReportsServiceWithLeastBudget(t *testing.T) {
 	const daemons = 2
 	shared, now := &Shared{Ratio: 0.5, Allowance: 8, Window: 10 * time.Second}, time.Now()
 	tests := []struct {
 		name           string
 		service        dogwoodfleet.Service
-		first, repeats int
+		first, retries int
 		want           float64
 	}{
-		{"nothing came", "a", 0, 0, 4},
-		{"first requests add to it", "a", 4, 0, 4},
-		{"repeats use it up", "a", 0, 5, 1},
+		{"no requests", "a", 0, 0, 4},
+		{"first requests add to the budget", "a", 4, 0, 4},
+		{"retries use the budget", "a", 0, 5, 1},
 		{"another service", "b", 2, 0, 1},
-		{"the other one used more", "b", 0, 5, 0},
+		{"the other service used more", "b", 0, 5, 0},
 	}
 	for _, test := range tests {
 		for range test.first {
 			shared.First(now, test.service)
 		}
-		for range test.repeats {
+		for range test.retries {
 			if !shared.Take(now, test.service, daemons) {
-				t.Fatalf("%s: got no repeat", test.name)
+				t.Fatalf("%s: got no retry", test.name)
 			}
 		}
 		if got := shared.Left(now, daemons); got != test.want {
@@ -70,62 +71,62 @@
 		}
 	}
 	if got := shared.Left(now.Add(time.Minute), daemons); got != 4 {
-		t.Errorf("got %v left after the window, want the allowance's 4", got)
+		t.Errorf("got %v left after the window, want the 4 of the allowance", got)
 	}
 }
 
-func within(moments []time.Time, end time.Time, window time.Duration) int {
+func countWithin(times []time.Time, end time.Time, window time.Duration) int {
 	count := 0
-	for _, moment := range moments {
-		if moment.After(end.Add(-window)) && !moment.After(end) {
+	for _, at := range times {
+		if at.After(end.Add(-window)) && !at.After(end) {
 			count++
 		}
 	}
 	return count
 }
 
-func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
+func TestServicesHaveSeparateBudgets(t *testing.T) {
 	shared := &Shared{Ratio: 0, Allowance: 1, Window: time.Second}
 	now := time.Now()
 	if !shared.Take(now, "a", 1) || shared.Take(now, "a", 1) {
-		t.Error("want one repeat for the service and no more")
+		t.Error("want exactly one retry for the service")
 	}
 	if !shared.Take(now, "b", 1) {
-		t.Error("want one for the other service too")
+		t.Error("want one retry for the other service too")
 	}
 	if !shared.Take(now.Add(1100*time.Millisecond), "a", 1) {
-		t.Error("want one again after the window")
+		t.Error("want one retry again after the window")
 	}
 }
 
-// Guards against a stream that is given up for a retry that the budget then forbids.
-func TestAllowsTellsWhatTakeWouldDo(t *testing.T) {
+// Guards against abandoning a stream for a retry that the budget then denies.
+func TestAllowsMatchesTake(t *testing.T) {
 	const daemons = 2
 	shared, now := &Shared{Ratio: 0.5, Allowance: 4, Window: 10 * time.Second}, time.Now()
-	for repeat := range 4 {
+	for retry := range 4 {
 		want := shared.Allows(now, "s", daemons)
 		if got := shared.Take(now, "s", daemons); got != want {
-			t.Errorf("repeat %d: got %t, want %t as was told", repeat, got, want)
+			t.Errorf("retry %d: got %t, want %t as Allows returned", retry, got, want)
 		}
 	}
 	if shared.Allows(now, "s", daemons) {
-		t.Error("got a repeat beyond the share, want none")
+		t.Error("got a retry beyond the share, want none")
 	}
 	if !shared.Allows(now, "other", daemons) {
-		t.Error("got no repeat for another service, want one")
+		t.Error("got no retry for another service, want one")
 	}
 }
 
-// Guards against a budget that shrinks by repeats that were never made.
-func TestAReturnedRepeatMayBeTakenAgain(t *testing.T) {
+// Guards against a budget that shrinks by retries that were taken but not made.
+func TestReturnedRetryCanBeTakenAgain(t *testing.T) {
 	shared, now := &Shared{Allowance: 1, Window: 10 * time.Second}, time.Now()
-	shared.Return(now, "s") // none was taken
+	shared.Return(now, "s") // no retry was taken
 	for range 3 {
 		if !shared.Take(now, "s", 1) {
-			t.Fatal("got no repeat, want the one that was returned")
+			t.Fatal("got no retry, want the one that was returned")
 		}
 		if shared.Take(now, "s", 1) {
-			t.Fatal("got a second repeat, want one")
+			t.Fatal("got a second retry, want one")
 		}
 		shared.Return(now, "s")
 	}
--- a/core/decision/dogwoodsuspect/suspect.go
+++ b/core/decision/dogwoodsuspect/suspect.go
@@ -1,18 +1,19 @@
-// Package dogwoodsuspect decides which requests are suspected of killing endpoints.
+// Package dogwoodsuspect decides which requests are suspected of crashing endpoints.
 //
 // Load pattern: one request crashes each endpoint that runs it, and its caller sends it
 // again, perhaps through several entries at the same moment. Without a guard it takes the
-// fleet down endpoint by endpoint. All requests of a dead endpoint's batch earn a strike
-// under a digest of customer and body. A digest with a strike is a suspect: it runs alone
-// on its endpoint, one run at a time in the whole system. Dying again alone convicts it;
-// finishing alone clears it, so the innocent of the batch get through. A digest that dies
-// on two endpoints at the same moment before it ever finished is convicted too, since it
-// is what both batches had in common.
+// fleet down endpoint by endpoint. Each request that was running on an endpoint when it died
+// gets a strike, recorded under a digest of customer and body. A digest with a strike is a
+// suspect: it runs alone on its endpoint, one run at a time in the whole system. If the
+// endpoint dies again during such a run, the digest is convicted and refused; if the run
+// finishes, the digest is cleared, so that harmless requests of the batch still succeed. A
+// digest that was running on two endpoints that died at the same time, and that has never
+// finished, is also convicted, since it is what both batches had in common.
 //
-// So it kills two endpoints: the first, and the one it then runs alone on. Owners share
-// strikes by notices, spread before the caller learns of the failure, so that a caller
-// that sends again at once finds them known; and one owner, found by hash of the digest,
-// lets one run of a suspect go at a time.
+// A crashing request thus kills two endpoints: the first, and the one on which it then runs
+// alone. Owners share strikes by notices, which are sent before the caller learns of the
+// failure, so that the strikes are known when the caller resends at once. One owner, selected
+// by a hash of the digest, permits one run of a suspect at a time.
 package dogwoodsuspect
 
 import (
@@ -23,68 +24,71 @@
 )
 
 const (
-	// StrikeKept is how long a strike is remembered. A caller that sends again does so
-	// within its deadline of minutes; ten minutes are longer than that.
+	// StrikeKept is the time after which a strike expires. A caller resends a request within
+	// its deadline of a few minutes, so ten minutes cover every resend.
 	StrikeKept = 10 * time.Minute
-	// ConvictionKept is how long a convicted digest is refused; then it may try again as a
-	// suspect, which costs one endpoint at most, for ever less than six in an hour.
+	// ConvictionKept is the time for which a convicted digest is refused. After it the digest
+	// may run again as a suspect, which costs at most one endpoint each time, and so fewer
+	// than six endpoints an hour.
 	ConvictionKept = 10 * time.Minute
-	// MaxRecords bounds the memory: a rack of 40 engines with 64 requests each leaves
-	// 2,560 suspects; ten such at once are 5 MB.
+	// MaxRecords bounds the memory of a ledger. A failed rack of 40 engines with 64 requests
+	// each leaves 2,560 suspects; ten such racks at once take 5 MB.
 	MaxRecords = 32_768
-	// provenKept is how many digests that finished are remembered, in two generations.
-	provenKept = 8192
+	// maxProven is the size of each of the two generations of digests known to have finished.
+	maxProven = 8192
 )
 
-// Standing is what is thought of a digest.
+// Standing is the status of a digest.
 type Standing int
 
-// The standings.
+// The values of Standing.
 const (
 	Clear Standing = iota
 	Suspect
 	Convicted
 )
 
-// Kind is what a notice tells.
+// Kind is the type of event that a notice reports.
 type Kind string
 
-// The kinds of notice.
+// The values of Kind.
 const (
 	Strike     Kind = "Strike"
 	Conviction Kind = "Conviction"
-	Acquittal  Kind = "Acquittal" // it finished alone
-	Lift       Kind = "Lift"      // an operator cleared it
+	Acquittal  Kind = "Acquittal" // a run of a suspect finished
+	Lift       Kind = "Lift"      // an operator cleared the digest
 )
 
-// Notice is what owners tell each other. Taking one twice changes nothing.
+// Notice reports an event about a digest to other owners. Applying a notice twice has no
+// further effect.
 type Notice struct {
 	Kind   Kind
 	Digest dogwoodfleet.Digest
-	// Request is the try that earned the strike.
+	// Request identifies the attempt that was running when the endpoint died, or the one that
+	// finished.
 	Request dogwoodfleet.RequestID
-	// Endpoint is what died.
+	// Endpoint is the endpoint that died.
 	Endpoint dogwoodfleet.EndpointID
-	// Age is how long ago it happened, since clocks differ.
+	// Age is the time since the event. It is relative because the owners' clocks differ.
 	Age time.Duration
 }
 
-// Run is a request that ran on an endpoint when it died.
+// Run is a request that an endpoint ran until it finished or the endpoint died.
 type Run struct {
 	Digest  dogwoodfleet.Digest
 	Request dogwoodfleet.RequestID
-	// Alone is true when it ran alone because it was a suspect.
+	// Alone is true if the request ran alone on its endpoint because it was a suspect.
 	Alone bool
 }
 
 type record struct {
-	strikes     []strike
-	until       time.Time
-	convicted   time.Time // until when; zero if not
-	trial       dogwoodfleet.RequestID
-	trialUntil  time.Time
-	clearedAt   time.Time
-	convictedAt time.Time
+	strikes        []strike
+	expires        time.Time
+	convictedUntil time.Time              // zero if not convicted
+	permitHolder   dogwoodfleet.RequestID // the suspect's request that may run now
+	permitExpires  time.Time
+	clearedAt      time.Time
+	convictedAt    time.Time
 }
 
 type strike struct {
@@ -92,7 +96,7 @@
 	endpoint dogwoodfleet.EndpointID
 }
 
-// Ledger holds what one owner knows of digests. It is not safe for concurrent use.
+// Ledger holds one owner's records of digests. It is not safe for concurrent use.
 type Ledger struct {
 	records map[dogwoodfleet.Digest]*record
 	proven  [2]map[dogwoodfleet.Digest]struct{}
@@ -106,23 +110,24 @@
 	}
 }
 
-// Standing returns what is thought of the digest, and until when.
+// Standing returns the standing of the digest and the time at which it expires, which is zero
+// for Clear.
 func (ledger *Ledger) Standing(now time.Time, digest dogwoodfleet.Digest) (Standing, time.Time) {
 	found := ledger.records[digest]
 	switch {
 	case found == nil:
 		return Clear, time.Time{}
-	case now.Before(found.convicted):
-		return Convicted, found.convicted
-	case now.Before(found.until) && len(found.strikes) > 0:
-		return Suspect, found.until
+	case now.Before(found.convictedUntil):
+		return Convicted, found.convictedUntil
+	case now.Before(found.expires) && len(found.strikes) > 0:
+		return Suspect, found.expires
 	default:
 		return Clear, time.Time{}
 	}
 }
 
-// Died takes the death of an endpoint with all that ran there, and returns the notices to
-// spread.
+// Died records the death of an endpoint and the requests that were running there, and returns
+// the notices to send to other owners.
 func (ledger *Ledger) Died(now time.Time, endpoint dogwoodfleet.EndpointID, batch []Run) []Notice {
 	notices := make([]Notice, 0, len(batch))
 	for _, run := range batch {
@@ -141,7 +146,7 @@
 	return notices
 }
 
-// Learn takes notices, its own or other owners'.
+// Learn applies notices of this owner or of others.
 func (ledger *Ledger) Learn(now time.Time, notices []Notice) {
 	for i := range notices {
 		notice := &notices[i]
@@ -155,8 +160,8 @@
 	}
 }
 
-// clear empties the record but keeps when, so that a strike from before that comes late
-// through another owner doesn't count.
+// clear removes the strikes and the conviction from a record but keeps the time, so that an
+// earlier strike whose notice arrives later has no effect.
 func (ledger *Ledger) clear(at time.Time, notice *Notice) {
 	found := ledger.records[notice.Digest]
 	if found == nil {
@@ -166,10 +171,10 @@
 		return
 	}
 	found.strikes = nil
-	found.convicted = time.Time{}
+	found.convictedUntil = time.Time{}
 	found.clearedAt = at
-	found.until = at.Add(StrikeKept)
-	found.trial = ""
+	found.expires = at.Add(StrikeKept)
+	found.permitHolder = ""
 }
 
 func (ledger *Ledger) strike(at, now time.Time, notice *Notice) {
@@ -180,18 +185,18 @@
 	if at.Before(found.clearedAt) {
 		return
 	}
-	again := slices.ContainsFunc(found.strikes, func(strike strike) bool { return strike.request == notice.Request })
-	twice := !again && len(found.strikes) > 0 && !ledger.Proven(notice.Digest) &&
+	alreadyCounted := slices.ContainsFunc(found.strikes, func(strike strike) bool { return strike.request == notice.Request })
+	secondEndpoint := !alreadyCounted && len(found.strikes) > 0 && !ledger.Proven(notice.Digest) &&
 		found.strikes[0].endpoint != notice.Endpoint
-	if !again && len(found.strikes) < 4 {
+	if !alreadyCounted && len(found.strikes) < 4 {
 		found.strikes = append(found.strikes, strike{request: notice.Request, endpoint: notice.Endpoint})
 	}
-	found.until = at.Add(StrikeKept)
-	if notice.Request == found.trial {
-		found.trial = ""
+	found.expires = at.Add(StrikeKept)
+	if notice.Request == found.permitHolder {
+		found.permitHolder = ""
 	}
-	if notice.Kind == Conviction || twice {
-		found.convicted = at.Add(ConvictionKept)
+	if notice.Kind == Conviction || secondEndpoint {
+		found.convictedUntil = at.Add(ConvictionKept)
 		found.convictedAt = at
 	}
 }
@@ -205,10 +210,11 @@
 	return added
 }
 
-// sweep drops what expired and, if that isn't enough, any one record.
+// sweep drops expired records and, if the ledger is still full, arbitrary ones until there is
+// space for one more.
 func (ledger *Ledger) sweep(now time.Time) {
 	for digest, record := range ledger.records {
-		if now.After(record.until) && now.After(record.convicted) {
+		if now.After(record.expires) && now.After(record.convictedUntil) {
 			delete(ledger.records, digest)
 		}
 	}
@@ -220,10 +226,10 @@
 	}
 }
 
-// Finished takes the good end of a run and returns the notices to spread: a suspect that
-// finished alone is cleared.
+// Finished records that a run finished and returns the notices to send to other owners. A
+// suspect that finished alone is cleared.
 func (ledger *Ledger) Finished(now time.Time, run Run) []Notice {
-	ledger.prove(run.Digest)
+	ledger.recordProven(run.Digest)
 	if !run.Alone {
 		return nil
 	}
@@ -232,14 +238,14 @@
 	return notices
 }
 
-// Lift clears a digest by an operator's word and returns the notice to spread.
+// Lift clears a digest at an operator's request and returns the notice to send to other owners.
 func (ledger *Ledger) Lift(now time.Time, digest dogwoodfleet.Digest) []Notice {
 	notices := []Notice{{Kind: Lift, Digest: digest}}
 	ledger.Learn(now, notices)
 	return notices
 }
 
-// Proven tells whether a request with the digest finished well not long ago.
+// Proven reports whether a request with the digest finished recently.
 func (ledger *Ledger) Proven(digest dogwoodfleet.Digest) bool {
 	for _, generation := range ledger.proven {
 		if _, ok := generation[digest]; ok {
@@ -249,40 +255,40 @@
 	return false
 }
 
-func (ledger *Ledger) prove(digest dogwoodfleet.Digest) {
-	if len(ledger.proven[0]) >= provenKept {
+func (ledger *Ledger) recordProven(digest dogwoodfleet.Digest) {
+	if len(ledger.proven[0]) >= maxProven {
 		ledger.proven[0], ledger.proven[1] = ledger.proven[1], ledger.proven[0]
 		clear(ledger.proven[0])
 	}
 	ledger.proven[0][digest] = struct{}{}
 }
 
-// Convict is a convicted digest as operators see it.
+// Convict is a convicted digest and the end of its conviction, as shown to operators.
 type Convict struct {
 	Digest dogwoodfleet.Digest
 	Until  time.Time
 }
 
-// Convictions lists what is convicted now.
+// Convictions returns the digests that are convicted now.
 func (ledger *Ledger) Convictions(now time.Time) []Convict {
-	var convicts []Convict
+	var convictions []Convict
 	for digest, record := range ledger.records {
-		if now.Before(record.convicted) {
-			convicts = append(convicts, Convict{Digest: digest, Until: record.convicted})
+		if now.Before(record.convictedUntil) {
+			convictions = append(convictions, Convict{Digest: digest, Until: record.convictedUntil})
 		}
 	}
-	return convicts
+	return convictions
 }
 
-// Notices returns all that a daemon that just started needs to know.
+// Notices returns the strikes and convictions in force, for a daemon that has just started.
 func (ledger *Ledger) Notices(now time.Time) []Notice {
 	var notices []Notice
 	for digest, record := range ledger.records {
-		kind, at := Strike, record.until.Add(-StrikeKept)
-		if now.Before(record.convicted) {
+		kind, at := Strike, record.expires.Add(-StrikeKept)
+		if now.Before(record.convictedUntil) {
 			kind, at = Conviction, record.convictedAt
 		}
-		if now.After(record.until) && kind == Strike {
+		if now.After(record.expires) && kind == Strike {
 			continue
 		}
 		for _, strike := range record.strikes {
--- a/core/decision/dogwoodsuspect/trial.go
+++ b/core/decision/dogwoodsuspect/trial.go
@@ -8,38 +8,40 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Trial asks the digest's home for leave to run a suspect, or to end that run.
+// Trial asks the owner returned by Home for a permit to run a suspect, or returns the permit.
 type Trial struct {
 	Digest  dogwoodfleet.Digest
 	Request dogwoodfleet.RequestID
-	// Lease is how long the leave lasts; it is asked for again to be renewed.
+	// Lease is the time for which the permit is valid. A further Trial of the same request
+	// renews it.
 	Lease time.Duration
-	// Ended is true when the run is over or never began.
+	// Ended is true if the run ended or was never started. It returns the permit.
 	Ended bool
 }
 
-// TrialAnswer is the home's word.
+// TrialAnswer is the answer to a Trial.
 type TrialAnswer struct {
 	Allowed bool
-	// Standing is the home's view; a convicted digest is never allowed.
+	// Standing is the standing in the answering owner's ledger. A convicted digest is never
+	// allowed.
 	Standing Standing
-	// Again is when to ask again if another run of the digest has leave now.
+	// Again is the time to wait before asking again if another request holds the permit.
 	Again time.Duration
 }
 
-// trialPoll is how soon the holder of a waiting suspect asks again. Runs of suspects take
-// tenths of seconds to seconds.
-const trialPoll = 200 * time.Millisecond
+// permitPollInterval is the time after which an owner asks again for a suspect that waits for
+// a permit. Runs of suspects take from tenths of a second to seconds.
+const permitPollInterval = 200 * time.Millisecond
 
-// Judge answers a trial at the digest's home: of all owners' runs of one suspect only one
-// goes at a time. Without it a caller that sends again through four entries at the same
-// moment kills four endpoints more.
+// Judge answers a Trial. It permits only one run of a suspect at a time across all owners.
+// Otherwise a caller that resends a crashing request through four entries at the same moment
+// would kill four more endpoints.
 func (ledger *Ledger) Judge(now time.Time, trial Trial) TrialAnswer {
 	standing, _ := ledger.Standing(now, trial.Digest)
 	found := ledger.records[trial.Digest]
 	if trial.Ended {
-		if found != nil && found.trial == trial.Request {
-			found.trial = ""
+		if found != nil && found.permitHolder == trial.Request {
+			found.permitHolder = ""
 		}
 		return TrialAnswer{Standing: standing}
 	}
@@ -47,29 +49,30 @@
 		return TrialAnswer{Standing: standing}
 	}
 	if found == nil {
-		// The asker knows of a strike that hasn't come here yet.
+		// The asking owner has a strike whose notice hasn't arrived here yet.
 		found = ledger.add(now, trial.Digest)
 	}
-	taken := found.trial != "" && found.trial != trial.Request && now.Before(found.trialUntil)
-	if taken {
-		return TrialAnswer{Standing: standing, Again: trialPoll}
+	held := found.permitHolder != "" && found.permitHolder != trial.Request && now.Before(found.permitExpires)
+	if held {
+		return TrialAnswer{Standing: standing, Again: permitPollInterval}
 	}
-	found.trial = trial.Request
-	found.trialUntil = now.Add(trial.Lease)
+	found.permitHolder = trial.Request
+	found.permitExpires = now.Add(trial.Lease)
 	return TrialAnswer{Allowed: true, Standing: standing}
 }
 
-// Home returns the index of the member that judges the digest's trials: the highest hash,
-// so that all agree and a change of members moves few. It returns -1 for no members.
+// Home returns the index of the member that grants the permits for a digest, or -1 if there
+// are no members. It selects the member with the highest hash (rendezvous hashing), so that
+// all owners select the same one and a change of members reassigns few digests.
 func Home(digest dogwoodfleet.Digest, members []dogwoodfleet.InstanceID) int {
-	best, highest := -1, uint64(0)
+	best, bestScore := -1, uint64(0)
 	for i, member := range members {
 		var hash xxhash.Digest
 		hash.Reset()
 		_, _ = hash.Write(digest[:])
 		_, _ = hash.WriteString(string(member))
-		if score := hash.Sum64(); best < 0 || score > highest {
-			best, highest = i, score
+		if score := hash.Sum64(); best < 0 || score > bestScore {
+			best, bestScore = i, score
 		}
 	}
 	return best
