--- a/core/decision/dogwoodadmission/flow.go
+++ b/core/decision/dogwoodadmission/flow.go
@@ -6,28 +6,28 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// account is a customer's standing in the whole queue.
+// account tracks one customer's waiting work in both bands.
 type account struct {
-	customer dogwoodfleet.Customer
-	weight   float64
-	cost     float64 // of all that waits
-	waiting  int
-	flows    [2]flow // short and long
-	position int     // in the queue's list of accounts with waiting work, or -1
+	customer    dogwoodfleet.Customer
+	weight      float64
+	cost        float64 // of all waiting work
+	waiting     int
+	flows       [2]flow // short and long
+	activeIndex int     // in Queue.active, or -1
 }
 
-// flow is a customer's waiting work in one band.
+// flow holds a customer's waiting work in one band.
 type flow struct {
-	account *account
-	tag     float64 // the virtual start time of its next work
-	heap    int     // its position in the band's heap, or -1
-	lists   [Classes]list
-	service [Classes]time.Duration // predicted service time of what waits
-	waiting int
+	account   *account
+	startTag  float64 // virtual start time of its next work
+	heapIndex int     // index in band.flows, or -1
+	lists     [Classes]list
+	service   [Classes]time.Duration // expected service time of the waiting work
+	waiting   int
 }
 
-// next returns the flow's work to serve next, that with the least rank.
-func (flow *flow) next() *Work {
+// leastRanked returns the flow's work with the lowest rank, which is served next.
+func (flow *flow) leastRanked() *Work {
 	var best *Work
 	for i := range flow.lists {
 		work := flow.lists[i].first
@@ -38,7 +38,7 @@
 	return best
 }
 
-// newest returns the flow's work that came last.
+// newest returns the flow's work that arrived last.
 func (flow *flow) newest() *Work {
 	var newest *Work
 	for i := range flow.lists {
@@ -50,9 +50,9 @@
 	return newest
 }
 
-// ahead is the expected service time of the flow's own work that goes before a newcomer
-// of that rank. Inside a class the ranks are taken as evenly spread.
-func (flow *flow) ahead(rank time.Time) time.Duration {
+// serviceAhead returns the expected service time of the flow's waiting work that goes before
+// new work of the given rank. It assumes that ranks within a class are evenly spread.
+func (flow *flow) serviceAhead(rank time.Time) time.Duration {
 	var sum time.Duration
 	for i := range flow.lists {
 		list := &flow.lists[i]
@@ -68,24 +68,24 @@
 	return sum
 }
 
-// band is one fair queue over customers: start-time fair queueing. Of all flows with
-// waiting work the one with the smallest start tag is next; serving work moves its tag on
-// by cost over weight. A flow that was idle starts at the band's virtual time, so that it
-// neither saves up service nor owes any.
+// band is a start-time fair queue over customers. The flow with the smallest start tag is
+// served next, and serving work advances its tag by cost divided by weight. A flow that was
+// idle starts at the band's virtual time or later, so that it accumulates no credit.
 type band struct {
-	flows   []*flow // a heap by tag
-	virtual float64
-	weight  float64 // sum over flows
-	service time.Duration
-	// served is the cost served over the band's share; the band behind goes first.
-	served float64
-	share  float64
+	flows       []*flow // a heap by tag
+	virtualTime float64
+	weight      float64 // sum over flows
+	service     time.Duration
+	// servedPerShare is the served cost divided by the band's share. The band with the
+	// lower value is served first.
+	servedPerShare float64
+	share          float64
 }
 
 func (band *band) push(flow *flow) {
-	flow.heap = len(band.flows)
+	flow.heapIndex = len(band.flows)
 	band.flows = append(band.flows, flow)
-	band.up(flow.heap)
+	band.up(flow.heapIndex)
 }
 
 func (band *band) removeAt(index int) {
@@ -94,7 +94,7 @@
 	band.swap(index, last)
 	band.flows[last] = nil
 	band.flows = band.flows[:last]
-	removed.heap = -1
+	removed.heapIndex = -1
 	if index < last {
 		band.fix(index)
 	}
@@ -109,7 +109,7 @@
 func (band *band) up(index int) {
 	for index > 0 {
 		parent := (index - 1) / 2
-		if band.flows[parent].tag <= band.flows[index].tag {
+		if band.flows[parent].startTag <= band.flows[index].startTag {
 			return
 		}
 		band.swap(parent, index)
@@ -124,10 +124,10 @@
 		if child >= len(band.flows) {
 			break
 		}
-		if right := child + 1; right < len(band.flows) && band.flows[right].tag < band.flows[child].tag {
+		if right := child + 1; right < len(band.flows) && band.flows[right].startTag < band.flows[child].startTag {
 			child = right
 		}
-		if band.flows[index].tag <= band.flows[child].tag {
+		if band.flows[index].startTag <= band.flows[child].startTag {
 			break
 		}
 		band.swap(index, child)
@@ -136,8 +136,8 @@
 	return index > start
 }
 
-func (band *band) swap(one, other int) {
-	band.flows[one], band.flows[other] = band.flows[other], band.flows[one]
-	band.flows[one].heap = one
-	band.flows[other].heap = other
+func (band *band) swap(i, j int) {
+	band.flows[i], band.flows[j] = band.flows[j], band.flows[i]
+	band.flows[i].heapIndex = i
+	band.flows[j].heapIndex = j
 }
--- a/core/decision/dogwoodadmission/queue.go
+++ b/core/decision/dogwoodadmission/queue.go
@@ -7,28 +7,28 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Capacity is what the queue's endpoints can do now.
+// Capacity is the number of requests that the queue's endpoints can run at once.
 type Capacity struct {
-	// Slots is the sum of the endpoints' limits; LongSlots is how many of them long
-	// prompts may take.
+	// Slots is the sum of the endpoints' limits. LongSlots is how many of them long prompts
+	// may occupy.
 	Slots, LongSlots int
 }
 
-// Verdict is the answer to an offer.
+// Verdict is the result of Queue.Offer.
 type Verdict struct {
 	Admitted bool
-	// Reason says why not.
+	// Reason is why the work was rejected.
 	Reason dogwoodfleet.Reason
-	// RetryAfter is when the work would probably be admitted.
+	// RetryAfter is the delay after which the work would probably be admitted.
 	RetryAfter time.Duration
 	// Wait is the predicted wait.
 	Wait time.Duration
-	// Shed is other waiting work that lost its place to this; the caller refuses it.
+	// Shed is the waiting work removed to make room, or nil. The caller rejects it.
 	Shed *Work
 }
 
-// Queue holds the waiting work for a set of endpoints that can do the same. It is not
-// safe for concurrent use.
+// Queue holds the waiting work for a set of interchangeable endpoints. It is not safe for
+// concurrent use.
 type Queue struct {
 	rates    *Rates
 	weight   func(dogwoodfleet.Customer) float64
@@ -38,12 +38,12 @@
 	waiting  int
 	limit    int
 	cost     float64
-	// correction is the moving mean of actual over predicted waits.
+	// correction is the moving mean of the ratio of actual to predicted waits.
 	correction float64
 }
 
-// NewQueue returns an empty queue for at most limit waiting requests. The function gives
-// a customer's weight; a weight that isn't positive counts as 1.
+// NewQueue returns an empty queue for at most limit waiting requests. The weight function
+// returns a customer's weight; a weight that isn't positive counts as 1.
 func NewQueue(rates *Rates, limit int, weight func(dogwoodfleet.Customer) float64) *Queue {
 	return &Queue{
 		rates: rates, weight: weight, limit: limit, correction: 1,
@@ -52,37 +52,37 @@
 	}
 }
 
-// Len returns how many requests wait.
+// Len returns the number of waiting requests.
 func (queue *Queue) Len() int {
 	return queue.waiting
 }
 
-// Predict returns how long work would wait if it came now: its customer's own work that
-// goes first, at the customer's share of the slots, but never longer than all that waits
-// takes at all slots.
+// Predict returns how long work would wait if it arrived now: the time that the customer's
+// work ahead of it takes at the customer's share of the slots, bounded by the time that all
+// waiting work takes on all slots.
 func (queue *Queue) Predict(work *Work, capacity Capacity) time.Duration {
-	queue.measure(work)
-	return queue.corrected(queue.predict(queue.accounts[work.Customer], work, capacity))
+	queue.estimateWork(work)
+	return queue.correctedWait(queue.predictWait(queue.accounts[work.Customer], work, capacity))
 }
 
-// Backlog returns how long the short work that waits takes at all slots.
+// Backlog returns how long the waiting short work takes on all slots.
 func (queue *Queue) Backlog(capacity Capacity) time.Duration {
-	return queue.corrected(queue.bands[0].service / time.Duration(max(capacity.Slots, 1)))
+	return queue.correctedWait(queue.bands[0].service / time.Duration(max(capacity.Slots, 1)))
 }
 
-// measure works out what is predicted of the work itself.
-func (queue *Queue) measure(work *Work) {
+// estimateWork sets the work's class, cost, service times and rank.
+func (queue *Queue) estimateWork(work *Work) {
 	work.class = ClassOf(work.PromptTokens)
 	work.cost = Cost(work.PromptTokens, queue.rates.Output(work.PromptTokens, work.MaxTokens))
 	work.expected, work.service = queue.rates.Predict(work.PromptTokens, work.MaxTokens)
-	work.rank = work.rankOf()
+	work.rank = work.computeRank()
 }
 
-func (queue *Queue) corrected(wait time.Duration) time.Duration {
+func (queue *Queue) correctedWait(wait time.Duration) time.Duration {
 	return time.Duration(float64(wait) * queue.correction)
 }
 
-func (queue *Queue) predict(account *account, work *Work, capacity Capacity) time.Duration {
+func (queue *Queue) predictWait(account *account, work *Work, capacity Capacity) time.Duration {
 	index := bandOf(work.class)
 	band := &queue.bands[index]
 	if band.service == 0 {
@@ -97,7 +97,7 @@
 	weights, ahead, weight := band.weight, time.Duration(0), 0.0
 	if account != nil {
 		weight = account.weight
-		ahead = account.flows[index].ahead(work.rank)
+		ahead = account.flows[index].serviceAhead(work.rank)
 	}
 	if account == nil || account.flows[index].waiting == 0 {
 		weight = queue.weightOf(work.Customer)
@@ -107,29 +107,29 @@
 	return time.Duration(before / max(slots, 1))
 }
 
-// Offer takes work into the queue or refuses it.
+// Offer admits work to the queue or rejects it.
 func (queue *Queue) Offer(now time.Time, work *Work, capacity Capacity) Verdict {
-	queue.measure(work)
+	queue.estimateWork(work)
 	account := queue.account(work.Customer)
-	work.predicted = queue.predict(account, work, capacity)
-	wait := queue.corrected(work.predicted)
+	work.predicted = queue.predictWait(account, work, capacity)
+	wait := queue.correctedWait(work.predicted)
 	if late := now.Add(time.Duration(WaitMargin * float64(wait))).Add(work.service).Sub(work.Deadline); late > 0 {
 		return Verdict{Reason: dogwoodfleet.ReasonDeadline, RetryAfter: RetryAfter(late), Wait: wait}
 	}
 	verdict := Verdict{Admitted: true, Wait: wait}
 	if queue.waiting >= queue.limit {
-		victim := queue.furthestOver(account, work.cost)
-		if victim == account {
+		shedFrom := queue.mostOverShare(account, work.cost)
+		if shedFrom == account {
 			return Verdict{Reason: dogwoodfleet.ReasonShare, RetryAfter: RetryAfter(wait), Wait: wait}
 		}
-		verdict.Shed = victim.newest()
+		verdict.Shed = shedFrom.newest()
 		queue.Remove(verdict.Shed)
 	}
 	queue.insert(account, work)
 	return verdict
 }
 
-// RetryAfter bounds a predicted delay to what a caller is told.
+// RetryAfter clamps a predicted delay to the range from MinRetryAfter to MaxRetryAfter.
 func RetryAfter(delay time.Duration) time.Duration {
 	return min(max(delay, MinRetryAfter), MaxRetryAfter)
 }
@@ -142,17 +142,17 @@
 	return short
 }
 
-// furthestOver returns the account with the most waiting cost for its weight, the
-// newcomer's cost counted. If the newcomer's account is under its share another one is
-// over, so the newcomer is never the one that loses.
-func (queue *Queue) furthestOver(newcomer *account, cost float64) *account {
-	furthest, most := newcomer, (newcomer.cost+cost)/newcomer.weight
+// mostOverShare returns the account with the highest waiting cost per weight, with the cost
+// of the arriving work added to its account. If the arriving work's account is below its
+// share, another account is above its own, so the arriving work isn't rejected.
+func (queue *Queue) mostOverShare(arriving *account, cost float64) *account {
+	highest, highestCost := arriving, (arriving.cost+cost)/arriving.weight
 	for _, account := range queue.active {
-		if over := account.cost / account.weight; over > most && account != newcomer {
-			furthest, most = account, over
+		if costPerWeight := account.cost / account.weight; costPerWeight > highestCost && account != arriving {
+			highest, highestCost = account, costPerWeight
 		}
 	}
-	return furthest
+	return highest
 }
 
 func bandOf(class Class) int {
@@ -170,16 +170,16 @@
 }
 
 func (queue *Queue) account(customer dogwoodfleet.Customer) *account {
-	if known := queue.accounts[customer]; known != nil {
-		if known.waiting == 0 {
-			known.weight = queue.weightOf(customer)
+	if existing := queue.accounts[customer]; existing != nil {
+		if existing.waiting == 0 {
+			existing.weight = queue.weightOf(customer)
 		}
-		return known
+		return existing
 	}
-	added := &account{customer: customer, weight: queue.weightOf(customer), position: -1}
+	added := &account{customer: customer, weight: queue.weightOf(customer), activeIndex: -1}
 	for i := range added.flows {
 		added.flows[i].account = added
-		added.flows[i].heap = -1
+		added.flows[i].heapIndex = -1
 	}
 	queue.accounts[customer] = added
 	return added
@@ -189,10 +189,10 @@
 	index := bandOf(work.class)
 	band, flow := &queue.bands[index], &account.flows[index]
 	if flow.waiting == 0 {
-		flow.tag = max(flow.tag, band.virtual)
+		flow.startTag = max(flow.startTag, band.virtualTime)
 		if len(band.flows) == 0 {
-			// A band that was idle starts level with the other: it saved up nothing.
-			band.served = max(band.served, queue.bands[1-index].served)
+			// A band that was idle catches up with the other, so that it has no credit.
+			band.servedPerShare = max(band.servedPerShare, queue.bands[1-index].servedPerShare)
 		}
 		band.push(flow)
 		band.weight += account.weight
@@ -204,15 +204,15 @@
 	band.service += work.expected
 	account.cost += work.cost
 	account.waiting++
-	if account.position < 0 {
-		account.position = len(queue.active)
+	if account.activeIndex < 0 {
+		account.activeIndex = len(queue.active)
 		queue.active = append(queue.active, account)
 	}
 	queue.cost += work.cost
 	queue.waiting++
 }
 
-// Remove takes work out, because it was withdrawn. Work that doesn't wait is left alone.
+// Remove removes withdrawn work from the queue. It ignores work that isn't waiting.
 func (queue *Queue) Remove(work *Work) {
 	flow := work.flow
 	if flow == nil {
@@ -230,7 +230,7 @@
 	queue.cost -= work.cost
 	queue.waiting--
 	if flow.waiting == 0 {
-		band.removeAt(flow.heap)
+		band.removeAt(flow.heapIndex)
 		band.weight -= account.weight
 		if len(band.flows) == 0 {
 			band.weight, band.service = 0, 0
@@ -239,24 +239,24 @@
 	if account.waiting == 0 {
 		account.cost = 0
 		last := len(queue.active) - 1
-		queue.active[account.position] = queue.active[last]
-		queue.active[account.position].position = account.position
+		queue.active[account.activeIndex] = queue.active[last]
+		queue.active[account.activeIndex].activeIndex = account.activeIndex
 		queue.active[last] = nil
 		queue.active = queue.active[:last]
-		account.position = -1
+		account.activeIndex = -1
 	}
 }
 
-// maxTries bounds how many customers' next work is tried when the first doesn't fit
-// anywhere now: a few odd ones at the front, such as retries that avoid the only free
-// endpoint, don't hold up the rest, and a full fleet costs no scan of all.
-const maxTries = 8
+// maxFlowsTried bounds how many customers are tried when the first one's work fits no
+// endpoint. A few requests at the front, such as retries that avoid the only free endpoint,
+// then don't block the rest, and a full fleet doesn't cause a scan of all customers.
+const maxFlowsTried = 8
 
-// Next returns the work to grant now among what fits, or nil. It doesn't remove it: the
-// caller calls Take once it has granted it, or Remove if it refuses it.
+// Next returns the next work to grant for which fits returns true, or nil. The work stays in
+// the queue: the caller calls Take once it has granted it, or Remove if it rejects it.
 func (queue *Queue) Next(fits func(*Work) bool) *Work {
 	first := 0
-	if queue.bands[1].served < queue.bands[0].served || len(queue.bands[0].flows) == 0 {
+	if queue.bands[1].servedPerShare < queue.bands[0].servedPerShare || len(queue.bands[0].flows) == 0 {
 		first = 1
 	}
 	if work := queue.bands[first].nextWork(fits); work != nil {
@@ -265,16 +265,16 @@
 	return queue.bands[1-first].nextWork(fits)
 }
 
-// NextLong returns the long work that is next by share and deadline, whether it fits
-// anywhere now or not, or nil.
+// NextLong returns the long work that is next by share and rank, or nil. It doesn't check
+// whether an endpoint has room for it.
 func (queue *Queue) NextLong() *Work {
 	if flows := queue.bands[1].flows; len(flows) > 0 {
-		return flows[0].next()
+		return flows[0].leastRanked()
 	}
 	return nil
 }
 
-// All returns the waiting work in no stated order.
+// All returns the waiting work in unspecified order.
 func (queue *Queue) All() []*Work {
 	all := make([]*Work, 0, queue.waiting)
 	for _, account := range queue.active {
@@ -289,97 +289,100 @@
 	return all
 }
 
-// nextWork tries flows in the heap's order, which is nearly that of the tags after the first.
+// nextWork returns the first work that fits, or nil. It tries flows in heap order; after the
+// first flow this is only roughly the order of the start tags.
 func (band *band) nextWork(fits func(*Work) bool) *Work {
-	for i := range min(len(band.flows), maxTries) {
+	for i := range min(len(band.flows), maxFlowsTried) {
 		flow := band.flows[i]
-		work := flow.next()
+		work := flow.leastRanked()
 		if fits(work) {
 			return work
 		}
 		for class := range flow.lists {
-			other := flow.lists[class].first
-			if other != nil && other != work && fits(other) {
-				return other
+			candidate := flow.lists[class].first
+			if candidate != nil && candidate != work && fits(candidate) {
+				return candidate
 			}
 		}
 	}
 	return nil
 }
 
-// Take removes work that was granted and charges its customer and its band.
+// Take removes granted work from the queue and charges its cost to its customer and band.
 func (queue *Queue) Take(now time.Time, work *Work) {
 	flow := work.flow
 	band := &queue.bands[bandOf(work.class)]
-	band.virtual = max(band.virtual, flow.tag)
-	flow.tag += work.cost / flow.account.weight
-	band.served += work.cost / band.share
-	if flow.heap >= 0 {
-		band.fix(flow.heap)
+	band.virtualTime = max(band.virtualTime, flow.startTag)
+	flow.startTag += work.cost / flow.account.weight
+	band.servedPerShare += work.cost / band.share
+	if flow.heapIndex >= 0 {
+		band.fix(flow.heapIndex)
 	}
 	queue.Remove(work)
-	queue.learnWait(now.Sub(work.Arrived), work.predicted)
-	if band.virtual > rebaseAt {
+	queue.updateCorrection(now.Sub(work.Arrived), work.predicted)
+	if band.virtualTime > rebaseThreshold {
 		queue.rebase()
 	}
 }
 
 const (
-	// leastLearnt is the shortest predicted wait that teaches the correction: shorter ones
-	// are a request or two, whose rounding says nothing of the queue.
-	leastLearnt = 200 * time.Millisecond
-	// correctionLearning is small, since each wait tells of a prediction a whole wait ago: a
-	// faster loop swings between too many and too few admitted.
-	correctionLearning = 1.0 / 128
-	// mostCorrection bounds it both ways.
-	mostCorrection = 2
+	// minLearnedWait is the shortest predicted wait that updates the correction. Shorter
+	// ones stand for a request or two, where rounding dominates.
+	minLearnedWait = 200 * time.Millisecond
+	// correctionGain is the weight of a new observation. It is small because a wait is
+	// observed a whole wait after its prediction: with a higher gain the number of admitted
+	// requests oscillates.
+	correctionGain = 1.0 / 128
+	// maxCorrection bounds the observed ratio, and its inverse.
+	maxCorrection = 2
 )
 
-// learnWait corrects predictions by what waits really were. It compares with the uncorrected
-// prediction: with the corrected one the loop would chase its own past corrections.
-func (queue *Queue) learnWait(actual, predicted time.Duration) {
-	if predicted < leastLearnt {
+// updateCorrection updates the correction from an actual wait and its uncorrected prediction.
+// Comparing with the corrected prediction would feed past corrections back into the loop.
+func (queue *Queue) updateCorrection(actual, predicted time.Duration) {
+	if predicted < minLearnedWait {
 		return
 	}
 	ratio := float64(actual) / float64(predicted)
-	ratio = min(max(ratio, 1.0/mostCorrection), mostCorrection)
-	queue.correction += correctionLearning * (ratio - queue.correction)
+	ratio = min(max(ratio, 1.0/maxCorrection), maxCorrection)
+	queue.correction += correctionGain * (ratio - queue.correction)
 }
 
-// GiveUp removes work that waited until it was too late, and learns from it: if only what
-// was served taught the correction, a queue that grew too long would look short.
+// GiveUp removes work that can no longer meet its deadline and updates the correction with
+// its wait. If only served work updated it, the wait in an overlong queue would be
+// underestimated.
 func (queue *Queue) GiveUp(now time.Time, work *Work) {
 	if work.flow == nil {
 		return
 	}
 	queue.Remove(work)
-	queue.learnWait(now.Sub(work.Arrived), work.predicted)
+	queue.updateCorrection(now.Sub(work.Arrived), work.predicted)
 }
 
-// rebaseAt keeps the virtual times where a float64 still counts single tokens.
-const rebaseAt = 1 << 50
+// rebaseThreshold keeps virtual times in the range where a float64 resolves single tokens.
+const rebaseThreshold = 1 << 50
 
-// rebase sets virtual times back and forgets customers without waiting work or debt.
+// rebase shifts the virtual times back towards zero and drops idle customers.
 func (queue *Queue) rebase() {
 	for i := range queue.bands {
 		band := &queue.bands[i]
 		for _, account := range queue.accounts {
-			account.flows[i].tag = max(0, account.flows[i].tag-band.virtual)
+			account.flows[i].startTag = max(0, account.flows[i].startTag-band.virtualTime)
 		}
-		band.virtual = 0
+		band.virtualTime = 0
 	}
-	least := math.Min(queue.bands[0].served, queue.bands[1].served)
-	queue.bands[0].served -= least
-	queue.bands[1].served -= least
+	lowest := math.Min(queue.bands[0].servedPerShare, queue.bands[1].servedPerShare)
+	queue.bands[0].servedPerShare -= lowest
+	queue.bands[1].servedPerShare -= lowest
 	queue.Forget()
 }
 
-// Forget drops customers that have no waiting work and owe nothing, so that customers
-// that left for good hold no memory. It is to be called now and then.
+// Forget drops customers that have no waiting work and whose start tags aren't ahead of the
+// virtual time, so that customers that never return hold no memory. Call it periodically.
 func (queue *Queue) Forget() {
 	for customer, account := range queue.accounts {
 		idle := account.waiting == 0 &&
-			account.flows[0].tag <= queue.bands[0].virtual && account.flows[1].tag <= queue.bands[1].virtual
+			account.flows[0].startTag <= queue.bands[0].virtualTime && account.flows[1].startTag <= queue.bands[1].virtualTime
 		if idle {
 			delete(queue.accounts, customer)
 		}
--- a/core/decision/dogwoodadmission/queue_test.go
+++ b/core/decision/dogwoodadmission/queue_test.go
@@ -11,12 +11,13 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func evenly(dogwoodfleet.Customer) float64 { return 1 }
+func equalWeights(dogwoodfleet.Customer) float64 { return 1 }
 
-func always(*Work) bool { return true }
+func alwaysFits(*Work) bool { return true }
 
-// taught returns rates by which a short request of 50 output tokens takes a quarter second.
-func taught() *Rates {
+// trainedRates returns rates that predict a quarter of a second for a short request with 50
+// output tokens.
+func trainedRates() *Rates {
 	rates := &Rates{}
 	for range 50 {
 		rates.Observe(Sample{PromptTokens: 1000, OutputTokens: 50, MaxTokens: 50, FirstToken: 10 * time.Millisecond, Took: 260 * time.Millisecond})
@@ -25,18 +26,18 @@
 	return rates
 }
 
-func workOf(customer string, prompt int, at time.Time, budget time.Duration) *Work {
-	return &Work{Customer: dogwoodfleet.Customer(customer), PromptTokens: prompt, MaxTokens: 50, Arrived: at, Deadline: at.Add(budget)}
+func newWork(customer string, promptTokens int, arrived time.Time, budget time.Duration) *Work {
+	return &Work{Customer: dogwoodfleet.Customer(customer), PromptTokens: promptTokens, MaxTokens: 50, Arrived: arrived, Deadline: arrived.Add(budget)}
 }
 
-// serve takes count works and returns how many of each customer.
-func serve(t *testing.T, queue *Queue, count int) map[dogwoodfleet.Customer]int {
+// takeWork takes count pieces of work and returns how many each customer had.
+func takeWork(t *testing.T, queue *Queue, count int) map[dogwoodfleet.Customer]int {
 	t.Helper()
 	served := map[dogwoodfleet.Customer]int{}
 	for range count {
-		work := queue.Next(always)
+		work := queue.Next(alwaysFits)
 		if work == nil {
-			t.Fatal("got no work, want some")
+			t.Fatal("got no work, want waiting work")
 		}
 		queue.Take(start, work)
 		served[work.Customer]++
@@ -55,14 +56,14 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			queue := NewQueue(taught(), 1000, func(customer dogwoodfleet.Customer) float64 { return test.weights[customer] })
+			queue := NewQueue(trainedRates(), 1000, func(customer dogwoodfleet.Customer) float64 { return test.weights[customer] })
 			for i := range 400 {
-				queue.Offer(start, workOf("hot", 1000, start.Add(time.Duration(i)), time.Hour), Capacity{Slots: 10, LongSlots: 2})
+				queue.Offer(start, newWork("hot", 1000, start.Add(time.Duration(i)), time.Hour), Capacity{Slots: 10, LongSlots: 2})
 			}
 			for i := range 40 {
-				queue.Offer(start, workOf("quiet", 1000, start.Add(time.Duration(i)), time.Hour), Capacity{Slots: 10, LongSlots: 2})
+				queue.Offer(start, newWork("quiet", 1000, start.Add(time.Duration(i)), time.Hour), Capacity{Slots: 10, LongSlots: 2})
 			}
-			got := serve(t, queue, 40)
+			got := takeWork(t, queue, 40)
 			for customer, want := range test.want {
 				if got[customer] < want-1 || got[customer] > want+1 {
 					t.Errorf("%s: got %d of 40, want %d", customer, got[customer], want)
@@ -73,37 +74,37 @@
 }
 
 func TestIdleCustomersLeaveTheirShareToOthers(t *testing.T) {
-	queue := NewQueue(taught(), 1000, evenly)
-	queue.Offer(start, workOf("gone", 1000, start, time.Hour), Capacity{Slots: 1})
-	serve(t, queue, 1)
+	queue := NewQueue(trainedRates(), 1000, equalWeights)
+	queue.Offer(start, newWork("gone", 1000, start, time.Hour), Capacity{Slots: 1})
+	takeWork(t, queue, 1)
 	for i := range 100 {
-		queue.Offer(start, workOf("here", 1000, start.Add(time.Duration(i)), time.Hour), Capacity{Slots: 1})
+		queue.Offer(start, newWork("here", 1000, start.Add(time.Duration(i)), time.Hour), Capacity{Slots: 1})
 	}
-	if got, want := serve(t, queue, 100)["here"], 100; got != want {
+	if got, want := takeWork(t, queue, 100)["here"], 100; got != want {
 		t.Errorf("got %d, want %d", got, want)
 	}
 }
 
-// A queue is full of one customer's work when another's first request comes. Refusing the
-// newcomer would make the hot customer's flood everyone's outage.
-func TestFullQueueShedsTheCustomerFurthestOver(t *testing.T) {
-	queue := NewQueue(taught(), 100, evenly)
+// The queue is full of one customer's work when another customer sends its first request.
+// Rejecting it would let one customer's flood block all others.
+func TestFullQueueShedsCustomerMostOverShare(t *testing.T) {
+	queue := NewQueue(trainedRates(), 100, equalWeights)
 	for i := range 100 {
-		queue.Offer(start, workOf("hot", 1000, start.Add(time.Duration(i)), time.Hour), Capacity{Slots: 1000})
+		queue.Offer(start, newWork("hot", 1000, start.Add(time.Duration(i)), time.Hour), Capacity{Slots: 1000})
 	}
-	verdict := queue.Offer(start, workOf("quiet", 1000, start, time.Hour), Capacity{Slots: 1000})
+	verdict := queue.Offer(start, newWork("quiet", 1000, start, time.Hour), Capacity{Slots: 1000})
 	if !verdict.Admitted || verdict.Shed == nil || verdict.Shed.Customer != "hot" || !verdict.Shed.Arrived.Equal(start.Add(99)) {
 		t.Errorf("got %+v, want it admitted and the newest of hot shed", verdict)
 	}
-	verdict = queue.Offer(start, workOf("hot", 1000, start, time.Hour), Capacity{Slots: 1000})
+	verdict = queue.Offer(start, newWork("hot", 1000, start, time.Hour), Capacity{Slots: 1000})
 	if verdict.Admitted || verdict.Reason != dogwoodfleet.ReasonShare || verdict.RetryAfter <= 0 {
-		t.Errorf("got %+v, want a refusal by share with a time to retry", verdict)
+		t.Errorf("got %+v, want a rejection by share with a retry delay", verdict)
 	}
 }
 
-// Work that can't finish by its deadline comes to a queue of known length. Served anyway
-// it would end late and cost another its slot.
-func TestRefusesWhatCannotFinish(t *testing.T) {
+// Work that can't finish by its deadline arrives at a queue of known length. If admitted, it
+// would finish late and take a slot from other work.
+func TestRejectsWorkThatCannotFinish(t *testing.T) {
 	tests := []struct {
 		name    string
 		waiting int
@@ -111,18 +112,18 @@
 		want    bool
 	}{
 		{name: "empty queue", waiting: 0, budget: time.Second, want: true},
-		{name: "shorter than its own run", waiting: 0, budget: 100 * time.Millisecond, want: false},
-		{name: "queue of 2.6 s before 10 s", waiting: 100, budget: 10 * time.Second, want: true},
-		{name: "queue of 2.6 s before 2 s", waiting: 100, budget: 2 * time.Second, want: false},
+		{name: "budget shorter than the service time", waiting: 0, budget: 100 * time.Millisecond, want: false},
+		{name: "queue of 2.6 s, budget of 10 s", waiting: 100, budget: 10 * time.Second, want: true},
+		{name: "queue of 2.6 s, budget of 2 s", waiting: 100, budget: 2 * time.Second, want: false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			queue := NewQueue(taught(), 1000, evenly)
+			queue := NewQueue(trainedRates(), 1000, equalWeights)
 			capacity := Capacity{Slots: 10, LongSlots: 2}
 			for i := range test.waiting {
-				queue.Offer(start, workOf("one", 1000, start.Add(time.Duration(i)-time.Second), time.Hour), capacity)
+				queue.Offer(start, newWork("one", 1000, start.Add(time.Duration(i)-time.Second), time.Hour), capacity)
 			}
-			verdict := queue.Offer(start, workOf("one", 1000, start, test.budget), capacity)
+			verdict := queue.Offer(start, newWork("one", 1000, start, test.budget), capacity)
 			if got := verdict.Admitted; got != test.want {
 				t.Errorf("got %v (predicted %v), want %v", got, verdict.Wait, test.want)
 			}
@@ -130,19 +131,19 @@
 	}
 }
 
-// Long prompts wait while short ones of many customers keep coming. By share of the cost
-// they get theirs; and when only they wait they get all.
-func TestLongWorkGetsItsLeastShare(t *testing.T) {
-	queue := NewQueue(taught(), 100_000, evenly)
+// Long prompts wait while short prompts of several customers fill the queue. The long ones
+// must get their minimum share of the served cost.
+func TestLongWorkGetsMinimumShare(t *testing.T) {
+	queue := NewQueue(trainedRates(), 100_000, equalWeights)
 	for i := range 20_000 {
-		queue.Offer(start, workOf(fmt.Sprint("short-", i%5), 1000, start.Add(time.Duration(i)), time.Hour), Capacity{Slots: 100_000, LongSlots: 1000})
+		queue.Offer(start, newWork(fmt.Sprint("short-", i%5), 1000, start.Add(time.Duration(i)), time.Hour), Capacity{Slots: 100_000, LongSlots: 1000})
 	}
 	for i := range 40 {
-		queue.Offer(start, workOf("long", 200_000, start.Add(time.Duration(i)), time.Hour), Capacity{Slots: 100_000, LongSlots: 1000})
+		queue.Offer(start, newWork("long", 200_000, start.Add(time.Duration(i)), time.Hour), Capacity{Slots: 100_000, LongSlots: 1000})
 	}
 	var short, long float64
 	for range 10_000 {
-		work := queue.Next(always)
+		work := queue.Next(alwaysFits)
 		queue.Take(start, work)
 		if work.Long() {
 			long += work.cost
@@ -155,24 +156,24 @@
 	}
 }
 
-// TestQueueKeepsItsBooks drives a queue at random and checks that nothing is lost, served
-// twice or left counted.
-func TestQueueKeepsItsBooks(t *testing.T) {
+// TestQueueAccounting runs random operations on a queue and checks that no work is lost or
+// served twice and that no customer stays counted after its work is gone.
+func TestQueueAccounting(t *testing.T) {
 	seed := uint64(11)
 	random := rand.New(rand.NewPCG(seed, seed))
-	queue := NewQueue(taught(), 50, evenly)
+	queue := NewQueue(trainedRates(), 50, equalWeights)
 	waiting := map[*Work]bool{}
 	for step := range 20_000 {
 		switch random.IntN(3) {
 		case 0:
-			work := workOf(fmt.Sprint(random.IntN(9)), 1+random.IntN(300_000), start.Add(time.Duration(step)), time.Duration(random.IntN(100))*time.Second)
+			work := newWork(fmt.Sprint(random.IntN(9)), 1+random.IntN(300_000), start.Add(time.Duration(step)), time.Duration(random.IntN(100))*time.Second)
 			verdict := queue.Offer(start, work, Capacity{Slots: 20, LongSlots: 4})
 			waiting[work] = verdict.Admitted
 			delete(waiting, verdict.Shed)
 		case 1:
-			if work := queue.Next(always); work != nil {
+			if work := queue.Next(alwaysFits); work != nil {
 				if !waiting[work] {
-					t.Fatalf("seed %d step %d: got work that doesn't wait", seed, step)
+					t.Fatalf("seed %d step %d: got work that isn't waiting", seed, step)
 				}
 				queue.Take(start, work)
 				delete(waiting, work)
@@ -202,18 +203,18 @@
 		queue.Remove(work)
 	}
 	if len(queue.active) != 0 || len(queue.bands[0].flows) != 0 || len(queue.bands[1].flows) != 0 {
-		t.Errorf("seed %d: customers left counted: %d", seed, len(queue.active))
+		t.Errorf("seed %d: %d customers still counted in an empty queue", seed, len(queue.active))
 	}
 }
 
-// BenchmarkDecision is one arrival and one service in a queue of a steady length, the
-// whole of what a request costs here.
+// BenchmarkDecision measures one arrival and one service in a queue of constant length, the
+// full cost of a request in this package.
 func BenchmarkDecision(b *testing.B) {
 	for _, customers := range []int{10, 300, 2700} {
 		for _, length := range []int{16, 512, 4095} {
 			b.Run(fmt.Sprintf("customers=%d/waiting=%d", customers, length), func(b *testing.B) {
 				random := rand.New(rand.NewPCG(1, 1))
-				queue := NewQueue(taught(), MaxWaiting, evenly)
+				queue := NewQueue(trainedRates(), MaxWaiting, equalWeights)
 				names := make([]string, customers)
 				for i := range names {
 					names[i] = fmt.Sprint("customer-", i)
@@ -221,10 +222,10 @@
 				works := make([]*Work, length)
 				capacity := Capacity{Slots: 192, LongSlots: 48}
 				for i := range works {
-					works[i] = workOf(names[random.IntN(customers)], 500+random.IntN(3000), start, time.Hour)
+					works[i] = newWork(names[random.IntN(customers)], 500+random.IntN(3000), start, time.Hour)
 					queue.Offer(start, works[i], capacity)
 				}
-				spare := workOf("", 1000, start, time.Hour)
+				spare := newWork("", 1000, start, time.Hour)
 				for _, name := range names {
 					queue.account(dogwoodfleet.Customer(name))
 				}
@@ -235,7 +236,7 @@
 					spare.Arrived = start.Add(time.Duration(i))
 					spare.Deadline = spare.Arrived.Add(time.Hour)
 					queue.Offer(start, spare, capacity)
-					spare = queue.Next(always)
+					spare = queue.Next(alwaysFits)
 					queue.Take(start, spare)
 				}
 			})
@@ -243,17 +244,17 @@
 	}
 }
 
-// BenchmarkFullQueue is an arrival that finds the queue full: the customer furthest over
-// its share is looked for.
+// BenchmarkFullQueue measures an arrival at a full queue, which searches for the customer
+// furthest above its share.
 func BenchmarkFullQueue(b *testing.B) {
 	for _, customers := range []int{10, 300, 2700} {
 		b.Run(fmt.Sprintf("customers=%d", customers), func(b *testing.B) {
-			queue := NewQueue(taught(), MaxWaiting, evenly)
+			queue := NewQueue(trainedRates(), MaxWaiting, equalWeights)
 			capacity := Capacity{Slots: 1 << 20, LongSlots: 1 << 20}
 			for i := range MaxWaiting {
-				queue.Offer(start, workOf(fmt.Sprint("customer-", i%customers), 1000, start, time.Hour), capacity)
+				queue.Offer(start, newWork(fmt.Sprint("customer-", i%customers), 1000, start, time.Hour), capacity)
 			}
-			spare := workOf("customer-0", 1000, start, time.Hour)
+			spare := newWork("customer-0", 1000, start, time.Hour)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				spare.Arrived = start.Add(time.Duration(i))
--- a/core/decision/dogwoodadmission/work.go
+++ b/core/decision/dogwoodadmission/work.go
@@ -6,40 +6,41 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Work is a waiting request. Its owner embeds or keeps it; the queue links it without
+// Work is a waiting request. The caller embeds or stores it; the queue links it without
 // allocating.
 type Work struct {
 	Customer                dogwoodfleet.Customer
 	PromptTokens, MaxTokens int
 	Arrived, Deadline       time.Time
-	// Value is the owner's own; the queue doesn't look at it.
+	// Value belongs to the caller; the queue doesn't use it.
 	Value any
 
 	class          Class
 	cost           float64
-	service        time.Duration // with its deviation: what it must have left
-	expected       time.Duration // the mean: what it adds to others' waits
+	service        time.Duration // cautious service time: the time it needs before its deadline
+	expected       time.Duration // mean service time: what it adds to the waits of others
 	rank           time.Time
-	predicted      time.Duration // without correction
+	predicted      time.Duration // uncorrected wait predicted by Queue.Offer
 	next, previous *Work
 	flow           *flow
 }
 
-// Service is how long the work is predicted to take once it is granted.
+// Service returns the cautious prediction of how long the work takes once granted.
 func (work *Work) Service() time.Duration {
 	return work.service
 }
 
-// LatestStart is when the work must be granted to finish by its deadline.
+// LatestStart returns the latest time at which the work can be granted and still finish by
+// its deadline.
 func (work *Work) LatestStart() time.Time {
 	return work.Deadline.Add(-work.service)
 }
 
-// rankOf orders a customer's work. Each waits in proportion to its size: it is ranked by
-// when it came plus Patience times its predicted time, so short work goes before long
-// work that came little earlier, and long work is never overtaken by what came later than
-// that. Near its latest start it is ranked by that instead.
-func (work *Work) rankOf() time.Time {
+// computeRank returns the rank that orders a customer's work: the arrival time plus Patience
+// times the expected service time. Short work therefore goes before long work that arrived
+// slightly earlier, and work that arrives after the rank of long work never overtakes it.
+// Near its latest start, work is ranked by that time instead.
+func (work *Work) computeRank() time.Time {
 	rank := work.Arrived.Add(Patience * work.expected)
 	if urgent := work.LatestStart().Add(-work.service); urgent.Before(rank) {
 		return urgent
@@ -47,23 +48,23 @@
 	return rank
 }
 
-// Long tells whether the work is in the band of long prompts.
+// Long reports whether the work belongs to the band of long prompts.
 func (work *Work) Long() bool {
 	return work.class.Long()
 }
 
-// list holds the waiting work of one class of one customer, the least rank first.
+// list holds the waiting work of one class of one customer, in ascending order of rank.
 type list struct {
 	first, last *Work
 }
 
-// insertWalk bounds how far work with an early rank moves forward. Work of one class is
-// mostly ranked in the order of its arrival, so it seldom moves far.
-const insertWalk = 16
+// maxInsertSteps bounds how far new work is moved towards the front. Ranks within a class
+// mostly follow the order of arrival, so work rarely moves far.
+const maxInsertSteps = 16
 
 func (list *list) insert(work *Work) {
 	after := list.last
-	for range insertWalk {
+	for range maxInsertSteps {
 		if after == nil || !work.rank.Before(after.rank) {
 			break
 		}
--- a/core/decision/dogwoodlimit/limiter.go
+++ b/core/decision/dogwoodlimit/limiter.go
@@ -1,20 +1,20 @@
-// Package dogwoodlimit decides how much work one endpoint is given at once.
+// Package dogwoodlimit limits the number of concurrent requests to one endpoint.
 //
-// Load patterns it answers, and what happens without it:
+// Load patterns it handles, and what would happen otherwise:
 //
-//   - A cold start. An endpoint that has just started bears a little load and falls over
-//     under a full one. It starts at its cold limit and doubles on good answers only.
-//     Without it every restart under load is a crash loop.
-//   - Warm turned cold without warning. A new instance id, a reported flag, a refusal or
-//     a jump of the time to first token cuts the limit to the cold one at once. Without
-//     it the endpoint dies of the load it bore a moment before.
+//   - A cold start. An endpoint that has just started can serve a small load and crashes
+//     under a full one. Its limit starts at the cold limit and doubles on good answers only.
+//     Without this every restart under load becomes a crash loop.
+//   - A warm endpoint that turns cold without warning. A new instance id, a reported flag, a
+//     refusal or a jump in the time to first token cuts the limit to the cold limit at once.
+//     Without this the endpoint crashes under the load that it served a moment before.
 //   - A slow endpoint. The limit falls by a fixed factor while latency, normalised by
-//     length, is well over its own floor, and rises by one for each round of good
-//     answers (AIMD). Without it requests pile up where they are served worst.
+//     length, is well above the endpoint's floor, and rises by one for each round of good
+//     answers (AIMD). Without this requests pile up where they are served worst.
 //
-// AIMD was taken before a gradient limit: with batched engines latency grows with load
-// long before throughput stops growing, and a gradient follows that and gives capacity
-// away; AIMD with a threshold leaves it alone.
+// AIMD is used instead of a gradient limit because latency of batched engines grows with
+// load long before throughput stops growing. A gradient limit reacts to that growth and
+// wastes capacity; AIMD with a threshold ignores it.
 package dogwoodlimit
 
 import (
@@ -24,68 +24,73 @@
 )
 
 const (
-	// badFactor and badSlack tell a bad answer: over three times what its length and the
-	// work ahead of it explain, and 50 ms. Twice is what a full batch does by itself; the
-	// slack is above the noise of a loopback or a garbage collection.
-	badFactor = 3
-	badSlack  = 50 * time.Millisecond
-	// jumpFactor and jumpSlack tell a jump that means cold: model loading and cache
-	// building take seconds, not tenths.
+	// slowFactor and slowSlack define a slow answer: it takes longer than slowFactor times
+	// the expected latency for its length and the work ahead of it, plus slowSlack. A full
+	// batch alone doubles the latency; the slack is above the noise of a loopback connection
+	// or a garbage collection.
+	slowFactor = 3
+	slowSlack  = 50 * time.Millisecond
+	// jumpFactor and jumpSlack define a latency jump that indicates a cold endpoint. Loading
+	// a model and filling caches take seconds, not tenths of a second.
 	jumpFactor = 5
 	jumpSlack  = 400 * time.Millisecond
-	// decreaseFactor cuts on bad answers, at most once in decreaseEvery: the answers of one
-	// round all tell of the same overload.
+	// decreaseFactor scales the limit down on slow answers, at most once in decreaseEvery,
+	// because all answers of a round reflect the same overload.
 	decreaseFactor = 0.8
 	decreaseEvery  = 500 * time.Millisecond
-	// coldHold is how long the cold limit holds where an endpoint reports no flag, or its
-	// reports stopped: the cold time of the stand-in is 3 s.
+	// coldHold is how long the cold limit stays in force for an endpoint that doesn't report
+	// a flag or stopped reporting. The engine stand-in stays cold for 3 s.
 	coldHold = 6 * time.Second
-	// reportLag is how old a report's flag may be beyond what the report says: engines
-	// publish their load every second or so and don't tell when they looked.
+	// reportLag is how much older a report's flag may be than the report's timestamp.
+	// Engines publish their load about every second, without the time of the measurement.
 	reportLag = 2 * time.Second
-	// floorRise lets the floor follow a lasting change, 1% with each sample: a tenfold
-	// change is taken as normal after some 230 answers.
-	floorRise = 1.01
-	// recentWeight is the weight of the newest answer in the recent ratio.
+	// floorGrowth raises the floor by 1% with each sample, so that it follows a lasting
+	// change. A tenfold change counts as normal after about 230 answers.
+	floorGrowth = 1.01
+	// recentWeight is the weight of the newest answer in recentRatio.
 	recentWeight = 0.25
-	// firstBlock is how long an endpoint that died or refused is left alone; it doubles with
-	// each failure up to longestBlock. A restart takes seconds; a refusal may be over at once.
-	firstBlock   = 100 * time.Millisecond
-	longestBlock = 5 * time.Second
-	// minimumSamples is how many answers make a floor worth comparing with.
-	minimumSamples = 4
-	// defaultPerToken is what a prompt token takes until it was measured; the stand-in's
-	// 400,000 tokens a second.
+	// minBlock is how long an endpoint gets no requests after it died or refused one. The time
+	// doubles with each failure up to maxBlock: a restart takes seconds, while a refusal may
+	// be over at once.
+	minBlock = 100 * time.Millisecond
+	maxBlock = 5 * time.Second
+	// minSamples is how many answers are needed before latency is compared with the floors.
+	minSamples = 4
+	// defaultPerToken is the time for each prompt token before it has been measured. It
+	// matches the engine stand-in's 400,000 tokens a second.
 	defaultPerToken = 2500 * time.Nanosecond
-	// measurablePrompt is the least prompt that teaches the time for a token. The shortest
-	// time for a token seen counts, so the overhead of short prompts fades as longer ones come.
-	measurablePrompt = 500
+	// minMeasuredPrompt is the minimum prompt length for measuring the time per token. The
+	// estimate is the shortest time seen, so the overhead of short prompts loses its effect
+	// once longer ones are measured.
+	minMeasuredPrompt = 500
 )
 
-// Phase is where an endpoint is on its way from cold to warm.
+// Phase is the warm-up phase of an endpoint.
 type Phase int
 
 // The phases.
 const (
-	Cold    Phase = iota // the cold limit holds
+	Cold    Phase = iota // the cold limit is in force
 	Ramping              // doubling on good answers
 	Warm                 // AIMD under the warm limit
 )
 
-// Answer is what came back from one request.
+// Answer describes the outcome of one request.
 type Answer struct {
 	PromptTokens, OutputTokens int
-	// Ahead is the prompt tokens that the endpoint still had to read when this was sent.
+	// Ahead is the number of prompt tokens that the endpoint still had to prefill when the
+	// request was sent.
 	Ahead            int
 	FirstToken, Took time.Duration
 	Result           dogwoodfleet.Result
 	Instance         dogwoodfleet.InstanceID // empty if unknown
 	Cold             bool
-	// Sent is when it was sent: an answer to what was sent before a fall says nothing of now.
+	// Sent is when the request was sent. Answers to requests sent before the endpoint turned
+	// cold say nothing about its present state.
 	Sent time.Time
 }
 
-// Report is the endpoint's own, lagging word.
+// Report is the state that an endpoint publishes about itself. It lags behind.
 type Report struct {
 	Taken    time.Time
 	Instance dogwoodfleet.InstanceID
@@ -99,32 +104,32 @@
 	phase                Phase
 	coldSince            time.Time
 	instance             dogwoodfleet.InstanceID
-	reported             time.Time // when the newest report was taken
+	reportedAt           time.Time // Taken of the newest report
 	reportsCold          bool
-	good                 int // good answers since the limit last changed
+	goodAnswers          int // good answers since the limit last changed
 	lastCut              time.Time
 	floors               floors
-	recent               float64 // moving mean of latency over what is expected
-	measured             time.Time
+	recentRatio          float64 // moving mean of Limiter.ratio
+	measuredAt           time.Time
 	failures             int // deaths and refusals since the last answer
-	opens                time.Time
+	blockedUntil         time.Time
 }
 
-// floors are the shortest times seen, which rise slowly.
+// floors holds the shortest times seen. They rise by floorGrowth with each sample.
 type floors struct {
-	first, perToken, perOutput float64 // nanoseconds
-	samples                    int
+	firstToken, perToken, perOutput float64 // nanoseconds
+	samples                         int
 }
 
-// New returns the limiter of an endpoint that nothing is known of: cold.
+// New returns a limiter in the cold phase, for an endpoint of unknown state.
 func New(coldLimit, warmLimit int, now time.Time) *Limiter {
-	limiter := &Limiter{recent: 1}
+	limiter := &Limiter{recentRatio: 1}
 	limiter.SetBounds(coldLimit, warmLimit)
 	limiter.TurnCold(now)
 	return limiter
 }
 
-// SetBounds takes the limits of the operators' text.
+// SetBounds sets the cold and the warm limit, as given in the operators' configuration.
 func (limiter *Limiter) SetBounds(coldLimit, warmLimit int) {
 	limiter.warmLimit = max(warmLimit, 1)
 	limiter.coldLimit = min(max(coldLimit, 1), limiter.warmLimit)
@@ -134,8 +139,8 @@
 	}
 }
 
-// Limit is how many requests the endpoint may be given at once. It is at least 1, and
-// just 1, a probe, after a failure until an answer came.
+// Limit returns how many concurrent requests the endpoint may have. It is at least 1. After
+// a failure it is exactly 1, for a probe, until an answer arrives.
 func (limiter *Limiter) Limit() int {
 	if limiter.failures > 0 {
 		return 1
@@ -143,39 +148,40 @@
 	return max(1, int(limiter.limit))
 }
 
-// Opens is until when the endpoint is given nothing because it just failed.
+// Opens returns the time before which a failed endpoint gets no requests.
 func (limiter *Limiter) Opens() time.Time {
-	return limiter.opens
+	return limiter.blockedUntil
 }
 
-// ColdLimit is how many it bears when cold.
+// ColdLimit returns the limit for the cold phase.
 func (limiter *Limiter) ColdLimit() int {
 	return limiter.coldLimit
 }
 
-// Phase tells how warm the endpoint is.
+// Phase returns the present warm-up phase.
 func (limiter *Limiter) Phase() Phase {
 	return limiter.phase
 }
 
-// TokenBudget is how many tokens the endpoint may hold at once, out of its memory: the
-// same part of it as of the warm limit, so that a cold engine isn't given a few requests
-// that fill it. One request is always let in to an empty endpoint, whatever its size.
+// TokenBudget returns how many tokens of its memory the endpoint may use at once: the same
+// fraction as the limit is of the warm limit, so that a few large requests don't fill a cold
+// engine. An empty endpoint always accepts one request, whatever its size.
 func (limiter *Limiter) TokenBudget(memoryTokens int) int {
 	return int(float64(memoryTokens) * limiter.limit / float64(limiter.warmLimit))
 }
 
-// Slowness is the recent latency over what its lengths explain; 1 is normal.
+// Slowness returns the recent ratio of latency to the latency allowed for the requests'
+// lengths, at least 1. 1 is normal.
 func (limiter *Limiter) Slowness() float64 {
-	return max(limiter.recent, 1)
+	return max(limiter.recentRatio, 1)
 }
 
-// Measured is when an answer last told the latency.
+// Measured returns when an answer last updated Slowness.
 func (limiter *Limiter) Measured() time.Time {
-	return limiter.measured
+	return limiter.measuredAt
 }
 
-// PerToken is the endpoint's own time to read a prompt token.
+// PerToken returns the endpoint's prefill time for a prompt token.
 func (limiter *Limiter) PerToken() time.Duration {
 	if limiter.floors.perToken == 0 {
 		return defaultPerToken
@@ -183,56 +189,56 @@
 	return time.Duration(limiter.floors.perToken)
 }
 
-// TurnCold cuts the limit to the cold one at once.
+// TurnCold cuts the limit to the cold limit at once.
 func (limiter *Limiter) TurnCold(now time.Time) {
 	limiter.phase = Cold
 	limiter.limit = float64(limiter.coldLimit)
 	limiter.coldSince = now
-	limiter.good = 0
+	limiter.goodAnswers = 0
 }
 
-// Report takes the endpoint's own word. It lags, so a report taken before the endpoint
-// was seen to turn cold doesn't warm it.
+// Report records an endpoint's report. Reports lag, so one taken before the endpoint was
+// seen to turn cold doesn't end the cold phase.
 func (limiter *Limiter) Report(now time.Time, report Report) {
-	if report.Taken.Before(limiter.reported) {
+	if report.Taken.Before(limiter.reportedAt) {
 		return
 	}
-	if report.Taken.After(limiter.opens.Add(-longestBlock)) && report.Instance != limiter.instance {
-		// A new process answers: no need to wait out the block of the old one.
-		limiter.opens = time.Time{}
+	if report.Taken.After(limiter.blockedUntil.Add(-maxBlock)) && report.Instance != limiter.instance {
+		// A new process answers, so the block of the old one no longer applies.
+		limiter.blockedUntil = time.Time{}
 	}
-	limiter.reported = report.Taken
+	limiter.reportedAt = report.Taken
 	limiter.reportsCold = report.Cold
-	limiter.meet(now, report.Instance)
+	limiter.observeInstance(now, report.Instance)
 	if report.Cold && limiter.phase != Cold {
 		limiter.TurnCold(now)
 	}
-	limiter.warmUp(now)
+	limiter.tryStartRamp(now)
 }
 
-// ToldCold takes the endpoint's word, given with an answer that just began.
+// ToldCold records that the endpoint flagged itself as cold in an answer that just began.
 func (limiter *Limiter) ToldCold(now time.Time, instance dogwoodfleet.InstanceID) {
-	limiter.meet(now, instance)
+	limiter.observeInstance(now, instance)
 	if limiter.phase != Cold {
 		limiter.TurnCold(now)
 	}
 }
 
-// meet notes the instance; a new one is a new process and cold.
-func (limiter *Limiter) meet(now time.Time, instance dogwoodfleet.InstanceID) {
+// observeInstance records the instance id. A changed id means a new process, which is cold.
+func (limiter *Limiter) observeInstance(now time.Time, instance dogwoodfleet.InstanceID) {
 	if instance == "" || instance == limiter.instance {
 		return
 	}
-	known := limiter.instance != ""
+	hadInstance := limiter.instance != ""
 	limiter.instance = instance
-	if known {
+	if hadInstance {
 		limiter.TurnCold(now)
 	}
 }
 
-// Observe takes an answer.
+// Observe updates the limiter from an answer.
 func (limiter *Limiter) Observe(now time.Time, answer Answer) {
-	limiter.meet(now, answer.Instance)
+	limiter.observeInstance(now, answer.Instance)
 	switch answer.Result {
 	case dogwoodfleet.ResultDied, dogwoodfleet.ResultRefused:
 		limiter.TurnCold(now)
@@ -243,7 +249,7 @@
 	case dogwoodfleet.ResultCancelled:
 		return
 	case dogwoodfleet.ResultTimedOut:
-		limiter.cut(now)
+		limiter.decrease(now)
 		return
 	case dogwoodfleet.ResultDone, dogwoodfleet.ResultFailed:
 	}
@@ -254,83 +260,84 @@
 		}
 		return
 	}
-	limiter.judge(now, answer)
+	limiter.evaluate(now, answer)
 }
 
-// block leaves a failed endpoint alone for a time. The deaths of one batch come together
-// and count once.
+// block keeps requests from a failed endpoint for some time. Requests in flight fail together
+// when an endpoint dies; their failures count once.
 func (limiter *Limiter) block(now, sent time.Time) {
-	if limiter.failures > 0 && sent.Before(limiter.opens) && now.Before(limiter.opens) {
+	if limiter.failures > 0 && sent.Before(limiter.blockedUntil) && now.Before(limiter.blockedUntil) {
 		return
 	}
-	limiter.opens = now.Add(min(firstBlock<<min(limiter.failures, 10), longestBlock))
+	limiter.blockedUntil = now.Add(min(minBlock<<min(limiter.failures, 10), maxBlock))
 	limiter.failures++
 }
 
-func (limiter *Limiter) judge(now time.Time, answer Answer) {
+func (limiter *Limiter) evaluate(now time.Time, answer Answer) {
 	first := answer.FirstToken
 	if first <= 0 {
 		first = answer.Took
 	}
 	expected := limiter.expected(answer.PromptTokens + answer.Ahead)
-	known := limiter.floors.samples >= minimumSamples
+	floorsKnown := limiter.floors.samples >= minSamples
 	ratio := limiter.ratio(answer, first, expected)
-	limiter.learnFloors(answer, first)
-	if !known {
-		limiter.goodAnswer(now, answer)
+	limiter.updateFloors(answer, first)
+	if !floorsKnown {
+		limiter.recordGoodAnswer(now, answer)
 		return
 	}
-	usual := time.Duration(float64(expected) * max(limiter.recent, 1))
-	jumped := first > jumpFactor*usual+jumpSlack
-	limiter.recent += recentWeight * (ratio - limiter.recent)
-	limiter.measured = now
+	typical := time.Duration(float64(expected) * max(limiter.recentRatio, 1))
+	jumped := first > jumpFactor*typical+jumpSlack
+	limiter.recentRatio += recentWeight * (ratio - limiter.recentRatio)
+	limiter.measuredAt = now
 	switch {
 	case jumped && limiter.phase != Cold:
 		limiter.TurnCold(now)
 	case ratio > 1:
-		limiter.cut(now)
+		limiter.decrease(now)
 	default:
-		limiter.goodAnswer(now, answer)
+		limiter.recordGoodAnswer(now, answer)
 	}
 }
 
-// ratio is 1 or less for a good answer.
+// ratio returns the answer's latency divided by the allowed latency: 1 or less for a good
+// answer.
 func (limiter *Limiter) ratio(answer Answer, first, expected time.Duration) float64 {
-	ratio := float64(first) / float64(badFactor*expected+badSlack)
-	if perOutput := limiter.floors.perOutput; perOutput > 0 && answer.OutputTokens >= minimumSamples && answer.Took > first {
+	ratio := float64(first) / float64(slowFactor*expected+slowSlack)
+	if perOutput := limiter.floors.perOutput; perOutput > 0 && answer.OutputTokens >= minSamples && answer.Took > first {
 		took := float64(answer.Took - first)
-		allowed := badFactor*perOutput*float64(answer.OutputTokens) + float64(badSlack)
+		allowed := slowFactor*perOutput*float64(answer.OutputTokens) + float64(slowSlack)
 		ratio = max(ratio, took/allowed)
 	}
 	return ratio
 }
 
 func (limiter *Limiter) expected(tokens int) time.Duration {
-	return time.Duration(limiter.floors.first) + time.Duration(tokens)*limiter.PerToken()
+	return time.Duration(limiter.floors.firstToken) + time.Duration(tokens)*limiter.PerToken()
 }
 
-func (limiter *Limiter) learnFloors(answer Answer, first time.Duration) {
+func (limiter *Limiter) updateFloors(answer Answer, first time.Duration) {
 	floors := &limiter.floors
 	floors.samples++
-	lower(&floors.first, float64(first))
-	if answer.PromptTokens >= measurablePrompt {
-		lower(&floors.perToken, float64(first)/float64(answer.PromptTokens))
+	updateFloor(&floors.firstToken, float64(first))
+	if answer.PromptTokens >= minMeasuredPrompt {
+		updateFloor(&floors.perToken, float64(first)/float64(answer.PromptTokens))
 	}
-	if answer.OutputTokens >= minimumSamples && answer.Took > first {
-		lower(&floors.perOutput, float64(answer.Took-first)/float64(answer.OutputTokens))
+	if answer.OutputTokens >= minSamples && answer.Took > first {
+		updateFloor(&floors.perOutput, float64(answer.Took-first)/float64(answer.OutputTokens))
 	}
 }
 
-func lower(floor *float64, value float64) {
+func updateFloor(floor *float64, value float64) {
 	if *floor == 0 || value < *floor {
 		*floor = value
 		return
 	}
-	*floor = min(value, *floor*floorRise)
+	*floor = min(value, *floor*floorGrowth)
 }
 
-func (limiter *Limiter) cut(now time.Time) {
-	limiter.good = 0
+func (limiter *Limiter) decrease(now time.Time) {
+	limiter.goodAnswers = 0
 	if limiter.phase == Cold || now.Sub(limiter.lastCut) < decreaseEvery {
 		return
 	}
@@ -339,19 +346,19 @@
 	limiter.limit = max(float64(limiter.coldLimit), limiter.limit*decreaseFactor)
 }
 
-func (limiter *Limiter) goodAnswer(now time.Time, answer Answer) {
+func (limiter *Limiter) recordGoodAnswer(now time.Time, answer Answer) {
 	if answer.Sent.Before(limiter.coldSince) {
 		return
 	}
-	limiter.good++
+	limiter.goodAnswers++
 	switch limiter.phase {
 	case Cold:
-		limiter.warmUp(now)
+		limiter.tryStartRamp(now)
 	case Ramping:
-		if limiter.good < limiter.Limit() {
+		if limiter.goodAnswers < limiter.Limit() {
 			return
 		}
-		limiter.good = 0
+		limiter.goodAnswers = 0
 		limiter.limit = min(2*limiter.limit, float64(limiter.warmLimit))
 		if limiter.Limit() >= limiter.warmLimit {
 			limiter.phase = Warm
@@ -361,17 +368,18 @@
 	}
 }
 
-// warmUp ends the cold phase when the cold limit's worth of good answers came and either
-// a report taken since says that it isn't cold, or the longest cold time has passed. Good
-// answers alone don't do: a cold endpoint answers well while it has little to do.
-func (limiter *Limiter) warmUp(now time.Time) {
-	if limiter.phase != Cold || limiter.good < limiter.coldLimit {
+// tryStartRamp ends the cold phase once as many good answers as the cold limit have arrived
+// and either a later report says that the endpoint isn't cold, or coldHold has passed and no
+// recent report says that it is. Good answers alone aren't enough, because a cold endpoint
+// answers well under a small load.
+func (limiter *Limiter) tryStartRamp(now time.Time) {
+	if limiter.phase != Cold || limiter.goodAnswers < limiter.coldLimit {
 		return
 	}
-	told := limiter.reported.After(limiter.coldSince.Add(reportLag)) && !limiter.reportsCold
-	held := now.Sub(limiter.coldSince) >= coldHold && (!limiter.reportsCold || now.Sub(limiter.reported) >= coldHold)
-	if told || held {
+	reportedWarm := limiter.reportedAt.After(limiter.coldSince.Add(reportLag)) && !limiter.reportsCold
+	holdElapsed := now.Sub(limiter.coldSince) >= coldHold && (!limiter.reportsCold || now.Sub(limiter.reportedAt) >= coldHold)
+	if reportedWarm || holdElapsed {
 		limiter.phase = Ramping
-		limiter.good = 0
+		limiter.goodAnswers = 0
 	}
 }
--- a/core/decision/dogwoodquota/home.go
+++ b/core/decision/dogwoodquota/home.go
@@ -6,114 +6,115 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Home gives out the shares of the customers whose home this daemon is. It is not safe for
-// concurrent use.
+// Home grants shares of the limits of those customers whose home is this daemon. It is not
+// safe for concurrent use.
 type Home struct {
 	pools map[dogwoodfleet.Customer]*pool
 }
 
-// pool is what is given out of one customer's limit.
+// pool tracks the shares granted of one customer's limit.
 type pool struct {
-	given  map[dogwoodfleet.InstanceID]given
-	demand Rate // sum over given
-	shares Rate // sum over given
-	swept  time.Time
+	grants    map[dogwoodfleet.InstanceID]grant
+	demand    Rate // sum over grants
+	shares    Rate // sum over grants
+	lastSweep time.Time
 }
 
-type given struct {
+type grant struct {
 	demand, share Rate
-	until         time.Time
+	expires       time.Time
 }
 
-// NewHome returns a home that gave out nothing yet.
+// NewHome returns a home without granted shares.
 func NewHome() *Home {
 	return &Home{pools: map[dogwoodfleet.Customer]*pool{}}
 }
 
-// Grant answers an entry's report. While there is room an entry gets more than it asked
-// for; else its demand's part of the limit. It never gets what others hold: they give back
-// with their next report.
+// Grant returns an entry's new share in reply to its report. Far from the limit the share
+// exceeds the demand; near the limit it is proportional to the demand. It never includes what
+// other entries hold, which they return with their next reports.
 func (home *Home) Grant(now time.Time, entry dogwoodfleet.InstanceID, report Report, limit Rate) Share {
-	found := home.pools[report.Customer]
-	if found == nil {
-		found = &pool{given: map[dogwoodfleet.InstanceID]given{}, swept: now}
-		home.pools[report.Customer] = found
+	customerPool := home.pools[report.Customer]
+	if customerPool == nil {
+		customerPool = &pool{grants: map[dogwoodfleet.InstanceID]grant{}, lastSweep: now}
+		home.pools[report.Customer] = customerPool
 	}
-	found.sweep(now)
-	found.take(entry)
-	demand := found.demand.plus(report.Demand)
-	giving := limit.scaled(1 - Reserve)
+	customerPool.sweep(now)
+	customerPool.revoke(entry)
+	demand := customerPool.demand.add(report.Demand)
+	available := limit.scaled(1 - Reserve)
 	wanted := report.Demand.scaled(Headroom)
-	next, near := relaxed, demand.over(giving) > nearLimit
+	next, near := farInterval, demand.fractionOf(available) > nearLimit
 	if near {
-		next = max(pressed, time.Duration(len(found.given)+1)*perEntry)
-		wanted = part(report.Demand, demand, giving).least(report.Demand.scaled(nearHeadroom))
+		next = max(nearInterval, time.Duration(len(customerPool.grants)+1)*intervalPerEntry)
+		wanted = proportionalShare(report.Demand, demand, available).minimum(report.Demand.scaled(nearHeadroom))
 	}
-	share := wanted.least(giving.minus(found.shares))
-	if near && share.over(giving) < wanted.over(giving)/2 {
-		// Others hold its part until their next report, which comes before its own would.
-		next = max(pressed, next/4)
+	share := wanted.minimum(available.sub(customerPool.shares))
+	if near && share.fractionOf(available) < wanted.fractionOf(available)/2 {
+		// Others hold its part until their next reports, which arrive before the entry's own.
+		next = max(nearInterval, next/4)
 	}
-	found.put(entry, given{demand: report.Demand, share: share, until: now.Add(ValidFor * next)})
+	customerPool.add(entry, grant{demand: report.Demand, share: share, expires: now.Add(ValidFor * next)})
 	return Share{Customer: report.Customer, Rate: share, Next: next, Pressed: near}
 }
 
-// part is the entry's part of the limit by its part of the demand.
-func part(mine, all, limit Rate) Rate {
+// proportionalShare returns the part of the limit that corresponds to the entry's part of the
+// total demand.
+func proportionalShare(demand, total, limit Rate) Rate {
 	return Rate{
-		Requests: limit.Requests * mine.Requests / max(all.Requests, 1e-9),
-		Tokens:   limit.Tokens * mine.Tokens / max(all.Tokens, 1e-9),
+		Requests: limit.Requests * demand.Requests / max(total.Requests, 1e-9),
+		Tokens:   limit.Tokens * demand.Tokens / max(total.Tokens, 1e-9),
 	}
 }
 
-func (pool *pool) take(entry dogwoodfleet.InstanceID) {
-	old, ok := pool.given[entry]
+func (pool *pool) revoke(entry dogwoodfleet.InstanceID) {
+	previous, ok := pool.grants[entry]
 	if !ok {
 		return
 	}
-	pool.demand = pool.demand.minus(old.demand)
-	pool.shares = pool.shares.minus(old.share)
-	delete(pool.given, entry)
+	pool.demand = pool.demand.sub(previous.demand)
+	pool.shares = pool.shares.sub(previous.share)
+	delete(pool.grants, entry)
 }
 
-func (pool *pool) put(entry dogwoodfleet.InstanceID, given given) {
-	pool.given[entry] = given
-	pool.demand = pool.demand.plus(given.demand)
-	pool.shares = pool.shares.plus(given.share)
+func (pool *pool) add(entry dogwoodfleet.InstanceID, grant grant) {
+	pool.grants[entry] = grant
+	pool.demand = pool.demand.add(grant.demand)
+	pool.shares = pool.shares.add(grant.share)
 }
 
-// sweep takes back what lapsed, at most once in the shortest time between reports.
+// sweep revokes expired grants, at most once in minInterval.
 func (pool *pool) sweep(now time.Time) {
-	if now.Sub(pool.swept) < urgent {
+	if now.Sub(pool.lastSweep) < minInterval {
 		return
 	}
-	pool.swept = now
-	for entry, given := range pool.given {
-		if now.After(given.until) {
-			pool.take(entry)
+	pool.lastSweep = now
+	for entry, grant := range pool.grants {
+		if now.After(grant.expires) {
+			pool.revoke(entry)
 		}
 	}
-	if len(pool.given) == 0 {
+	if len(pool.grants) == 0 {
 		pool.demand, pool.shares = Rate{}, Rate{}
 	}
 }
 
-// Drop takes back what entries hold that are gone.
+// Drop revokes the shares of entries that aren't alive.
 func (home *Home) Drop(alive func(dogwoodfleet.InstanceID) bool) {
 	for _, pool := range home.pools {
-		for entry := range pool.given {
+		for entry := range pool.grants {
 			if !alive(entry) {
-				pool.take(entry)
+				pool.revoke(entry)
 			}
 		}
 	}
 }
 
-// Forget drops customers that no entry has a share of. It is to be called now and then.
+// Forget drops customers without granted shares. Call it periodically.
 func (home *Home) Forget(now time.Time) {
 	for customer, pool := range home.pools {
 		pool.sweep(now)
-		if len(pool.given) == 0 {
+		if len(pool.grants) == 0 {
 			delete(home.pools, customer)
 		}
 	}
--- a/core/decision/dogwoodquota/meter.go
+++ b/core/decision/dogwoodquota/meter.go
@@ -6,158 +6,162 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Report is what an entry tells a customer's home.
+// Report is sent by an entry to a customer's home.
 type Report struct {
 	Customer dogwoodfleet.Customer
-	// Demand is what came, whether it was let in or not.
+	// Demand is the rate of arrivals, both admitted and rejected.
 	Demand Rate
 }
 
-// Share is the home's answer.
+// Share is the home's reply to a report.
 type Share struct {
 	Customer dogwoodfleet.Customer
 	Rate     Rate
-	// Next is when to report again; the share holds ValidFor times as long.
+	// Next is the time until the next report. The share is valid for ValidFor times as long.
 	Next time.Duration
-	// Pressed is true when all there is was given out.
+	// Pressed is true if the customer's demand is near its limit, so that an early report
+	// wouldn't bring a larger share.
 	Pressed bool
 }
 
-// Meter lets requests in at one entry. It is not safe for concurrent use.
+// Meter admits requests at one entry. It is not safe for concurrent use.
 type Meter struct {
 	limit     func(dogwoodfleet.Customer) Rate
-	customers map[dogwoodfleet.Customer]*use
+	customers map[dogwoodfleet.Customer]*usage
 }
 
-// use is one customer's traffic at this entry.
-type use struct {
-	limit    Rate
-	left     Rate // what may be used now; tokens may be below zero
-	filled   time.Time
-	share    Rate
-	until    time.Time // when the share lapses
-	demand   Rate      // counts since the last report
-	reported time.Time
-	due      time.Time
-	ranOut   bool
-	pressed  bool // the home gave out all there is: running out tells it nothing new
-	seen     time.Time
+// usage tracks one customer's traffic at this entry.
+type usage struct {
+	limit        Rate
+	remaining    Rate // left to admit now; tokens may be negative
+	filledAt     time.Time
+	share        Rate
+	shareExpires time.Time
+	demand       Rate // counts since the last report
+	reportedAt   time.Time
+	reportDue    time.Time
+	exhausted    bool
+	pressed      bool // Share.Pressed: no early report when exhausted
+	lastSeen     time.Time
 }
 
-// NewMeter returns a meter; the function gives a customer's limit over all entries.
+// NewMeter returns a meter. The limit function returns a customer's limit over all entries.
 func NewMeter(limit func(dogwoodfleet.Customer) Rate) *Meter {
-	return &Meter{limit: limit, customers: map[dogwoodfleet.Customer]*use{}}
+	return &Meter{limit: limit, customers: map[dogwoodfleet.Customer]*usage{}}
 }
 
-// Admit lets a request in or says when to come again. A request whose tokens exceed what
-// is left is let in and paid off by those after it, else no long prompt ever fitted.
+// Admit admits a request or returns the delay before a retry. A request with more tokens than
+// are left is admitted and the later ones wait until the debt is paid off; otherwise a long
+// prompt would never be admitted.
 func (meter *Meter) Admit(now time.Time, customer dogwoodfleet.Customer, tokens, daemons int) (retryAfter time.Duration, ok bool) {
 	limit := meter.limit(customer)
 	if limit == (Rate{}) {
 		return 0, true
 	}
-	use := meter.customers[customer]
-	if use == nil {
-		use = newUse(now, limit, daemons)
-		meter.customers[customer] = use
+	usage := meter.customers[customer]
+	if usage == nil {
+		usage = newUsage(now, limit, daemons)
+		meter.customers[customer] = usage
 	}
-	use.limit, use.seen = limit, now
-	use.fill(now, daemons)
-	use.demand = use.demand.plus(Rate{Requests: 1, Tokens: float64(tokens)})
-	lacksRequests := limit.Requests > 0 && use.left.Requests < 1
-	lacksTokens := limit.Tokens > 0 && use.left.Tokens <= 0
+	usage.limit, usage.lastSeen = limit, now
+	usage.refill(now, daemons)
+	usage.demand = usage.demand.add(Rate{Requests: 1, Tokens: float64(tokens)})
+	lacksRequests := limit.Requests > 0 && usage.remaining.Requests < 1
+	lacksTokens := limit.Tokens > 0 && usage.remaining.Tokens <= 0
 	if lacksRequests || lacksTokens {
-		use.ranOut = true
-		return use.wait(now, daemons), false
+		usage.exhausted = true
+		return usage.retryAfter(now, daemons), false
 	}
-	use.left.Requests--
-	use.left.Tokens -= float64(tokens)
-	if limit.Requests > 0 && use.left.Requests < 1 || limit.Tokens > 0 && use.left.Tokens <= 0 {
-		use.ranOut = true // the next one would be refused: ask before it comes
+	usage.remaining.Requests--
+	usage.remaining.Tokens -= float64(tokens)
+	if limit.Requests > 0 && usage.remaining.Requests < 1 || limit.Tokens > 0 && usage.remaining.Tokens <= 0 {
+		usage.exhausted = true // the next request would be rejected: report before it arrives
 	}
 	return 0, true
 }
 
-// newUse starts with a full floor, so that an entry that sees a customer for the first time
-// can answer while it asks for a share, and needs none for one that seldom calls.
-func newUse(now time.Time, limit Rate, daemons int) *use {
-	use := &use{limit: limit, filled: now, reported: now, due: now.Add(relaxed)}
-	use.left = use.most(now, daemons)
-	return use
+// newUsage starts with a full bucket at the floor rate. An entry that sees a customer for the
+// first time can then admit requests before it has a share, and needs no share for a customer
+// that rarely calls.
+func newUsage(now time.Time, limit Rate, daemons int) *usage {
+	usage := &usage{limit: limit, filledAt: now, reportedAt: now, reportDue: now.Add(farInterval)}
+	usage.remaining = usage.bucketSize(now, daemons)
+	return usage
 }
 
-// most is what may be used at once.
-func (use *use) most(now time.Time, daemons int) Rate {
-	most := use.rate(now, daemons).scaled(burst.Seconds())
-	most.Requests = max(most.Requests, leastBurst)
-	most.Tokens = max(most.Tokens, 1)
-	return most
+// bucketSize returns the maximum that may be admitted at once.
+func (usage *usage) bucketSize(now time.Time, daemons int) Rate {
+	size := usage.rate(now, daemons).scaled(burst.Seconds())
+	size.Requests = max(size.Requests, minBurst)
+	size.Tokens = max(size.Tokens, 1)
+	return size
 }
 
-// floorOf is an entry's even part of the reserve.
-func floorOf(limit Rate, daemons int) Rate {
+// floorRate returns an entry's equal part of the reserve.
+func floorRate(limit Rate, daemons int) Rate {
 	return limit.scaled(Reserve / float64(max(daemons, 1)))
 }
 
-func (use *use) rate(now time.Time, daemons int) Rate {
-	floor := floorOf(use.limit, daemons)
-	if now.After(use.until) {
+func (usage *usage) rate(now time.Time, daemons int) Rate {
+	floor := floorRate(usage.limit, daemons)
+	if now.After(usage.shareExpires) {
 		return floor
 	}
-	return use.share.plus(floor)
+	return usage.share.add(floor)
 }
 
-func (use *use) fill(now time.Time, daemons int) {
-	rate := use.rate(now, daemons)
-	passed := now.Sub(use.filled).Seconds()
-	use.filled = now
-	use.left = use.left.plus(rate.scaled(passed)).least(use.most(now, daemons))
+func (usage *usage) refill(now time.Time, daemons int) {
+	rate := usage.rate(now, daemons)
+	elapsed := now.Sub(usage.filledAt).Seconds()
+	usage.filledAt = now
+	usage.remaining = usage.remaining.add(rate.scaled(elapsed)).minimum(usage.bucketSize(now, daemons))
 }
 
-// wait is when the lack will be made up, and no sooner than a new share can come.
-func (use *use) wait(now time.Time, daemons int) time.Duration {
-	rate := use.rate(now, daemons)
-	lack := 0.0
-	if use.limit.Requests > 0 {
-		lack = (1 - use.left.Requests) / rate.Requests
+// retryAfter returns the time until the bucket covers a request again, at least a second, since
+// a new share can't arrive sooner.
+func (usage *usage) retryAfter(now time.Time, daemons int) time.Duration {
+	rate := usage.rate(now, daemons)
+	lackSeconds := 0.0
+	if usage.limit.Requests > 0 {
+		lackSeconds = (1 - usage.remaining.Requests) / rate.Requests
 	}
-	if use.limit.Tokens > 0 && use.left.Tokens <= 0 {
-		lack = max(lack, -use.left.Tokens/rate.Tokens)
+	if usage.limit.Tokens > 0 && usage.remaining.Tokens <= 0 {
+		lackSeconds = max(lackSeconds, -usage.remaining.Tokens/rate.Tokens)
 	}
-	const longest = 30.0 // seconds; beyond it the prediction says nothing
-	return max(time.Second, time.Duration(min(lack, longest)*float64(time.Second)))
+	const maxSeconds = 30.0 // longer predictions are unreliable
+	return max(time.Second, time.Duration(min(lackSeconds, maxSeconds)*float64(time.Second)))
 }
 
-// Due returns the reports to send now.
+// Due returns the reports to send now and drops idle customers.
 func (meter *Meter) Due(now time.Time) []Report {
 	var reports []Report
-	for customer, use := range meter.customers {
-		if now.Sub(use.seen) > forget {
+	for customer, usage := range meter.customers {
+		if now.Sub(usage.lastSeen) > idleTimeout {
 			delete(meter.customers, customer)
 			continue
 		}
-		passed := now.Sub(use.reported)
-		if now.Before(use.due) && (!use.ranOut || use.pressed || passed < urgent) || use.demand == (Rate{}) {
+		elapsed := now.Sub(usage.reportedAt)
+		if now.Before(usage.reportDue) && (!usage.exhausted || usage.pressed || elapsed < minInterval) || usage.demand == (Rate{}) {
 			continue
 		}
-		reports = append(reports, Report{Customer: customer, Demand: use.demand.scaled(1 / max(passed, urgent).Seconds())})
-		use.demand, use.reported, use.ranOut = Rate{}, now, false
-		use.due = now.Add(pressed) // unless the answer says otherwise
+		reports = append(reports, Report{Customer: customer, Demand: usage.demand.scaled(1 / max(elapsed, minInterval).Seconds())})
+		usage.demand, usage.reportedAt, usage.exhausted = Rate{}, now, false
+		usage.reportDue = now.Add(nearInterval) // replaced by the reply
 	}
 	return reports
 }
 
-// Learn takes a home's answer.
+// Learn records a share received from a home.
 func (meter *Meter) Learn(now time.Time, share Share, daemons int) {
-	use := meter.customers[share.Customer]
-	if use == nil {
+	usage := meter.customers[share.Customer]
+	if usage == nil {
 		return
 	}
-	use.fill(now, daemons)
-	first := now.After(use.until)
-	use.pressed = share.Pressed
-	use.share, use.until, use.due = share.Rate, now.Add(ValidFor*share.Next), now.Add(share.Next)
-	if first {
-		use.left = use.left.plus(share.Rate)
+	usage.refill(now, daemons)
+	hadNoShare := now.After(usage.shareExpires)
+	usage.pressed = share.Pressed
+	usage.share, usage.shareExpires, usage.reportDue = share.Rate, now.Add(ValidFor*share.Next), now.Add(share.Next)
+	if hadNoShare {
+		usage.remaining = usage.remaining.add(share.Rate)
 	}
 }
--- a/core/decision/dogwoodquota/quota_test.go
+++ b/core/decision/dogwoodquota/quota_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet is entries with one home for all customers; messages take no time.
+// fleet is a set of entries and one home for all customers. Messages arrive at once.
 type fleet struct {
 	limit   Rate
 	home    *Home
@@ -38,12 +38,12 @@
 	}
 }
 
-// run sends a customer's requests at a rate through some of the entries and returns how
-// many were let in.
-func (fleet *fleet) run(random *rand.Rand, from time.Time, lasting time.Duration, perSecond float64, through []int) int {
+// run sends a customer's requests at the given rate through some of the entries and returns
+// how many were admitted.
+func (fleet *fleet) run(random *rand.Rand, from time.Time, duration time.Duration, perSecond float64, through []int) int {
 	admitted := 0
 	exchanged := from
-	for now := from; now.Before(from.Add(lasting)); now = now.Add(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))) {
+	for now := from; now.Before(from.Add(duration)); now = now.Add(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))) {
 		for ; exchanged.Before(now); exchanged = exchanged.Add(250 * time.Millisecond) {
 			fleet.exchange(exchanged)
 		}
@@ -54,7 +54,7 @@
 	return admitted
 }
 
-func TestLimitOverAllEntries(t *testing.T) {
+func TestLimitAcrossEntries(t *testing.T) {
 	all := make([]int, 100)
 	for i := range all {
 		all[i] = i
@@ -65,10 +65,10 @@
 		through     []int
 		least, most float64 // admitted a second
 	}{
-		{name: "far below through three", perSecond: 20, through: []int{1, 2, 3}, least: 18, most: 21},
-		{name: "below through three", perSecond: 80, through: []int{1, 2, 3}, least: 70, most: 83},
-		{name: "three times over through three", perSecond: 300, through: []int{1, 2, 3}, least: 80, most: 105},
-		{name: "three times over through all", perSecond: 300, through: all, least: 70, most: 110},
+		{name: "far below the limit, three entries", perSecond: 20, through: []int{1, 2, 3}, least: 18, most: 21},
+		{name: "below the limit, three entries", perSecond: 80, through: []int{1, 2, 3}, least: 70, most: 83},
+		{name: "three times the limit, three entries", perSecond: 300, through: []int{1, 2, 3}, least: 80, most: 105},
+		{name: "three times the limit, all entries", perSecond: 300, through: all, least: 70, most: 110},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -85,8 +85,8 @@
 	}
 }
 
-// A customer's callers move from three entries to three others at once. The old ones hold
-// the shares; the new ones must get theirs within seconds and the sum stay under the limit.
+// A customer's callers move from three entries to three others at once. The old entries still
+// hold their shares; the new ones must get shares within seconds.
 func TestSharesFollowTheCallers(t *testing.T) {
 	random := rand.New(rand.NewPCG(6, 6))
 	fleet := newFleet(20, Rate{Requests: 100})
@@ -108,29 +108,29 @@
 		report := Report{Customer: "one", Demand: Rate{Requests: random.Float64() * 60, Tokens: random.Float64() * 1e6}}
 		home.Grant(now, dogwoodfleet.InstanceID(fmt.Sprint(random.IntN(30))), report, limit)
 		sum := Rate{}
-		for _, given := range home.pools["one"].given {
-			sum = sum.plus(given.share)
+		for _, grant := range home.pools["one"].grants {
+			sum = sum.add(grant.share)
 		}
-		if got, most := sum.over(limit), 1-Reserve; got > most+1e-6 || math.IsNaN(got) {
-			t.Fatalf("seed %d step %d: got shares of %.3f of the limit, want at most %.3f", seed, step, got, most)
+		if got, most := sum.fractionOf(limit), 1-Reserve; got > most+1e-6 || math.IsNaN(got) {
+			t.Fatalf("seed %d step %d: got a sum of shares of %.3f of the limit, want at most %.3f", seed, step, got, most)
 		}
 	}
 }
 
-// A prompt of a million tokens comes for a customer with a limit of 100,000 a second. It
-// must get in, and what comes after it must wait until it is paid off.
+// A prompt of a million tokens arrives for a customer with a limit of 100,000 a second. It
+// must be admitted, and later requests must wait until its tokens are paid off.
 func TestLongPromptIsPaidOff(t *testing.T) {
 	fleet := newFleet(1, Rate{Tokens: 100_000})
 	meter := fleet.entries[0]
 	if _, ok := meter.Admit(start, "one", 1_000_000, 1); !ok {
-		t.Fatal("got the long prompt refused, want it in")
+		t.Fatal("got the long prompt rejected, want it admitted")
 	}
 	if wait, ok := meter.Admit(start.Add(time.Second), "one", 1000, 1); ok || wait < time.Second {
-		t.Errorf("right after: got in=%v wait=%v, want it refused with a wait", ok, wait)
+		t.Errorf("right after: got admitted=%v wait=%v, want a rejection with a wait", ok, wait)
 	}
 	admitted := fleet.run(rand.New(rand.NewPCG(8, 8)), start.Add(time.Second), 30*time.Second, 10, []int{0})
 	if admitted == 0 {
-		t.Error("half a minute later: got nothing in, want some")
+		t.Error("half a minute later: got nothing admitted, want some requests")
 	}
 }
 
--- a/core/decision/dogwoodwaiting/waiting.go
+++ b/core/decision/dogwoodwaiting/waiting.go
@@ -1,13 +1,15 @@
-// Package dogwoodwaiting orders the requests that wait for a place at full endpoints, and
-// says how long waiting makes sense.
+// Package dogwoodwaiting orders the requests that wait for a slot while all endpoints are
+// full, and bounds how long they wait.
 //
-// Load pattern: a burst brings a little more than the endpoints can run for some seconds.
-// Served in the order of their arrival, all would wait for as long as the line is, and none
-// would be in time until the burst is over. So those that can still be in time go first, in
-// the order in which their time runs out; those that are late already take what is left,
-// the oldest first. Nearly as many are served, and most of them in time. Long prompts go
-// before short ones: they are one in twenty and take a place each like any other, but in a
-// burst of short ones, whose time always runs out sooner, they would never get one.
+// Load pattern: for some seconds a burst brings slightly more requests than the endpoints
+// can run. In order of arrival every request would wait for the full length of the queue,
+// and none would meet its aim until the burst ends. Therefore requests that can still meet
+// their aim go first, in the order in which they must start; those already late use the
+// remaining slots, oldest first. Nearly as many are served, and most of them in time.
+//
+// Long prompts go before short ones. They are one in twenty and take one slot each like any
+// other request, but in a burst of short prompts, whose latest start always comes sooner,
+// they would never get a slot.
 package dogwoodwaiting
 
 import (
@@ -18,89 +20,92 @@
 )
 
 const (
-	// readShare is the part of its aim that a request needs after it has got a place: with
-	// less left it would be late anyhow.
-	readShare = 0.5
-	// leftShare is the part of the time left for which a request may wait: a caller that is
-	// refused needs the rest for its next attempt.
-	leftShare = 0.3
-	// aimsBorne and pausesBorne are how many of its aims or its longest pauses a caller of a
-	// stream waits for the first event before it gives up; leastBorne is the least. Callers
-	// that give up cost a second attempt and the work on the first.
-	aimsBorne   = 4
-	pausesBorne = 8
-	leastBorne  = 2 * time.Second
-	// borneShare is the part of that for which a request waits for a place, so that it is
-	// refused, or begins to be read, before its caller is gone.
-	borneShare = 0.55
+	// serviceShare is the fraction of its aim that a request needs after it has got a slot.
+	// With less time left it would be late in any case.
+	serviceShare = 0.5
+	// deadlineShare is the fraction of the time to its deadline that a request may wait. A
+	// rejected caller needs the rest for its next attempt.
+	deadlineShare = 0.3
+	// toleratedAims and toleratedPauses are the multiples of its aim and of its longest pause
+	// that the caller of a stream waits for the first event before it gives up. The larger
+	// product counts, and at least minTolerance. A caller that gives up costs a second
+	// attempt and the work on the first.
+	toleratedAims   = 4
+	toleratedPauses = 8
+	minTolerance    = 2 * time.Second
+	// toleranceShare is the fraction of that time for which a request waits for a slot, so
+	// that it is rejected or its prefill begins before the caller gives up.
+	toleranceShare = 0.55
 )
 
-// Request is a request that waits.
+// Request is a waiting request.
 type Request struct {
 	Arrived    time.Time
 	Deadline   time.Time
 	Aim, Pause time.Duration
-	// Prompt is its length in tokens; 0 for plain calls.
+	// Prompt is the length of the prompt in tokens, or 0 for plain calls.
 	Prompt int
-	// Begun is true if the caller has a part of the answer already.
+	// Begun is true if the caller has received part of the answer already.
 	Begun bool
 }
 
-// startBy is the moment until which it must have a place to be in time.
-func (request *Request) startBy() time.Time {
-	return request.Arrived.Add(time.Duration((1 - readShare) * float64(request.Aim)))
+// latestStart returns the latest time at which the request can get a slot and meet its aim.
+func (request *Request) latestStart() time.Time {
+	return request.Arrived.Add(time.Duration((1 - serviceShare) * float64(request.Aim)))
 }
 
-// Compare orders two requests that wait at a moment, the one to be served first first.
-func Compare(now time.Time, one, other *Request) int {
-	if one.Begun != other.Begun { // a broken answer helps no one; its rest is soon written
-		if one.Begun {
+// Compare compares two waiting requests by the order in which to serve them. The result is
+// negative if the first goes before the second.
+func Compare(now time.Time, a, b *Request) int {
+	if a.Begun != b.Begun { // a partial answer is useless to its caller, and its rest is written soon
+		if a.Begun {
 			return -1
 		}
 		return 1
 	}
-	if oneLong, otherLong := one.Prompt >= dogwoodenginetime.LongPrompt, other.Prompt >= dogwoodenginetime.LongPrompt; oneLong != otherLong {
-		if oneLong {
+	if aLong, bLong := a.Prompt >= dogwoodenginetime.LongPrompt, b.Prompt >= dogwoodenginetime.LongPrompt; aLong != bLong {
+		if aLong {
 			return -1
 		}
 		return 1
 	}
-	oneLate, otherLate := now.After(one.startBy()), now.After(other.startBy())
+	aLate, bLate := now.After(a.latestStart()), now.After(b.latestStart())
 	switch {
-	case oneLate != otherLate && otherLate:
+	case aLate != bLate && bLate:
 		return -1
-	case oneLate != otherLate:
+	case aLate != bLate:
 		return 1
-	case oneLate:
-		return one.Arrived.Compare(other.Arrived)
+	case aLate:
+		return a.Arrived.Compare(b.Arrived)
 	default:
-		return cmp.Or(one.startBy().Compare(other.startBy()), one.Arrived.Compare(other.Arrived))
+		return cmp.Or(a.latestStart().Compare(b.latestStart()), a.Arrived.Compare(b.Arrived))
 	}
 }
 
-// Borne is how much longer the caller waits for the first event.
+// Borne returns how much longer the caller waits for the first event before it gives up.
 func Borne(now time.Time, request *Request) time.Duration {
-	left := request.Deadline.Sub(now)
+	untilDeadline := request.Deadline.Sub(now)
 	if request.Pause <= 0 || request.Begun {
-		return left
+		return untilDeadline
 	}
-	return min(left, request.borne()-now.Sub(request.Arrived))
+	return min(untilDeadline, request.tolerance()-now.Sub(request.Arrived))
 }
 
-// borne is how long the caller of a stream waits for its first event from its arrival on.
-func (request *Request) borne() time.Duration {
-	return max(aimsBorne*request.Aim, pausesBorne*request.Pause, leastBorne)
+// tolerance returns how long after the request's arrival the caller of a stream waits for the
+// first event.
+func (request *Request) tolerance() time.Duration {
+	return max(toleratedAims*request.Aim, toleratedPauses*request.Pause, minTolerance)
 }
 
-// Patience is how long the request may wait for a place from the moment on.
+// Patience returns how much longer the request may wait for a slot.
 func Patience(now time.Time, request *Request) time.Duration {
-	left := time.Duration(leftShare * float64(request.Deadline.Sub(now)))
+	maxWait := time.Duration(deadlineShare * float64(request.Deadline.Sub(now)))
 	switch {
 	case request.Pause <= 0:
-		return left
+		return maxWait
 	case request.Begun:
-		return max(pausesBorne*request.Pause, leastBorne)
+		return max(toleratedPauses*request.Pause, minTolerance)
 	default:
-		return min(left, time.Duration(borneShare*float64(request.borne()))-now.Sub(request.Arrived))
+		return min(maxWait, time.Duration(toleranceShare*float64(request.tolerance()))-now.Sub(request.Arrived))
 	}
 }
--- a/core/decision/dogwoodwaiting/waiting_test.go
+++ b/core/decision/dogwoodwaiting/waiting_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// A burst fills all engines. Those who came first have waited longer than their aim
-// already; if they went first, everyone behind them would become late as well. The ones
-// that can still be in time go first, the late ones after them in the order of arrival. A
-// review that is late too would wait behind all drafts for as long as the burst lasts.
+// A burst fills all engines, and the oldest requests have already missed their aim. If they
+// went first, all requests behind them would become late as well. Requests that can still
+// meet their aim must go first, the late ones after them in order of arrival. A late review,
+// a long prompt, must go before both: it would otherwise wait until the burst ends.
 func TestOrder(t *testing.T) {
 	now := time.Now()
 	request := func(ago, aim time.Duration) Request {
@@ -22,11 +22,11 @@
 	review.Prompt = 182_000
 	broken := request(2*time.Second, 300*time.Millisecond)
 	broken.Begun = true
-	line := []*Request{&late, &newer, &review, &long, &later, &broken, &fresh}
-	slices.SortFunc(line, func(one, other *Request) int { return Compare(now, one, other) })
+	queue := []*Request{&late, &newer, &review, &long, &later, &broken, &fresh}
+	slices.SortFunc(queue, func(a, b *Request) int { return Compare(now, a, b) })
 	want := []*Request{&broken, &review, &fresh, &newer, &long, &late, &later}
-	if !slices.Equal(line, want) {
-		t.Errorf("got %v, want %v", line, want)
+	if !slices.Equal(queue, want) {
+		t.Errorf("got %v, want %v", queue, want)
 	}
 }
 
@@ -37,10 +37,10 @@
 		request Request
 		want    time.Duration
 	}{
-		{"a call waits for a part of its time", Request{Arrived: now, Deadline: now.Add(4 * time.Second), Aim: 300 * time.Millisecond}, 1200 * time.Millisecond},
-		{"a stream no longer than its caller", Request{Arrived: now, Deadline: now.Add(10 * time.Second), Aim: 300 * time.Millisecond, Pause: 250 * time.Millisecond}, 1100 * time.Millisecond},
-		{"less what it waited before", Request{Arrived: now.Add(-time.Second), Deadline: now.Add(9 * time.Second), Aim: 300 * time.Millisecond, Pause: 250 * time.Millisecond}, 100 * time.Millisecond},
-		{"the rest of an answer as long as a pause is borne", Request{Arrived: now.Add(-5 * time.Second), Deadline: now.Add(5 * time.Second), Aim: 300 * time.Millisecond, Pause: 250 * time.Millisecond, Begun: true}, 2 * time.Second},
+		{"call, part of the time to its deadline", Request{Arrived: now, Deadline: now.Add(4 * time.Second), Aim: 300 * time.Millisecond}, 1200 * time.Millisecond},
+		{"stream, less than the caller's tolerance", Request{Arrived: now, Deadline: now.Add(10 * time.Second), Aim: 300 * time.Millisecond, Pause: 250 * time.Millisecond}, 1100 * time.Millisecond},
+		{"stream, minus the time already waited", Request{Arrived: now.Add(-time.Second), Deadline: now.Add(9 * time.Second), Aim: 300 * time.Millisecond, Pause: 250 * time.Millisecond}, 100 * time.Millisecond},
+		{"rest of an answer, as long as a pause is tolerated", Request{Arrived: now.Add(-5 * time.Second), Deadline: now.Add(5 * time.Second), Aim: 300 * time.Millisecond, Pause: 250 * time.Millisecond, Begun: true}, 2 * time.Second},
 	}
 	for _, test := range tests {
 		if got := Patience(now, &test.request); got != test.want {
