--- a/core/decision/dogwoodenginetime/enginetime.go
+++ b/core/decision/dogwoodenginetime/enginetime.go
@@ -1,10 +1,10 @@
-// Package dogwoodenginetime predicts how long a model engine needs to read a prompt, from
-// the engine's own figures and the work that it already has.
+// Package dogwoodenginetime predicts how long a model engine takes to prefill a prompt, from
+// the engine's performance figures and its current load.
 //
-// Load pattern: prompts of a thousand to a million tokens share the engines. Reading grows
-// with the square of a prompt's length, and an engine that writes answers reads only
-// between its steps. A prediction that is linear in tokens sends short prompts behind long
-// ones and long prompts to engines that write.
+// Load pattern: prompts of a thousand to a million tokens share the engines. Prefill time grows
+// with the square of the prompt's length, and an engine that is decoding answers prefills only
+// between its decode steps. A prediction that is linear in tokens would queue short prompts
+// behind long ones and send long prompts to engines that are decoding.
 package dogwoodenginetime
 
 import (
@@ -12,71 +12,70 @@
 	"time"
 )
 
-// LongPrompt is the length in tokens from which a prompt counts as long where short and
-// long ones are told apart: six times the mean of the short ones, and less than nearly all
-// of the long ones.
+// LongPrompt is the length in tokens from which a prompt counts as long. It is six times the
+// mean length of short prompts and below the length of nearly all long ones.
 const LongPrompt = 30_000
 
-// Engine holds the figures of one kind of engine, as its operators' text gives them.
+// Engine holds the performance figures of one kind of engine from the operators' configuration.
 type Engine struct {
-	// Slots is how many requests run at once.
+	// Slots is the maximum number of requests that run at the same time.
 	Slots int
-	// MemoryTokens is the key-value memory in tokens.
+	// MemoryTokens is the KV cache memory in tokens.
 	MemoryTokens int
-	// Step is the time of one token step; PerRequest is added for each request that writes
+	// Step is the base time of one decode step. PerRequest is added for each decoding request
 	// and PerThousand for each thousand tokens of their contexts.
 	Step, PerRequest, PerThousand time.Duration
-	// TokensPerSecond is the reading rate without the cost of pairs.
+	// TokensPerSecond is the prefill rate without the quadratic cost of token pairs.
 	TokensPerSecond float64
-	// PerMillionPairs is the time for a million pairs of a token and an earlier one.
+	// PerMillionPairs is the prefill time per million pairs of a token and an earlier token.
 	PerMillionPairs time.Duration
-	// Chunk is the most tokens that one step reads.
+	// Chunk is the maximum number of tokens that one step prefills.
 	Chunk int
-	// Stride is how many steps a pass makes while the engine writes.
+	// Stride is the number of steps per pass while the engine is decoding.
 	Stride int
-	// Hop is added to each step of a request whose prompt lies on several engines.
+	// Hop is added to each step of a request whose prompt is split across several engines.
 	Hop time.Duration
 }
 
-// Known reports whether the figures allow predictions.
+// Known reports whether the figures suffice for predictions.
 func (engine *Engine) Known() bool {
 	return engine.TokensPerSecond > 0 && engine.Slots > 0
 }
 
-// Read is the time that reading a prompt takes on each of several idle engines that read
-// even parts of it.
+// Read returns the time to prefill a prompt that is split evenly across the given number of
+// idle engines. It returns 0 if the figures do not suffice for predictions.
 func (engine *Engine) Read(tokens, engines int) time.Duration {
 	if !engine.Known() || tokens <= 0 {
 		return 0
 	}
-	share := float64(max(engines, 1))
+	parts := float64(max(engines, 1))
 	linear := float64(tokens) / engine.TokensPerSecond * float64(time.Second)
 	pairs := float64(tokens) * float64(tokens) / 2 / 1e6
-	return time.Duration((linear + pairs*float64(engine.PerMillionPairs)) / share)
+	return time.Duration((linear + pairs*float64(engine.PerMillionPairs)) / parts)
 }
 
-// Pass is the time of one pass of an engine that writes for some requests with a total
-// context, without any reading.
-func (engine *Engine) Pass(writers, contextTokens int) time.Duration {
-	step := engine.Step + time.Duration(writers)*engine.PerRequest + time.Duration(float64(contextTokens)/1000*float64(engine.PerThousand))
+// Pass returns the time of one pass of an engine that is decoding for the given number of
+// requests with the given total context and does not prefill.
+func (engine *Engine) Pass(decodingRequests, contextTokens int) time.Duration {
+	step := engine.Step + time.Duration(decodingRequests)*engine.PerRequest + time.Duration(float64(contextTokens)/1000*float64(engine.PerThousand))
 	return time.Duration(max(engine.Stride, 1)) * step
 }
 
-// Load is the work that an engine has.
+// Load is the current work of an engine.
 type Load struct {
-	// Queued is the reading time of prompts that are not read yet.
+	// Queued is the prefill time of the queued prompts.
 	Queued time.Duration
-	// QueuedTokens are the tokens of these prompts.
+	// QueuedTokens is the number of tokens in these prompts.
 	QueuedTokens int
-	// Writers are the requests that write, ContextTokens their contexts together.
+	// Writers is the number of decoding requests, ContextTokens the total of their contexts.
 	Writers, ContextTokens int
 }
 
-// FirstToken predicts the time from the arrival of a prompt part at the engine to the end
-// of its reading. An engine that writes reads inside its passes, a chunk in each step; half
-// a pass is under way when the part arrives.
-func (engine *Engine) FirstToken(load Load, tokens int, reading time.Duration) time.Duration {
-	total := load.Queued + reading
+// FirstToken predicts the time from the arrival of a prompt part at the engine to the end of its
+// prefill. While an engine is decoding, it prefills one chunk in each step of a pass. On average,
+// half a pass remains when the part arrives.
+func (engine *Engine) FirstToken(load Load, tokens int, prefill time.Duration) time.Duration {
+	total := load.Queued + prefill
 	if load.Writers == 0 || engine.Chunk <= 0 {
 		return total
 	}
@@ -85,8 +84,8 @@
 	return total + pass/2 + time.Duration(passes*float64(pass))
 }
 
-// Pause predicts the longest pause of those who write while a prompt part is read as well:
-// all that waits to be read may be read inside one pass.
-func (engine *Engine) Pause(load Load, reading time.Duration) time.Duration {
-	return engine.Pass(load.Writers+1, load.ContextTokens) + load.Queued + reading
+// Pause predicts the longest interruption of the decoding requests by the prefill of another
+// prompt part. All queued prompts may be prefilled within one pass.
+func (engine *Engine) Pause(load Load, prefill time.Duration) time.Duration {
+	return engine.Pass(load.Writers+1, load.ContextTokens) + load.Queued + prefill
 }
--- a/core/decision/dogwoodenginetime/enginetime_test.go
+++ b/core/decision/dogwoodenginetime/enginetime_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// engine has the figures of the engines that the product is run with today.
+// engine has the performance figures of the engines currently in use.
 var engine = Engine{
 	Slots: 16, MemoryTokens: 405_000, Step: 1310 * time.Microsecond, PerRequest: 917 * time.Nanosecond,
 	PerThousand: 2130 * time.Nanosecond, TokensPerSecond: 154_000, PerMillionPairs: 162 * time.Microsecond,
 	Chunk: 2048, Stride: 34,
 }
 
-func near(got, want time.Duration) bool {
+func within3Percent(got, want time.Duration) bool {
 	return got > want*97/100 && got < want*103/100
 }
 
@@ -29,7 +29,7 @@
 		{0, 1, 0},
 	}
 	for _, test := range tests {
-		if got := engine.Read(test.tokens, test.engines); !near(got, test.want) && got != test.want {
+		if got := engine.Read(test.tokens, test.engines); !within3Percent(got, test.want) && got != test.want {
 			t.Errorf("Read(%d, %d): got %s, want %s", test.tokens, test.engines, got, test.want)
 		}
 	}
@@ -47,24 +47,23 @@
 	}{
 		{"idle", Load{}, 4_960, 34 * time.Millisecond},
 		{"behind another prompt", Load{Queued: time.Second, QueuedTokens: 90_000}, 4_960, 1034 * time.Millisecond},
-		{"inside a pass of writers", Load{Writers: 10, ContextTokens: 60_000}, 4_960, 108 * time.Millisecond},
-		{"over several passes of writers", Load{Writers: 10, ContextTokens: 60_000}, 182_000, 4037 * time.Millisecond},
+		{"within one pass of decoding requests", Load{Writers: 10, ContextTokens: 60_000}, 4_960, 108 * time.Millisecond},
+		{"over several passes of decoding requests", Load{Writers: 10, ContextTokens: 60_000}, 182_000, 4037 * time.Millisecond},
 	}
 	for _, test := range tests {
-		if got := engine.FirstToken(test.load, test.tokens, engine.Read(test.tokens, 1)); !near(got, test.want) {
+		if got := engine.FirstToken(test.load, test.tokens, engine.Read(test.tokens, 1)); !within3Percent(got, test.want) {
 			t.Errorf("%s: got %s, want %s", test.name, got, test.want)
 		}
 	}
 }
 
-// A long prompt that is read beside writers holds up each of their passes by as much as is
-// read in it.
-func TestPauseGrowsWithWhatIsRead(t *testing.T) {
+// The prefill of a long prompt extends a pass of the decoding requests by the time of that prefill.
+func TestPauseIncludesPrefill(t *testing.T) {
 	load := Load{Writers: 10, ContextTokens: 60_000}
-	if got, want := engine.Pause(load, 0), 49*time.Millisecond; !near(got, want) {
+	if got, want := engine.Pause(load, 0), 49*time.Millisecond; !within3Percent(got, want) {
 		t.Errorf("got a pause of %s, want %s", got, want)
 	}
-	if got, want := engine.Pause(load, time.Second), 1049*time.Millisecond; !near(got, want) {
-		t.Errorf("got a pause of %s beside a long prompt, want %s", got, want)
+	if got, want := engine.Pause(load, time.Second), 1049*time.Millisecond; !within3Percent(got, want) {
+		t.Errorf("got a pause of %s with a long prompt, want %s", got, want)
 	}
 }
--- a/core/decision/dogwoodfreshness/freshness.go
+++ b/core/decision/dogwoodfreshness/freshness.go
@@ -1,15 +1,14 @@
-// Package dogwoodfreshness keeps when the platform's store last proved that what a daemon
-// believes is still so.
+// Package dogwoodfreshness tracks when the platform's store last confirmed that a daemon's state
+// is current.
 //
-// A daemon that is cut off from the store goes on believing its last text: it would accept
-// a key that was taken away, and send to an endpoint that has left. Every answer of the
-// store proves the state as it was when the question was sent; a question that was never
-// answered proves nothing. So the age of the last proof bounds how much the daemon may have
-// missed, and a request that must not run on a withdrawn key is refused once that age
-// comes near the bound.
+// A daemon that is cut off from the store keeps using its last known state: it would accept a
+// withdrawn key and send requests to an endpoint that has left. Each answer of the store confirms
+// the state as of the time when the query was sent; an unanswered query confirms nothing. The age
+// of the last confirmation therefore bounds how long changes may have gone unnoticed. A request
+// that must not run on a withdrawn key is rejected once that age approaches the bound.
 //
-// Ages are taken on a clock that goes on while the machine is suspended: a monotonic clock
-// that stops then would show a daemon that wakes after a minute as up to date.
+// Ages are measured on a clock that continues while the machine is suspended. With a monotonic
+// clock that stops during suspension, a daemon that resumes after a minute would appear up to date.
 package dogwoodfreshness
 
 import (
@@ -17,45 +16,47 @@
 	"time"
 )
 
-// Clock returns the time since an arbitrary moment, suspension included.
+// Clock returns the time since an arbitrary fixed point, including time spent suspended.
 type Clock func() time.Duration
 
-// Proof is the moment of the last proof. It is safe for concurrent use.
+// Proof tracks the time of the store's last confirmation. It is safe for concurrent use.
 type Proof struct {
 	clock Clock
 
-	mutex  sync.Mutex
-	proven bool
-	at     time.Duration
+	mutex       sync.Mutex
+	confirmed   bool
+	confirmedAt time.Duration
 }
 
-// New returns a proof that has not been given yet.
+// New returns a Proof without any confirmation.
 func New(clock Clock) *Proof {
 	return &Proof{clock: clock}
 }
 
-// Now is the moment to pass to Prove later, taken before the store is asked.
+// Now returns the current time of the clock. Callers take it before they query the store and pass
+// it to Prove once the store has answered.
 func (proof *Proof) Now() time.Duration {
 	return proof.clock()
 }
 
-// Prove notes an answer of the store to a question that was sent at the moment.
+// Prove records that the store answered a query that was sent at asked. A query older than the last
+// confirmation has no effect.
 func (proof *Proof) Prove(asked time.Duration) {
 	proof.mutex.Lock()
 	defer proof.mutex.Unlock()
-	if !proof.proven || asked > proof.at {
-		proof.proven, proof.at = true, asked
+	if !proof.confirmed || asked > proof.confirmedAt {
+		proof.confirmed, proof.confirmedAt = true, asked
 	}
 }
 
-// Age returns the age of the last proof, and false if there was none.
+// Age returns the age of the last confirmation, and false if there was none.
 func (proof *Proof) Age() (time.Duration, bool) {
 	proof.mutex.Lock()
 	defer proof.mutex.Unlock()
-	return proof.clock() - proof.at, proof.proven
+	return proof.clock() - proof.confirmedAt, proof.confirmed
 }
 
-// Within reports whether the last proof is younger than the bound.
+// Within reports whether the last confirmation is younger than the bound.
 func (proof *Proof) Within(bound time.Duration) bool {
 	age, proven := proof.Age()
 	return proven && age < bound
--- a/core/decision/dogwoodmemory/gang.go
+++ b/core/decision/dogwoodmemory/gang.go
@@ -9,33 +9,35 @@
 )
 
 const (
-	// ShortPart is the part of an engine's memory that a gang leaves to others: one eighth of
-	// 400,000 tokens is a dozen requests of 4,000, so short work flows beside the longest.
+	// ShortPart is the divisor for the share of each engine's memory that a gang leaves to
+	// other requests. One eighth of 400,000 tokens fits a dozen requests of 4,000, so that
+	// short requests still run beside the longest ones.
 	ShortPart = 8
-	// MostMembers bounds a gang. A request of a million tokens takes three or four engines of
-	// today; with each more member the chance rises that one dies in the minutes it runs.
+	// MostMembers is the maximum number of engines in a gang. A request of a million tokens
+	// takes three or four current engines, and each additional member raises the chance that
+	// one fails during the minutes that the request runs.
 	MostMembers = 8
 )
 
-// Room is an engine that a gang may include.
+// Room is the memory of an engine that a gang may include, in tokens.
 type Room struct {
 	Endpoint dogwoodfleet.EndpointID
 	Memory   int
 	Free     int
 }
 
-// Gang is the engines that together hold a request's memory, in the fixed order in which
-// every gang reserves; the first of them runs it.
+// Gang is a set of engines that together hold a request's memory. Members is in the fixed
+// order in which every gang reserves memory; the first member runs the request.
 type Gang struct {
 	Members []dogwoodfleet.EndpointID
-	// Tokens is the share of each.
+	// Tokens is the share of each member.
 	Tokens int
 }
 
-// TooLarge means that a request can never fit.
+// TooLarge reports that a request does not fit even if all engines are empty.
 type TooLarge struct {
 	Tokens int
-	// Most is the tokens that a request may have, prompt and answer together.
+	// Most is the maximum number of tokens per request, prompt and answer together.
 	Most int
 }
 
@@ -43,12 +45,12 @@
 	return fmt.Sprintf("memory: the request needs %d tokens; at most %d fit", large.Tokens, large.Most)
 }
 
-// PlanGang chooses the fewest engines that hold the request together, those with the most
-// free memory first. One is enough for most. The error is *TooLarge if all engines, were
-// they empty, could not hold it: no waiting would help.
+// PlanGang chooses the fewest engines that can hold the request together, preferring those
+// with the most free memory. Most requests fit on one engine. PlanGang returns *TooLarge if
+// the request would not fit even with all engines empty, so that waiting would not help.
 func PlanGang(tokens int, rooms []Room) (Gang, error) {
-	if most := Most(rooms); tokens > most {
-		return Gang{}, &TooLarge{Tokens: tokens, Most: most}
+	if maxTokens := Most(rooms); tokens > maxTokens {
+		return Gang{}, &TooLarge{Tokens: tokens, Most: maxTokens}
 	}
 	ordered := slices.Clone(rooms)
 	slices.SortFunc(ordered, func(left, right Room) int {
@@ -56,14 +58,14 @@
 	})
 	for members := 1; members <= min(len(ordered), MostMembers); members++ {
 		share := (tokens + members - 1) / members
-		able := slices.DeleteFunc(slices.Clone(ordered), func(room Room) bool {
+		eligible := slices.DeleteFunc(slices.Clone(ordered), func(room Room) bool {
 			return share > usable(room.Memory, members)
 		})
-		if len(able) < members {
+		if len(eligible) < members {
 			continue
 		}
 		gang := Gang{Tokens: share}
-		for _, room := range able[:members] {
+		for _, room := range eligible[:members] {
 			gang.Members = append(gang.Members, room.Endpoint)
 		}
 		slices.Sort(gang.Members)
@@ -72,9 +74,9 @@
 	return Gang{}, &TooLarge{Tokens: tokens, Most: Most(rooms)}
 }
 
-// Most returns the tokens that a request may have on the engines, alone or as a gang.
+// Most returns the maximum number of tokens per request on a single engine or a gang.
 func Most(rooms []Room) int {
-	most := 0
+	maxTokens := 0
 	memories := make([]int, 0, len(rooms))
 	for _, room := range rooms {
 		memories = append(memories, room.Memory)
@@ -82,13 +84,13 @@
 	slices.Sort(memories)
 	slices.Reverse(memories)
 	for members := 1; members <= min(len(memories), MostMembers); members++ {
-		// All members have the same share, so the smallest of the largest bounds it.
-		most = max(most, members*usable(memories[members-1], members))
+		// All members have the same share, so the smallest member's memory limits it.
+		maxTokens = max(maxTokens, members*usable(memories[members-1], members))
 	}
-	return most
+	return maxTokens
 }
 
-// usable is the part of an engine's memory that one request may have.
+// usable returns how much of an engine's memory one request may use in a gang of that size.
 func usable(memory, members int) int {
 	if members == 1 {
 		return memory
--- a/core/decision/dogwoodmemory/ledger.go
+++ b/core/decision/dogwoodmemory/ledger.go
@@ -1,21 +1,26 @@
-// Package dogwoodmemory keeps the books of an engine's KV memory, in tokens.
+// Package dogwoodmemory accounts for an engine's KV cache memory, in tokens.
 //
-// Load pattern: prompts of a thousand to a million tokens share an engine whose memory a few
-// long ones fill. What decides is how much is held now, and an engine's own report of that is
-// a second old. Every request has a hold from its grant until the engine has provably let go.
+// Load pattern: prompts of a thousand to a million tokens share an engine, and a few long
+// prompts fill its memory. Admission depends on how much memory is held now, but the engine's
+// own report is a second old. Each request therefore has a hold from its grant until the
+// engine is known to have released the memory.
 //
-// Without it a grant would rest on the lagging report: in the second before a burst shows,
-// an engine would be given several times its memory, and queue or evict. And memory would be
-// lost for good: an entry that dies leaves a stream that no one reads, a cancel can get lost,
-// and an owner can die with all it knew. So the books are compared with the engine's own
-// list, which tells what runs there whoever sent it, and what no one holds is cancelled.
+// Grants based on the delayed report alone would give an engine several times its memory in
+// the second before a burst shows up, and the engine would queue or evict. Memory would also
+// leak: a failed entry daemon leaves a stream that nobody reads, a cancel can be lost, and an
+// owner can fail together with its state. The ledger is therefore reconciled with the
+// engine's list, which includes every running request regardless of its sender. Streams
+// without a hold are cancelled.
 //
-// What must not happen is that the comparison frees what is in use. Three things cross: the
-// engine's answer is older than what the books say, a renewal comes late, and a grant is on
-// its way to the engine. Hence the rules: an answer counts only for what had happened before
-// it was asked for; a hold that lapsed is still counted, and can be renewed, until it was
-// handed out for cancelling; memory is given out again only when a later answer does not
-// list the request any more, or the engine process itself is gone.
+// Reconciliation must not free memory that is in use. Three races threaten that: the
+// engine's answer is older than the ledger, a renewal arrives late, and a granted request has
+// not reached the engine yet. The rules are:
+//
+//   - An answer only counts for events before it was requested.
+//   - An expired hold still counts, and can be renewed, until the request is returned for
+//     cancelling.
+//   - Memory is granted again only after a later answer no longer lists the request, or after
+//     the engine process is gone.
 package dogwoodmemory
 
 import (
@@ -31,32 +36,32 @@
 var Error = errs.Class("memory")
 
 const (
-	// LapseGrace is how long after its lease a hold is left alone. A paused process or a
-	// broken connection between daemons commonly lasts some seconds; cancelling a stream
-	// whose caller still reads it is worse than ten seconds of an engine's memory.
+	// LapseGrace is how long a hold is kept after its lease expires. Process pauses and broken
+	// connections between daemons commonly last some seconds, and cancelling a stream that its
+	// caller still reads is worse than holding an engine's memory for ten seconds longer.
 	LapseGrace = 10 * time.Second
-	// UnclaimedGrace is how long a stream that no hold explains is left alone. After a change
-	// of owner the entries announce what they hold within a few heartbeats of a second, and
-	// an entry that finds no owner at all keeps trying for as long.
+	// UnclaimedGrace is how long a stream without a hold may run before it is cancelled. After
+	// a change of owner, entry daemons announce their holds within a few one-second
+	// heartbeats. An entry daemon that finds no owner retries for as long as this grace.
 	UnclaimedGrace = 30 * time.Second
-	// DrainGrace is how long the entry that ended a request has to cancel it itself.
+	// DrainGrace is how long the entry daemon that ended a request has to cancel it.
 	DrainGrace = 5 * time.Second
-	// InFlight is how long a request that its holder ended may still be on its way: the
-	// engine client gives a connection up after two seconds.
+	// InFlight is how long a request that its holder ended may still be in transit to the
+	// engine. The engine client abandons a connection attempt after two seconds.
 	InFlight = 2 * time.Second
-	// endedKept is how long an ended request is remembered against answers asked for before.
-	// A question to an engine is given up after two seconds.
-	endedKept = 10 * time.Second
+	// endedTTL is how long an ended request is remembered, so that an answer requested
+	// before the end does not bring it back. A query to an engine times out after two seconds.
+	endedTTL = 10 * time.Second
 )
 
-// phase is how far a hold is.
+// phase is the lifecycle phase of a hold.
 type phase int
 
 const (
 	live phase = iota
-	// draining: the holder ended it; the engine has not been seen without it.
+	// draining: the holder ended the request, and the engine may still run it.
 	draining
-	// cancelling: it was handed out for cancelling and can't be renewed.
+	// cancelling: the request was returned for cancelling, and the hold can't be renewed.
 	cancelling
 )
 
@@ -65,31 +70,31 @@
 	holder  dogwoodfleet.InstanceID
 	expires time.Time
 	phase   phase
-	// since is when the phase began.
+	// since is when the current phase began.
 	since time.Time
-	// seenAt is the engine process that listed it; empty if none has.
-	seenAt dogwoodfleet.InstanceID
+	// seenInstance is the engine process that last listed the request; empty if none has.
+	seenInstance dogwoodfleet.InstanceID
 }
 
-// unclaimed is what the engine lists and no hold explains.
+// unclaimed is a request that the engine lists and that has no hold.
 type unclaimed struct {
 	tokens   int
 	reserved bool
 	since    time.Time
 }
 
-// Ledger is the books of one engine. It is not safe for concurrent use.
+// Ledger accounts for the memory of one engine. It is not safe for concurrent use.
 type Ledger struct {
 	memory    int
 	instance  dogwoodfleet.InstanceID
-	asked     time.Time
+	lastAsked time.Time
 	holds     map[dogwoodfleet.RequestID]*hold
 	unclaimed map[dogwoodfleet.RequestID]unclaimed
 	ended     map[dogwoodfleet.RequestID]time.Time
 	used      int
 }
 
-// New returns the books of an engine of which nothing is known.
+// New returns an empty ledger for an engine whose memory is unknown.
 func New() *Ledger {
 	return &Ledger{
 		holds:     map[dogwoodfleet.RequestID]*hold{},
@@ -98,50 +103,52 @@
 	}
 }
 
-// NoRoom means that a hold does not fit now.
+// NoRoom reports that a hold does not fit into the memory that is free now.
 type NoRoom struct{ Free int }
 
 func (room *NoRoom) Error() string {
 	return fmt.Sprintf("memory: %d tokens are free", room.Free)
 }
 
-// Hold is memory kept for a request.
+// Hold is memory reserved for a request.
 type Hold struct {
 	Request dogwoodfleet.RequestID
-	// Holder is the daemon that renews it.
+	// Holder is the daemon that renews the hold.
 	Holder  dogwoodfleet.InstanceID
 	Tokens  int
 	Expires time.Time
 }
 
-// Memory returns the engine's memory in tokens; 0 if unknown.
+// Memory returns the engine's memory in tokens, or 0 if it is unknown.
 func (ledger *Ledger) Memory() int { return ledger.memory }
 
-// Used returns the tokens held, those of unexplained streams included.
+// Used returns the number of tokens in use, including unclaimed streams.
 func (ledger *Ledger) Used() int { return ledger.used }
 
-// Free returns the tokens that can still be given out; 0 or less if none or unknown.
+// Free returns the number of tokens that can still be granted. It is 0 or less if none are
+// free or the engine's memory is unknown.
 func (ledger *Ledger) Free() int { return ledger.memory - ledger.used }
 
-// SetMemory states the engine's memory before its first report.
+// SetMemory sets the engine's memory, for use before its first report.
 func (ledger *Ledger) SetMemory(tokens int) { ledger.memory = tokens }
 
-// Reserve keeps memory for a request that is about to be sent. The error is *NoRoom.
+// Reserve adds a hold for a request that is about to be sent. It returns *NoRoom if the hold
+// does not fit.
 func (ledger *Ledger) Reserve(wanted Hold, now time.Time) error {
-	if known := ledger.holds[wanted.Request]; known != nil {
-		return Error.New("request %s has a hold", wanted.Request)
+	if hold := ledger.holds[wanted.Request]; hold != nil {
+		return Error.New("request %s already has a hold", wanted.Request)
 	}
 	if wanted.Tokens > ledger.Free() {
 		return &NoRoom{Free: ledger.Free()}
 	}
-	ledger.add(wanted, now)
+	ledger.addHold(wanted, now)
 	return nil
 }
 
-// Claim takes over a hold that another owner gave: the memory is in use already, so it is
-// not asked whether it fits. It returns false if the request was handed out for cancelling.
+// Claim takes over a hold that another owner granted. The memory is already in use, so Claim
+// does not check whether it fits. It returns false if the request was returned for cancelling.
 func (ledger *Ledger) Claim(wanted Hold, now time.Time) bool {
-	if known := ledger.holds[wanted.Request]; known != nil {
+	if hold := ledger.holds[wanted.Request]; hold != nil {
 		return ledger.Renew(wanted.Request, wanted.Expires)
 	}
 	if seen, found := ledger.unclaimed[wanted.Request]; found {
@@ -149,11 +156,11 @@
 		wanted.Tokens = max(wanted.Tokens, seen.tokens)
 		delete(ledger.unclaimed, wanted.Request)
 	}
-	ledger.add(wanted, now)
+	ledger.addHold(wanted, now)
 	return true
 }
 
-func (ledger *Ledger) add(wanted Hold, now time.Time) {
+func (ledger *Ledger) addHold(wanted Hold, now time.Time) {
 	delete(ledger.ended, wanted.Request)
 	ledger.used += wanted.Tokens
 	ledger.holds[wanted.Request] = &hold{
@@ -164,36 +171,36 @@
 	}
 }
 
-// Renew lengthens a hold, also one that has lapsed. It returns false if there is none, or
-// if it was handed out for cancelling: the holder must then end the stream.
+// Renew extends a hold, including one that has expired. It returns false if the request has no
+// hold or is draining or being cancelled; the holder must then end the stream.
 func (ledger *Ledger) Renew(request dogwoodfleet.RequestID, expires time.Time) bool {
-	known := ledger.holds[request]
-	if known == nil || known.phase != live {
+	hold := ledger.holds[request]
+	if hold == nil || hold.phase != live {
 		return false
 	}
-	if expires.After(known.expires) {
-		known.expires = expires
+	if expires.After(hold.expires) {
+		hold.expires = expires
 	}
 	return true
 }
 
-// Finish ends a hold whose request the engine itself said is over: its memory is free.
+// Finish ends the hold of a request that the engine reported as finished, and frees its memory.
 func (ledger *Ledger) Finish(request dogwoodfleet.RequestID, now time.Time) {
-	if known := ledger.holds[request]; known != nil {
-		ledger.drop(request, known, now)
+	if hold := ledger.holds[request]; hold != nil {
+		ledger.removeHold(request, hold, now)
 	}
 }
 
-// Drain ends a hold whose request may still run, as the caller left or the connection was
-// lost. Its memory is free once the engine does not list it any more.
+// Drain ends the hold of a request that may still run because its caller left or the
+// connection was lost. The memory is freed once the engine no longer lists the request.
 func (ledger *Ledger) Drain(request dogwoodfleet.RequestID, now time.Time) {
-	if known := ledger.holds[request]; known != nil && known.phase == live {
-		known.phase, known.since = draining, now
+	if hold := ledger.holds[request]; hold != nil && hold.phase == live {
+		hold.phase, hold.since = draining, now
 	}
 }
 
-func (ledger *Ledger) drop(request dogwoodfleet.RequestID, known *hold, now time.Time) {
-	ledger.used -= known.tokens
+func (ledger *Ledger) removeHold(request dogwoodfleet.RequestID, hold *hold, now time.Time) {
+	ledger.used -= hold.tokens
 	delete(ledger.holds, request)
 	ledger.ended[request] = now
 }
--- a/core/decision/dogwoodmemory/memory_test.go
+++ b/core/decision/dogwoodmemory/memory_test.go
@@ -21,18 +21,18 @@
 	}
 }
 
-// A report for the board is cut off: its entry paused for some seconds, so the hold lapsed,
-// and its renewal crossed a comparison with the engine's list. The stream must live on, and
-// once it was handed out for cancelling the late renewal must be told so.
-func TestLateRenewalCrossesReconcile(t *testing.T) {
+// Guards against cancelling a stream in use: the entry daemon pauses for some seconds, the hold
+// expires, and the renewal arrives after a reconciliation with the engine's list. The stream must
+// continue within the grace. Once it was returned for cancelling, the late renewal must fail.
+func TestRenewalAfterExpiry(t *testing.T) {
 	tests := []struct {
 		name        string
 		reconcile   int // seconds
 		wantOrphans int
 		wantRenewed bool
 	}{
-		{name: "within the grace it is left alone", reconcile: 8, wantOrphans: 0, wantRenewed: true},
-		{name: "beyond it is cancelled for good", reconcile: 14, wantOrphans: 1, wantRenewed: false},
+		{name: "renewed within the grace", reconcile: 8, wantOrphans: 0, wantRenewed: true},
+		{name: "cancelled after the grace", reconcile: 14, wantOrphans: 1, wantRenewed: false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -47,15 +47,15 @@
 				t.Errorf("got renewed %v, want %v", got, test.wantRenewed)
 			}
 			if got := ledger.Used(); got != 60 {
-				t.Errorf("got %d tokens in the books, want 60 until the engine lists it no more", got)
+				t.Errorf("got %d tokens used, want 60 until the engine no longer lists the request", got)
 			}
 		})
 	}
 }
 
-// An engine restarts in the second in which a grant goes to it. What ran in the old process
-// is gone; what is on its way will run in the new one and must stay in the books.
-func TestNewInstanceFreesOnlyWhatRanInTheOldOne(t *testing.T) {
+// Guards against freeing a granted request that is in transit while its engine restarts. Holds of
+// the old process are freed; the request in transit will run in the new process and keeps its hold.
+func TestEngineRestartFreesOnlyHoldsOfOldProcess(t *testing.T) {
 	ledger := New()
 	ledger.SetMemory(100)
 	reserve(t, ledger, "old", 60)
@@ -63,13 +63,13 @@
 	reserve(t, ledger, "new", 30)
 	ledger.Reconcile(Report{Asked: at(2), Instance: "i2"}, at(2))
 	if got := ledger.Used(); got != 30 {
-		t.Errorf("got %d tokens in the books, want 30", got)
+		t.Errorf("got %d tokens used, want 30", got)
 	}
 }
 
-// An answer that was asked for before a request ended still lists it, and comes after. It
-// must not bring the memory back into the books.
-func TestOldAnswerListsWhatHasEnded(t *testing.T) {
+// Guards against counting an ended request again: a report that was requested before the request
+// ended still lists it and arrives afterwards.
+func TestOutdatedReportListsEndedRequest(t *testing.T) {
 	ledger := New()
 	ledger.SetMemory(100)
 	reserve(t, ledger, "r1", 60)
@@ -80,15 +80,16 @@
 	}
 }
 
-// An owner dies with the entry whose stream it had granted. No one announces the stream to
-// the new owner, which must count its memory at once and cancel it in the end.
-func TestStreamThatNoOneClaims(t *testing.T) {
+// Guards against leaked memory: an owner fails together with the entry daemon whose stream it had
+// granted, so that no daemon announces the stream to the new owner. The new owner must count the
+// stream's memory at once and cancel the stream after the grace.
+func TestUnclaimedStreamIsCancelled(t *testing.T) {
 	ledger := New()
 	ledger.SetMemory(100)
 	listed := []Listed{{Request: "lost", Tokens: 60}, {Request: "claimed", Tokens: 10}, {Request: "gang", Tokens: 20, Reserved: true}}
 	for second := 1; second <= 31; second++ {
 		if second == 5 && !ledger.Claim(Hold{Request: "claimed", Tokens: 10, Expires: at(100)}, at(5)) {
-			t.Error("got the claim refused, want it taken")
+			t.Error("got the claim rejected, want it accepted")
 		}
 		var got []dogwoodfleet.RequestID
 		for _, orphan := range ledger.Reconcile(Report{Asked: at(second), Instance: "i1", Listed: listed}, at(second)) {
@@ -102,7 +103,7 @@
 			t.Errorf("second %d: got orphans %v, want %v", second, got, want)
 		}
 		if got := ledger.Used(); got != 90 {
-			t.Errorf("second %d: got %d tokens in the books, want 90", second, got)
+			t.Errorf("second %d: got %d tokens used, want 90", second, got)
 		}
 	}
 }
@@ -115,25 +116,25 @@
 		{Endpoint: "a", Memory: 400_000, Free: 400_000},
 	}
 	tests := []struct {
-		name     string
-		tokens   int
-		want     []dogwoodfleet.EndpointID
-		wantMost int
+		name    string
+		tokens  int
+		want    []dogwoodfleet.EndpointID
+		wantMax int
 	}{
 		{name: "one engine is enough", tokens: 400_000, want: []dogwoodfleet.EndpointID{"a"}},
 		{name: "the fewest engines, in the fixed order", tokens: 1_000_000, want: []dogwoodfleet.EndpointID{"a", "b", "d"}},
-		{name: "a busy engine counts as if empty", tokens: 1_400_000, want: []dogwoodfleet.EndpointID{"a", "b", "c", "d"}},
-		{name: "what never fits is told its most", tokens: 1_400_001, wantMost: 1_400_000},
+		{name: "a busy engine counts as empty", tokens: 1_400_000, want: []dogwoodfleet.EndpointID{"a", "b", "c", "d"}},
+		{name: "a request that never fits gets the maximum", tokens: 1_400_001, wantMax: 1_400_000},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			gang, err := PlanGang(test.tokens, rooms)
 			var large *TooLarge
-			if errors.As(err, &large) && large.Most != test.wantMost {
-				t.Errorf("got most %d, want %d", large.Most, test.wantMost)
+			if errors.As(err, &large) && large.Most != test.wantMax {
+				t.Errorf("got maximum %d, want %d", large.Most, test.wantMax)
 			}
-			if (err != nil) != (test.wantMost > 0) {
-				t.Errorf("got error %v, want most %d", err, test.wantMost)
+			if (err != nil) != (test.wantMax > 0) {
+				t.Errorf("got error %v, want maximum %d", err, test.wantMax)
 			}
 			if !slices.Equal(gang.Members, test.want) {
 				t.Errorf("got %v, want %v", gang.Members, test.want)
--- a/core/decision/dogwoodmemory/reconcile.go
+++ b/core/decision/dogwoodmemory/reconcile.go
@@ -8,38 +8,38 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Listed is one entry of an engine's own list.
+// Listed is one request in an engine's list of what holds its memory.
 type Listed struct {
 	Request dogwoodfleet.RequestID
 	Tokens  int
-	// Reserved is true for memory set aside and not yet run. The engine frees it by itself
-	// when its lease ends, so it is never handed out for cancelling.
+	// Reserved is true for memory that is reserved for a request not yet running. The engine
+	// frees it when its lease expires, so it is never returned for cancelling.
 	Reserved bool
-	// HolderGone is true if the daemon that sent it is known to be dead, so that nobody can
-	// announce it any more.
+	// HolderGone is true if the daemon that sent the request is known to be dead, so that no
+	// daemon can announce its hold any more.
 	HolderGone bool
 }
 
-// Report is an engine's answer to what holds its memory.
+// Report is an engine's list of the requests that hold its memory.
 type Report struct {
-	// Asked is when the question was sent: the answer is not older.
+	// Asked is when the list was requested; the answer is at least as recent.
 	Asked    time.Time
 	Instance dogwoodfleet.InstanceID
-	// MemoryTokens is the engine's whole memory; 0 if it did not tell.
+	// MemoryTokens is the engine's total memory; 0 if it was not reported.
 	MemoryTokens int
 	Listed       []Listed
 }
 
-// Why says why a stream is handed out for cancelling.
+// Why is the reason for cancelling a stream.
 type Why string
 
 // The reasons for cancelling.
 const (
-	// WhyLapsed: its holder stopped renewing it.
+	// WhyLapsed means that the holder stopped renewing the hold.
 	WhyLapsed Why = "Lapsed"
-	// WhyEnded: its holder ended it and its cancel did not come through.
+	// WhyEnded means that the holder ended the request and its cancel did not take effect.
 	WhyEnded Why = "Ended"
-	// WhyUnclaimed: no daemon says that it holds it.
+	// WhyUnclaimed means that no daemon has announced a hold for the stream.
 	WhyUnclaimed Why = "Unclaimed"
 )
 
@@ -50,15 +50,15 @@
 	Why     Why
 }
 
-// Reconcile compares the books with the engine's list and returns what to cancel, ordered
-// by request. An orphan is returned again with each report that still lists it.
+// Reconcile updates the ledger from the engine's list and returns the requests to cancel,
+// ordered by request. An orphan is returned again for each report that still lists it.
 func (ledger *Ledger) Reconcile(report Report, now time.Time) []Orphan {
-	if !report.Asked.After(ledger.asked) {
-		// Failure guarded against: two answers overtake each other, and the older one would
-		// bring back what has ended.
+	if !report.Asked.After(ledger.lastAsked) {
+		// If answers arrive out of order, the older one would bring back requests that have
+		// ended.
 		return nil
 	}
-	ledger.asked = report.Asked
+	ledger.lastAsked = report.Asked
 	ledger.instance = report.Instance
 	if report.MemoryTokens > 0 {
 		ledger.memory = report.MemoryTokens
@@ -68,67 +68,70 @@
 		listed[entry.Request] = entry
 	}
 	ledger.freeUnlisted(listed, now)
-	orphans := ledger.judgeHolds(listed, now)
-	orphans = append(orphans, ledger.judgeUnclaimed(listed, now)...)
-	ledger.forgetEnded(now)
+	orphans := ledger.checkHolds(listed, now)
+	orphans = append(orphans, ledger.checkUnclaimed(listed, now)...)
+	ledger.pruneEnded(now)
 	slices.SortFunc(orphans, func(left, right Orphan) int { return cmp.Compare(left.Request, right.Request) })
 	return orphans
 }
 
-// freeUnlisted drops the holds that the engine provably does not have any more.
+// freeUnlisted removes the holds of unlisted requests that ran in an earlier engine process,
+// have ended or have expired.
 func (ledger *Ledger) freeUnlisted(listed map[dogwoodfleet.RequestID]Listed, now time.Time) {
-	for request, known := range ledger.holds {
+	for request, hold := range ledger.holds {
 		if _, found := listed[request]; found {
 			continue
 		}
-		ranInDeadProcess := known.seenAt != "" && known.seenAt != ledger.instance
-		over := known.phase != live && known.since.Add(onItsWay(known)).Before(ledger.asked)
-		lapsed := known.expires.Add(LapseGrace).Before(ledger.asked)
-		if ranInDeadProcess || over || lapsed {
-			ledger.drop(request, known, now)
+		ranInDeadProcess := hold.seenInstance != "" && hold.seenInstance != ledger.instance
+		ended := hold.phase != live && hold.since.Add(arrivalGrace(hold)).Before(ledger.lastAsked)
+		expired := hold.expires.Add(LapseGrace).Before(ledger.lastAsked)
+		if ranInDeadProcess || ended || expired {
+			ledger.removeHold(request, hold, now)
 		}
 	}
 }
 
-// onItsWay is for how long a request that the engine has not listed yet may still reach it.
-func onItsWay(known *hold) time.Duration {
-	if known.seenAt == "" {
+// arrivalGrace returns how long the request may still be in transit to the engine. It is zero
+// once an engine has listed the request.
+func arrivalGrace(hold *hold) time.Duration {
+	if hold.seenInstance == "" {
 		return InFlight
 	}
 	return 0
 }
 
-// judgeHolds finds what is listed and should not be.
-func (ledger *Ledger) judgeHolds(listed map[dogwoodfleet.RequestID]Listed, now time.Time) []Orphan {
+// checkHolds returns the listed requests whose holds have expired or ended, and raises each hold
+// to the number of tokens that the engine lists.
+func (ledger *Ledger) checkHolds(listed map[dogwoodfleet.RequestID]Listed, now time.Time) []Orphan {
 	var orphans []Orphan
-	for request, known := range ledger.holds {
+	for request, hold := range ledger.holds {
 		entry, found := listed[request]
 		if !found {
 			continue
 		}
-		known.seenAt = ledger.instance
-		if entry.Tokens > known.tokens {
+		hold.seenInstance = ledger.instance
+		if entry.Tokens > hold.tokens {
 			// The prompt was longer than estimated.
-			ledger.used += entry.Tokens - known.tokens
-			known.tokens = entry.Tokens
+			ledger.used += entry.Tokens - hold.tokens
+			hold.tokens = entry.Tokens
 		}
 		why := WhyEnded
 		switch {
-		case known.phase == live && now.After(known.expires.Add(LapseGrace)):
+		case hold.phase == live && now.After(hold.expires.Add(LapseGrace)):
 			why = WhyLapsed
-		case known.phase == live, known.phase == draining && now.Sub(known.since) < DrainGrace:
+		case hold.phase == live, hold.phase == draining && now.Sub(hold.since) < DrainGrace:
 			continue
 		}
-		if known.phase != cancelling {
-			known.phase, known.since = cancelling, now
+		if hold.phase != cancelling {
+			hold.phase, hold.since = cancelling, now
 		}
-		orphans = append(orphans, Orphan{Request: request, Tokens: known.tokens, Why: why})
+		orphans = append(orphans, Orphan{Request: request, Tokens: hold.tokens, Why: why})
 	}
 	return orphans
 }
 
-// judgeUnclaimed counts what is listed and no hold explains.
-func (ledger *Ledger) judgeUnclaimed(listed map[dogwoodfleet.RequestID]Listed, now time.Time) []Orphan {
+// checkUnclaimed counts the memory of listed requests without a hold and returns those to cancel.
+func (ledger *Ledger) checkUnclaimed(listed map[dogwoodfleet.RequestID]Listed, now time.Time) []Orphan {
 	var orphans []Orphan
 	before := ledger.unclaimed
 	ledger.unclaimed = map[dogwoodfleet.RequestID]unclaimed{}
@@ -137,19 +140,19 @@
 	}
 	for request, entry := range listed {
 		endedAt, ended := ledger.ended[request]
-		if ledger.holds[request] != nil || ended && !endedAt.Before(ledger.asked) {
+		if ledger.holds[request] != nil || ended && !endedAt.Before(ledger.lastAsked) {
 			continue
 		}
 		seen := unclaimed{tokens: entry.Tokens, reserved: entry.Reserved, since: now}
-		if earlier, known := before[request]; known && earlier.reserved == entry.Reserved {
+		if earlier, found := before[request]; found && earlier.reserved == entry.Reserved {
 			seen.since = earlier.since
 		}
 		ledger.used += seen.tokens
 		ledger.unclaimed[request] = seen
 		grace := UnclaimedGrace
 		if entry.HolderGone {
-			// A dead owner's successor knows nothing of the dead entry's streams. It waits as
-			// long as it would after a lease that lapsed.
+			// If an owner dies together with the entry daemon, the new owner has no record of
+			// that daemon's streams. It waits as long as for an expired lease.
 			grace = LapseGrace
 		}
 		if !seen.reserved && (ended || now.Sub(seen.since) >= grace) {
@@ -159,9 +162,9 @@
 	return orphans
 }
 
-func (ledger *Ledger) forgetEnded(now time.Time) {
+func (ledger *Ledger) pruneEnded(now time.Time) {
 	for request, at := range ledger.ended {
-		if now.Sub(at) > endedKept {
+		if now.Sub(at) > endedTTL {
 			delete(ledger.ended, request)
 		}
 	}
--- a/core/decision/dogwoodmemory/unclaimed_test.go
+++ b/core/decision/dogwoodmemory/unclaimed_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// A daemon dies that was the entry of a million-token review and the owner of one of its
-// engines. The engine's new owner finds a stream that nobody announces. While its holder
-// may live it waits for the announcement; once it is known dead the memory comes back as
-// soon as after a lapsed lease.
-func TestStreamOfADeadHolderIsFreedSooner(t *testing.T) {
+// Guards against holding the memory of a long request for too long: a daemon fails that was both
+// the entry of a million-token request and the owner of one of its engines, and the engine's new
+// owner finds a stream that no daemon announces. It waits for the announcement while the holder
+// may be alive. Once the holder is known to be dead, the wait is only that after an expired lease.
+func TestStreamOfDeadHolderIsCancelledSooner(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	tests := []struct {
 		name       string
@@ -17,10 +17,10 @@
 		after      time.Duration
 		want       int
 	}{
-		{"holder may live", false, LapseGrace, 0},
-		{"holder may live, all wait over", false, UnclaimedGrace, 1},
-		{"holder is dead", true, LapseGrace, 1},
-		{"holder is dead, just found", true, LapseGrace - time.Second, 0},
+		{"holder may be alive, after LapseGrace", false, LapseGrace, 0},
+		{"holder may be alive, after UnclaimedGrace", false, UnclaimedGrace, 1},
+		{"holder is dead, after LapseGrace", true, LapseGrace, 1},
+		{"holder is dead, before LapseGrace", true, LapseGrace - time.Second, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/core/decision/dogwoodplacement/placement.go
+++ b/core/decision/dogwoodplacement/placement.go
@@ -1,18 +1,20 @@
 // Package dogwoodplacement decides which engine of a service holds which model, version and
-// adapters, as the operators' text wants it. It gives orders that state a wanted state; what
-// the engines report is compared with the text again and again, so an order that was lost
-// or half done is simply given again.
+// adapters, following the operators' configuration. An order states the holding that an engine
+// shall reach. The planner repeatedly compares the engines' reports with the configuration, so an
+// order that was lost or only partly carried out is issued again.
 //
-// Load pattern: several models share a pool of engines. Engines die and return, data centres
-// are taken out and brought back, and a new version of a model is rolled out under full load.
+// Load pattern: several models share a pool of engines. Engines fail and return, data centres
+// are taken out and brought back, and new versions of a model are rolled out under full load.
 //
-// What happens without it: an engine that restarts holds what its image says, and its
-// model's callers wait for ever; a roll-out that replaces all engines at once leaves the model
-// without a warm engine; and a data centre that leaves for minutes makes two models trade
-// their engines to and fro, each move a load of many gigabytes from a store that bears few.
+// Without this package, an engine that restarts holds what its image contains, and callers of
+// its previous model wait forever. A roll-out that replaces all engines at once leaves the model
+// without a warm engine. A data centre that leaves for minutes makes two models exchange
+// engines back and forth, and each move loads many gigabytes from a store that sustains few
+// loads at a time.
 //
-// An engine counts as serving a model while it is in force, reachable, warm, and neither
-// loading nor about to. An order is only given while enough others serve.
+// An engine counts as serving a model while it is in force, reachable and warm, is not loading,
+// and has no pending order. An order that takes an engine out of service is only issued while
+// enough other engines serve.
 package dogwoodplacement
 
 import (
@@ -24,22 +26,22 @@
 )
 
 const (
-	// MinDwell is how long an engine keeps its model before it may go to another one that is
-	// short of engines. It is longer than the outages after which engines come back by themselves
-	// (restarts of minutes), and loading takes minutes: a move that is undone costs both twice.
+	// MinDwell is how long an engine keeps its model before it may be moved to another model that
+	// is short of engines. It exceeds the outages from which engines recover without help
+	// (restarts of minutes), because loading takes minutes and an undone move costs two loads.
 	MinDwell = 10 * time.Minute
-	// Bake is how long the first engine on a new version serves before others follow: long
-	// enough for some hundred requests, within which a version that can't serve shows.
+	// Bake is how long the first engine on a new version serves before others follow. It covers
+	// a few hundred requests, enough to expose a version that can't serve.
 	Bake = 30 * time.Second
-	// LoadLimit is how long an engine may take to bring an order about. Weights of 140 GB at
-	// 1 GB/s take over two minutes; beyond four times that the order has failed.
+	// LoadLimit is how long an engine may take to carry out an order. Weights of 140 GB at
+	// 1 GB/s take over two minutes; after more than four times that, the order has failed.
 	LoadLimit = 10 * time.Minute
-	// OrderAgain is how long an order that does not show is waited for before it is given
-	// again: reports lag by about a second.
+	// OrderAgain is how long the planner waits for an order to appear in an engine's report
+	// before it issues the order again. Reports lag by about a second.
 	OrderAgain = 10 * time.Second
 )
 
-// Holding is what an engine holds.
+// Holding is the model, version and adapters that an engine holds.
 type Holding struct {
 	Model    dogwoodfleet.Model
 	Version  string
@@ -50,49 +52,49 @@
 	return holding.Model == other.Model && holding.Version == other.Version && slices.Equal(holding.Adapters, other.Adapters)
 }
 
-// Model is what the text wants of a model.
+// Model is the configured placement of a model.
 type Model struct {
 	Holding
-	// Replicas is how many engines shall hold it.
+	// Replicas is the number of engines that shall hold the model.
 	Replicas int
 }
 
-// Engine is an engine as it reports itself.
+// Engine is the reported state of an engine.
 type Engine struct {
 	Endpoint dogwoodfleet.EndpointID
-	// InForce is false for an engine that gets no new work: it counts for no model.
+	// InForce is false for an engine that gets no new work; it counts for no model.
 	InForce bool
-	// Reachable is false if it did not answer.
+	// Reachable is false if the engine did not answer.
 	Reachable bool
 	Cold      bool
 	Holds     Holding
-	// Loading is what an order is bringing about; nil when none is.
+	// Loading is the holding that the engine is loading; nil if none.
 	Loading *Holding
 }
 
-// Why says why an order is given.
+// Why is the reason for an order.
 type Why string
 
 // The reasons for an order.
 const (
-	WhyMissing  Why = "Missing"  // the engine holds nothing that the text names
-	WhyShort    Why = "Short"    // another model has fewer engines than the text wants
-	WhyVersion  Why = "Version"  // the text names another version
-	WhyAdapters Why = "Adapters" // the text names other adapters
+	WhyMissing  Why = "Missing"  // the engine holds no configured model
+	WhyShort    Why = "Short"    // another model has fewer engines than configured
+	WhyVersion  Why = "Version"  // another version is configured
+	WhyAdapters Why = "Adapters" // other adapters are configured
 )
 
-// Order is what an engine shall hold.
+// Order states the holding that an engine shall load.
 type Order struct {
 	Endpoint dogwoodfleet.EndpointID
 	Wanted   Holding
 	Why      Why
 }
 
-// given is the last order to an engine.
-type given struct {
+// issuedOrder is the last order issued to an engine.
+type issuedOrder struct {
 	wanted Holding
-	// first is when it was first given, at when it was given last.
-	first, at time.Time
+	// firstAt is when the order was first issued, lastAt when it was last issued.
+	firstAt, lastAt time.Time
 }
 
 type versionKey struct {
@@ -100,15 +102,15 @@
 	version string
 }
 
-// Planner decides for one service. It remembers what it ordered and since when engines
-// hold what they hold; a new one waits as if all had just changed.
+// Planner plans the placement of one service. It tracks the issued orders and since when each
+// engine has held its model. A new planner treats all holdings as just changed.
 type Planner struct {
-	orders map[dogwoodfleet.EndpointID]given
-	// since is when an engine was first seen with its present model.
-	since map[dogwoodfleet.EndpointID]modelSince
-	// proving is when the first engine was seen serving a version.
-	proving map[versionKey]time.Time
-	// failed are versions that an engine did not bring about in time.
+	orders map[dogwoodfleet.EndpointID]issuedOrder
+	// modelSince is when each engine was first seen with its current model.
+	modelSince map[dogwoodfleet.EndpointID]modelSince
+	// servingSince is when the first engine was seen serving each version.
+	servingSince map[versionKey]time.Time
+	// failed holds the versions that an engine did not load within LoadLimit.
 	failed map[versionKey]bool
 }
 
@@ -117,80 +119,80 @@
 	at    time.Time
 }
 
-// New returns a planner.
+// New returns a planner without any recorded state.
 func New() *Planner {
 	return &Planner{
-		orders:  map[dogwoodfleet.EndpointID]given{},
-		since:   map[dogwoodfleet.EndpointID]modelSince{},
-		proving: map[versionKey]time.Time{},
-		failed:  map[versionKey]bool{},
+		orders:       map[dogwoodfleet.EndpointID]issuedOrder{},
+		modelSince:   map[dogwoodfleet.EndpointID]modelSince{},
+		servingSince: map[versionKey]time.Time{},
+		failed:       map[versionKey]bool{},
 	}
 }
 
-// Ordered notes that an order was given.
+// Ordered records that an order was issued.
 func (planner *Planner) Ordered(order Order, now time.Time) {
 	first := now
-	if before, again := planner.orders[order.Endpoint]; again && before.wanted.equal(order.Wanted) {
-		first = before.first
+	if previous, found := planner.orders[order.Endpoint]; found && previous.wanted.equal(order.Wanted) {
+		first = previous.firstAt
 	}
-	planner.orders[order.Endpoint] = given{wanted: order.Wanted, first: first, at: now}
+	planner.orders[order.Endpoint] = issuedOrder{wanted: order.Wanted, firstAt: first, lastAt: now}
 }
 
-// Halted tells whether a version's roll-out stopped as an engine did not bring it about.
-// It goes on once the text names another version.
+// Halted reports whether a version's roll-out stopped because an engine did not load the version
+// in time. The roll-out resumes once another version is configured.
 func (planner *Planner) Halted(model dogwoodfleet.Model, version string) bool {
 	return planner.failed[versionKey{model: model, version: version}]
 }
 
-// Plan returns the orders to give now, the most needed first.
+// Plan returns the orders to issue now, the most urgent first.
 func (planner *Planner) Plan(models []Model, engines []Engine, now time.Time) []Order {
 	engines = slices.SortedFunc(slices.Values(engines), func(left, right Engine) int {
 		return cmp.Compare(left.Endpoint, right.Endpoint)
 	})
-	planner.learn(models, engines, now)
-	view := planner.view(models, engines, now)
-	view.assign()
-	orders := view.fill()
-	return append(orders, view.roll()...)
+	planner.observe(models, engines, now)
+	plan := planner.newPlan(models, engines, now)
+	plan.assign()
+	orders := plan.fillShortages()
+	return append(orders, plan.rollOut()...)
 }
 
-// learn keeps what must be remembered between plans.
-func (planner *Planner) learn(models []Model, engines []Engine, now time.Time) {
+// observe updates the state that is kept between plans.
+func (planner *Planner) observe(models []Model, engines []Engine, now time.Time) {
 	for _, engine := range engines {
 		if !engine.Reachable {
-			// It may have died with the order; when it is back it is looked at anew.
+			// The engine may have failed and lost the order, so it is planned afresh on return.
 			delete(planner.orders, engine.Endpoint)
 			continue
 		}
-		if known, found := planner.since[engine.Endpoint]; !found || known.model != engine.Holds.Model {
-			planner.since[engine.Endpoint] = modelSince{model: engine.Holds.Model, at: now}
+		if known, found := planner.modelSince[engine.Endpoint]; !found || known.model != engine.Holds.Model {
+			planner.modelSince[engine.Endpoint] = modelSince{model: engine.Holds.Model, at: now}
 		}
 		order, ordered := planner.orders[engine.Endpoint]
 		switch {
 		case !ordered:
 		case engine.Holds.equal(order.wanted):
 			delete(planner.orders, engine.Endpoint)
-		case now.Sub(order.first) > LoadLimit:
+		case now.Sub(order.firstAt) > LoadLimit:
 			planner.failed[versionKey{model: order.wanted.Model, version: order.wanted.Version}] = true
 			delete(planner.orders, engine.Endpoint)
 		}
 		key := versionKey{model: engine.Holds.Model, version: engine.Holds.Version}
-		if _, proving := planner.proving[key]; !proving && serves(&engine) {
-			planner.proving[key] = now
+		if _, found := planner.servingSince[key]; !found && isServing(&engine) {
+			planner.servingSince[key] = now
 		}
 	}
-	wanted := map[versionKey]bool{}
+	configured := map[versionKey]bool{}
 	for _, model := range models {
-		wanted[versionKey{model: model.Model, version: model.Version}] = true
+		configured[versionKey{model: model.Model, version: model.Version}] = true
 	}
 	for key := range planner.failed {
-		if !wanted[key] {
+		if !configured[key] {
 			delete(planner.failed, key)
 		}
 	}
 }
 
-// serves tells whether an engine takes full load now, orders aside.
-func serves(engine *Engine) bool {
+// isServing reports whether an engine can take full load now, regardless of pending orders.
+func isServing(engine *Engine) bool {
 	return engine.InForce && engine.Reachable && !engine.Cold && engine.Loading == nil
 }
--- a/core/decision/dogwoodplacement/placement_test.go
+++ b/core/decision/dogwoodplacement/placement_test.go
@@ -15,23 +15,23 @@
 	simulatedStep = 2 * time.Second
 )
 
-// simulatedEngine loads what it is ordered to and is cold for a while after that.
+// simulatedEngine loads what it is ordered to load and is cold for some time afterwards.
 type simulatedEngine struct {
 	Engine
 	loadedAt, warmAt time.Time
-	// stuck engines never finish loading.
+	// stuck is true for an engine that never finishes loading.
 	stuck bool
 }
 
 // simulation drives a planner against engines.
 type simulation struct {
-	planner *Planner
-	models  []Model
-	engines []*simulatedEngine
-	now     time.Time
-	moves   int
-	loses   int // one in so many orders is lost; 0 is none
-	random  *rand.Rand
+	planner         *Planner
+	models          []Model
+	engines         []*simulatedEngine
+	now             time.Time
+	deliveredOrders int
+	lossOneIn       int // one in this many orders is lost; 0 if none
+	random          *rand.Rand
 }
 
 func holding(model, version string) Holding {
@@ -39,34 +39,34 @@
 }
 
 func newSimulation(models []Model, holds ...Holding) *simulation {
-	made := &simulation{planner: New(), models: models, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(1, 1))}
+	created := &simulation{planner: New(), models: models, now: time.Unix(1_000_000, 0), random: rand.New(rand.NewPCG(1, 1))}
 	for index, held := range holds {
-		made.engines = append(made.engines, &simulatedEngine{Engine: Engine{
+		created.engines = append(created.engines, &simulatedEngine{Engine: Engine{
 			Endpoint: dogwoodfleet.EndpointID(fmt.Sprintf("engine-%02d", index)),
 			InForce:  true, Reachable: true, Holds: held,
 		}})
 	}
-	return made
+	return created
 }
 
 func (simulation *simulation) step() []Order {
 	simulation.now = simulation.now.Add(simulatedStep)
-	var seen []Engine
+	var reported []Engine
 	for _, engine := range simulation.engines {
 		if engine.Loading != nil && !engine.stuck && !simulation.now.Before(engine.loadedAt) {
 			engine.Holds, engine.Loading = *engine.Loading, nil
 			engine.warmAt = simulation.now.Add(simulatedCold)
 		}
 		engine.Cold = simulation.now.Before(engine.warmAt)
-		seen = append(seen, engine.Engine)
+		reported = append(reported, engine.Engine)
 	}
-	orders := simulation.planner.Plan(simulation.models, seen, simulation.now)
+	orders := simulation.planner.Plan(simulation.models, reported, simulation.now)
 	for _, order := range orders {
 		simulation.planner.Ordered(order, simulation.now)
-		if simulation.loses > 0 && simulation.random.IntN(simulation.loses) == 0 {
+		if simulation.lossOneIn > 0 && simulation.random.IntN(simulation.lossOneIn) == 0 {
 			continue
 		}
-		simulation.moves++
+		simulation.deliveredOrders++
 		for _, engine := range simulation.engines {
 			if engine.Endpoint == order.Endpoint {
 				wanted := order.Wanted
@@ -77,28 +77,28 @@
 	return orders
 }
 
-// run steps until nothing is ordered or loading for a while, and returns the fewest engines
-// that served the model meanwhile.
-func (simulation *simulation) run(model dogwoodfleet.Model, most time.Duration) int {
-	least := len(simulation.engines)
-	for end := simulation.now.Add(most); simulation.now.Before(end); {
+// run simulates the duration and returns the lowest number of engines that served the model
+// during it.
+func (simulation *simulation) run(model dogwoodfleet.Model, duration time.Duration) int {
+	lowest := len(simulation.engines)
+	for end := simulation.now.Add(duration); simulation.now.Before(end); {
 		simulation.step()
-		least = min(least, simulation.serving(model))
+		lowest = min(lowest, simulation.servingCount(model))
 	}
-	return least
+	return lowest
 }
 
-func (simulation *simulation) serving(model dogwoodfleet.Model) int {
+func (simulation *simulation) servingCount(model dogwoodfleet.Model) int {
 	count := 0
 	for _, engine := range simulation.engines {
-		if engine.Holds.Model == model && serves(&engine.Engine) {
+		if engine.Holds.Model == model && isServing(&engine.Engine) {
 			count++
 		}
 	}
 	return count
 }
 
-func (simulation *simulation) holding(held Holding) int {
+func (simulation *simulation) holdingCount(held Holding) int {
 	count := 0
 	for _, engine := range simulation.engines {
 		if engine.Holds.equal(held) {
@@ -116,64 +116,65 @@
 	return all
 }
 
-// A new version replaces the old one on all engines at once, and for minutes every dealer's
-// draft waits for weights to load. The roll-out must keep as many warm engines as the text
-// wants where one can be spared, else all but one, also while orders get lost.
-func TestVersionRollsWithoutDroppingBelowNeed(t *testing.T) {
+// Guards against a roll-out that replaces a version on all engines at once, so that every request
+// waits minutes for weights to load. The roll-out must keep the configured number of warm engines if
+// there are surplus engines, else all but one, even if orders are lost.
+func TestRollOutKeepsEnoughEnginesServing(t *testing.T) {
 	tests := []struct {
 		name      string
 		engines   int
 		replicas  int
-		loses     int
-		wantLeast int
+		lossOneIn int
+		wantMin   int
 	}{
-		{name: "with an engine to spare", engines: 5, replicas: 4, wantLeast: 4},
-		{name: "with two to spare", engines: 8, replicas: 6, wantLeast: 6},
-		{name: "with none to spare", engines: 4, replicas: 4, wantLeast: 3},
-		{name: "with lost orders", engines: 5, replicas: 4, loses: 2, wantLeast: 4},
+		{name: "one surplus engine", engines: 5, replicas: 4, wantMin: 4},
+		{name: "two surplus engines", engines: 8, replicas: 6, wantMin: 6},
+		{name: "no surplus engine", engines: 4, replicas: 4, wantMin: 3},
+		{name: "lost orders", engines: 5, replicas: 4, lossOneIn: 2, wantMin: 4},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			wanted := Model{Holding: holding("m", "2"), Replicas: test.replicas}
 			simulation := newSimulation([]Model{wanted}, repeat(holding("m", "1"), test.engines)...)
-			simulation.loses = test.loses
-			if got := simulation.run("m", time.Hour); got < test.wantLeast {
-				t.Errorf("got %d serving at the least, want %d", got, test.wantLeast)
+			simulation.lossOneIn = test.lossOneIn
+			if got := simulation.run("m", time.Hour); got < test.wantMin {
+				t.Errorf("got a minimum of %d serving, want %d", got, test.wantMin)
 			}
-			if got := simulation.holding(wanted.Holding); got != test.engines {
+			if got := simulation.holdingCount(wanted.Holding); got != test.engines {
 				t.Errorf("got %d engines on the new version, want %d", got, test.engines)
 			}
 		})
 	}
 }
 
-// A new version can't be loaded. Only the first engine may be lost to it, and when the
-// operators put the text back, that engine must return at once.
-func TestBadVersionStopsAtTheFirstEngineAndIsUndone(t *testing.T) {
+// Guards against losing all engines to a version that can't be loaded. The roll-out must halt at the
+// first engine, and that engine must serve again once the operators restore the old version.
+func TestRollOutHaltsAtFirstEngineAndReverts(t *testing.T) {
 	simulation := newSimulation([]Model{{Holding: holding("m", "2"), Replicas: 4}}, repeat(holding("m", "1"), 5)...)
 	for _, engine := range simulation.engines {
 		engine.stuck = true
 	}
 	simulation.run("m", 2*LoadLimit)
-	if got := simulation.serving("m"); got != 4 {
+	if got := simulation.servingCount("m"); got != 4 {
 		t.Errorf("got %d serving, want 4", got)
 	}
 	if !simulation.planner.Halted("m", "2") {
-		t.Error("got the roll-out going on, want it halted")
+		t.Error("got the roll-out continuing, want it halted")
 	}
 	simulation.models = []Model{{Holding: holding("m", "1"), Replicas: 4}}
 	for _, engine := range simulation.engines {
 		engine.stuck = false
 	}
 	simulation.run("m", 5*time.Minute)
-	if got := simulation.holding(holding("m", "1")); got != 5 {
+	if got := simulation.holdingCount(holding("m", "1")); got != 5 {
 		t.Errorf("got %d engines on the old version, want 5", got)
 	}
 }
 
-// A data centre with half of one model's engines leaves for two minutes and comes back.
-// Models that traded engines for that would load for longer than it lasted, twice.
-func TestShortOutageTradesNoEngine(t *testing.T) {
+// Guards against moving engines between models when a data centre with half of one model's engines
+// leaves for two minutes. The moves and their reversal would each load for longer than the
+// outage.
+func TestShortOutageMovesNoEngine(t *testing.T) {
 	models := []Model{{Holding: holding("a", "1"), Replicas: 4}, {Holding: holding("b", "1"), Replicas: 2}}
 	simulation := newSimulation(models, append(repeat(holding("a", "1"), 4), repeat(holding("b", "1"), 3)...)...)
 	simulation.run("a", time.Minute)
@@ -185,12 +186,12 @@
 		engine.InForce = true
 	}
 	simulation.run("a", time.Hour)
-	if got := simulation.moves; got != 0 {
+	if got := simulation.deliveredOrders; got != 0 {
 		t.Errorf("got %d orders, want none", got)
 	}
 }
 
-func TestPlacementBecomesAsTheTextSays(t *testing.T) {
+func TestPlacementReachesConfiguration(t *testing.T) {
 	models := []Model{{Holding: holding("a", "1"), Replicas: 3}, {Holding: holding("b", "1"), Replicas: 2}}
 	tests := []struct {
 		name         string
@@ -199,24 +200,24 @@
 	}{
 		{name: "nothing loaded", holds: repeat(Holding{}, 5), wantA: 3, wantB: 2},
 		{name: "a model with no engine gets one at once", holds: repeat(holding("a", "1"), 5), wantA: 3, wantB: 2},
-		{name: "what the text does not name goes", holds: append(repeat(holding("old", "1"), 2), repeat(holding("a", "1"), 3)...), wantA: 3, wantB: 2},
+		{name: "a model that is not configured is replaced", holds: append(repeat(holding("old", "1"), 2), repeat(holding("a", "1"), 3)...), wantA: 3, wantB: 2},
 		{name: "too few engines are shared", holds: repeat(Holding{}, 3), wantA: 2, wantB: 1},
-		{name: "more engines than wanted all serve", holds: repeat(Holding{}, 6), wantA: 3, wantB: 3},
+		{name: "surplus engines all serve", holds: repeat(Holding{}, 6), wantA: 3, wantB: 3},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			simulation := newSimulation(models, test.holds...)
 			simulation.run("a", time.Hour)
-			if got := simulation.holding(models[0].Holding); got != test.wantA {
+			if got := simulation.holdingCount(models[0].Holding); got != test.wantA {
 				t.Errorf("got %d engines with a, want %d", got, test.wantA)
 			}
-			if got := simulation.holding(models[1].Holding); got != test.wantB {
+			if got := simulation.holdingCount(models[1].Holding); got != test.wantB {
 				t.Errorf("got %d engines with b, want %d", got, test.wantB)
 			}
-			moves := simulation.moves
+			moves := simulation.deliveredOrders
 			simulation.run("a", time.Hour)
-			if got := simulation.moves; got != moves {
-				t.Errorf("got %d more orders after all was placed, want none", got-moves)
+			if got := simulation.deliveredOrders; got != moves {
+				t.Errorf("got %d more orders after the placement was complete, want none", got-moves)
 			}
 		})
 	}
--- a/core/decision/dogwoodplacement/view.go
+++ b/core/decision/dogwoodplacement/view.go
@@ -7,251 +7,255 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// view is one plan under way.
-type view struct {
+// plan is the working state of one Plan call.
+type plan struct {
 	planner *Planner
 	models  []Model
-	engines []*seat
+	engines []*plannedEngine
 	now     time.Time
 }
 
-// seat is an engine with the model it is meant for.
-type seat struct {
+// plannedEngine is an engine with the model assigned to it.
+type plannedEngine struct {
 	Engine
-	// pending is what it will hold once its order is done, else what it holds.
+	// pending is what the engine will hold once its order is carried out; without an order, what
+	// it holds now.
 	pending Holding
-	// waiting is true from an order until the engine holds what was ordered.
+	// waiting is true from the issue of an order until the engine holds what was ordered.
 	waiting bool
-	// repeat is true when an order was given and does not show.
-	repeat bool
+	// resend is true if an order was issued and has not appeared in the engine's reports
+	// within OrderAgain.
+	resend bool
 	model  *Model
 }
 
-func (planner *Planner) view(models []Model, engines []Engine, now time.Time) *view {
-	made := &view{planner: planner, models: slices.Clone(models), now: now}
+func (planner *Planner) newPlan(models []Model, engines []Engine, now time.Time) *plan {
+	created := &plan{planner: planner, models: slices.Clone(models), now: now}
 	for _, engine := range engines {
 		if !engine.InForce || !engine.Reachable {
 			continue
 		}
-		seat := &seat{Engine: engine, pending: engine.Holds}
+		planned := &plannedEngine{Engine: engine, pending: engine.Holds}
 		if engine.Loading != nil {
-			seat.pending, seat.waiting = *engine.Loading, true
+			planned.pending, planned.waiting = *engine.Loading, true
 		}
-		if order, ordered := planner.orders[engine.Endpoint]; ordered && !seat.waiting {
-			seat.pending, seat.waiting = order.wanted, true
-			seat.repeat = now.Sub(order.at) > OrderAgain
+		if order, ordered := planner.orders[engine.Endpoint]; ordered && !planned.waiting {
+			planned.pending, planned.waiting = order.wanted, true
+			planned.resend = now.Sub(order.lastAt) > OrderAgain
 		}
-		made.engines = append(made.engines, seat)
+		created.engines = append(created.engines, planned)
 	}
-	made.shareShortage()
-	return made
+	created.shareShortage()
+	return created
 }
 
-// shareShortage lowers the wanted replicas when there are fewer engines than the text
-// wants: the model with the most loses one at a time, of equals the one named last in the text.
-func (view *view) shareShortage() {
+// shareShortage lowers the wanted replicas to the number of engines if that is smaller. It takes
+// one replica at a time from the model with the most, and among equals from the last configured.
+func (plan *plan) shareShortage() {
 	wanted := 0
-	for index := range view.models {
-		wanted += view.models[index].Replicas
+	for index := range plan.models {
+		wanted += plan.models[index].Replicas
 	}
-	for wanted > len(view.engines) {
-		most := 0
-		for index := range view.models {
-			if view.models[index].Replicas >= view.models[most].Replicas {
-				most = index
+	for wanted > len(plan.engines) {
+		largest := 0
+		for index := range plan.models {
+			if plan.models[index].Replicas >= plan.models[largest].Replicas {
+				largest = index
 			}
 		}
-		view.models[most].Replicas--
+		plan.models[largest].Replicas--
 		wanted--
 	}
 }
 
-func (view *view) wanted(name dogwoodfleet.Model) *Model {
-	for index := range view.models {
-		if view.models[index].Model == name {
-			return &view.models[index]
+func (plan *plan) modelNamed(name dogwoodfleet.Model) *Model {
+	for index := range plan.models {
+		if plan.models[index].Model == name {
+			return &plan.models[index]
 		}
 	}
 	return nil
 }
 
-// assign gives each engine the model that it holds or is loading. Where a model has more
-// engines than it wants, the surplus stays with it too, until another model is short.
-func (view *view) assign() {
-	for _, seat := range view.engines {
-		seat.model = view.wanted(seat.pending.Model)
+// assign assigns each engine to the model that it holds or is loading. Surplus engines of a model
+// stay assigned to it until another model is short.
+func (plan *plan) assign() {
+	for _, engine := range plan.engines {
+		engine.model = plan.modelNamed(engine.pending.Model)
 	}
 }
 
-func (view *view) count(model *Model) int {
+func (plan *plan) assignedCount(model *Model) int {
 	count := 0
-	for _, seat := range view.engines {
-		if seat.model == model {
+	for _, engine := range plan.engines {
+		if engine.model == model {
 			count++
 		}
 	}
 	return count
 }
 
-// serving returns how many engines serve a model now.
-func (view *view) serving(model *Model) int {
+// servingCount returns the number of engines that serve the model now.
+func (plan *plan) servingCount(model *Model) int {
 	count := 0
-	for _, seat := range view.engines {
-		if seat.model == model && serves(&seat.Engine) && !seat.waiting && seat.Holds.Model == model.Model {
+	for _, engine := range plan.engines {
+		if engine.model == model && isServing(&engine.Engine) && !engine.waiting && engine.Holds.Model == model.Model {
 			count++
 		}
 	}
 	return count
 }
 
-// fill finds engines for models that have too few: first those that hold nothing of use,
-// then the surplus of other models.
-func (view *view) fill() []Order {
+// fillShortages returns orders that move engines to models with too few of them. It takes engines
+// without a configured model first, then surplus engines of other models.
+func (plan *plan) fillShortages() []Order {
 	var orders []Order
-	for index := range view.models {
-		model := &view.models[index]
-		for view.count(model) < model.Replicas {
+	for index := range plan.models {
+		model := &plan.models[index]
+		for plan.assignedCount(model) < model.Replicas {
 			why := WhyMissing
-			found := view.unused()
-			if found == nil {
+			engine := plan.firstUnassigned()
+			if engine == nil {
 				why = WhyShort
-				found = view.surplus(view.count(model) == 0)
+				engine = plan.firstSurplus(plan.assignedCount(model) == 0)
 			}
-			if found == nil {
+			if engine == nil {
 				break
 			}
-			found.model = model
-			found.waiting = true
-			orders = append(orders, Order{Endpoint: found.Endpoint, Wanted: model.Holding, Why: why})
+			engine.model = model
+			engine.waiting = true
+			orders = append(orders, Order{Endpoint: engine.Endpoint, Wanted: model.Holding, Why: why})
 		}
 	}
-	for _, seat := range view.engines {
-		if seat.model == nil && !seat.waiting && len(view.models) > 0 {
-			// More engines than the text wants: one that holds nothing of use strengthens the
-			// model with the fewest engines.
-			model := view.leastServed()
-			seat.model, seat.waiting = model, true
-			orders = append(orders, Order{Endpoint: seat.Endpoint, Wanted: model.Holding, Why: WhyMissing})
+	for _, engine := range plan.engines {
+		if engine.model == nil && !engine.waiting && len(plan.models) > 0 {
+			// There are more engines than configured: one without a configured model goes to
+			// the model with the fewest engines.
+			model := plan.modelWithFewestEngines()
+			engine.model, engine.waiting = model, true
+			orders = append(orders, Order{Endpoint: engine.Endpoint, Wanted: model.Holding, Why: WhyMissing})
 		}
 	}
-	return append(orders, view.repeats()...)
+	return append(orders, plan.resendOrders()...)
 }
 
-// repeats gives the orders again that do not show at their engines.
-func (view *view) repeats() []Order {
+// resendOrders returns new orders for engines whose last order did not appear in their reports in
+// time.
+func (plan *plan) resendOrders() []Order {
 	var orders []Order
-	for _, seat := range view.engines {
-		if seat.repeat && seat.model != nil {
-			orders = append(orders, Order{Endpoint: seat.Endpoint, Wanted: seat.model.Holding, Why: WhyMissing})
+	for _, engine := range plan.engines {
+		if engine.resend && engine.model != nil {
+			orders = append(orders, Order{Endpoint: engine.Endpoint, Wanted: engine.model.Holding, Why: WhyMissing})
 		}
 	}
 	return orders
 }
 
-func (view *view) unused() *seat {
-	for _, seat := range view.engines {
-		if seat.model == nil && !seat.waiting {
-			return seat
+func (plan *plan) firstUnassigned() *plannedEngine {
+	for _, engine := range plan.engines {
+		if engine.model == nil && !engine.waiting {
+			return engine
 		}
 	}
 	return nil
 }
 
-// surplus returns an engine that its model can spare. Failure guarded against: a data
-// centre leaves for some minutes, and the models trade engines to and fro; so an engine stays
-// MinDwell with its model, unless the other has none at all.
-func (view *view) surplus(urgent bool) *seat {
-	for _, seat := range view.engines {
-		if seat.model == nil || seat.waiting || view.count(seat.model) <= seat.model.Replicas {
+// firstSurplus returns the first engine that its model can spare, or nil if there is none. Unless
+// urgent is set, the engine must have held its model for MinDwell, so that models do not exchange
+// engines back and forth when a data centre leaves for some minutes.
+func (plan *plan) firstSurplus(urgent bool) *plannedEngine {
+	for _, engine := range plan.engines {
+		if engine.model == nil || engine.waiting || plan.assignedCount(engine.model) <= engine.model.Replicas {
 			continue
 		}
-		if urgent || view.now.Sub(view.planner.since[seat.Endpoint].at) >= MinDwell {
-			return seat
+		if urgent || plan.now.Sub(plan.planner.modelSince[engine.Endpoint].at) >= MinDwell {
+			return engine
 		}
 	}
 	return nil
 }
 
-func (view *view) leastServed() *Model {
-	least := &view.models[0]
-	for index := range view.models {
-		if view.count(&view.models[index]) < view.count(least) {
-			least = &view.models[index]
+func (plan *plan) modelWithFewestEngines() *Model {
+	fewest := &plan.models[0]
+	for index := range plan.models {
+		if plan.assignedCount(&plan.models[index]) < plan.assignedCount(fewest) {
+			fewest = &plan.models[index]
 		}
 	}
-	return least
+	return fewest
 }
 
-// roll brings engines to their model's version and adapters while enough others serve.
-func (view *view) roll() []Order {
+// rollOut returns orders that bring engines to their model's configured version and adapters while
+// enough other engines serve.
+func (plan *plan) rollOut() []Order {
 	var orders []Order
-	for index := range view.models {
-		orders = append(orders, view.rollModel(&view.models[index])...)
+	for index := range plan.models {
+		orders = append(orders, plan.rollOutModel(&plan.models[index])...)
 	}
 	return orders
 }
 
-func (view *view) rollModel(model *Model) []Order {
+func (plan *plan) rollOutModel(model *Model) []Order {
 	key := versionKey{model: model.Model, version: model.Version}
-	if view.planner.failed[key] {
+	if plan.planner.failed[key] {
 		return nil
 	}
 	var orders []Order
-	spare := view.serving(model) - needed(model, view.count(model))
-	proven := view.proven(key)
-	for _, seat := range view.engines {
-		if seat.undone(model) {
-			seat.pending = model.Holding
-			orders = append(orders, Order{Endpoint: seat.Endpoint, Wanted: model.Holding, Why: WhyVersion})
+	spare := plan.servingCount(model) - minServing(model, plan.assignedCount(model))
+	proven := plan.proven(key)
+	for _, engine := range plan.engines {
+		if engine.shouldAbortLoad(model) {
+			engine.pending = model.Holding
+			orders = append(orders, Order{Endpoint: engine.Endpoint, Wanted: model.Holding, Why: WhyVersion})
 			continue
 		}
-		if seat.model != model || seat.waiting || seat.Holds.equal(model.Holding) {
+		if engine.model != model || engine.waiting || engine.Holds.equal(model.Holding) {
 			continue
 		}
 		why := WhyAdapters
-		if seat.Holds.Version != model.Version {
+		if engine.Holds.Version != model.Version {
 			why = WhyVersion
-			if !proven && view.onTheWay(model) {
-				continue // the first engine on the version has yet to prove it
+			if !proven && plan.versionAssigned(model) {
+				continue // the first engine on the version has not served for long enough
 			}
 		}
-		// One that does not serve anyway takes nothing from the callers.
-		if serves(&seat.Engine) {
+		// Only an engine that serves now reduces the capacity.
+		if isServing(&engine.Engine) {
 			if spare <= 0 {
 				continue
 			}
 			spare--
 		}
-		seat.waiting, seat.pending = true, model.Holding
-		orders = append(orders, Order{Endpoint: seat.Endpoint, Wanted: model.Holding, Why: why})
+		engine.waiting, engine.pending = true, model.Holding
+		orders = append(orders, Order{Endpoint: engine.Endpoint, Wanted: model.Holding, Why: why})
 	}
 	return orders
 }
 
-// undone tells whether the seat is loading what the text no longer wants, while it holds
-// what it wants: an order stops the load, which may never end.
-func (seat *seat) undone(model *Model) bool {
-	return seat.model == model && seat.waiting && !seat.pending.equal(model.Holding) && seat.Holds.equal(model.Holding)
+// shouldAbortLoad reports whether the engine is loading a holding that is no longer configured and
+// still holds the configured one. A new order then stops the load, which may never finish.
+func (engine *plannedEngine) shouldAbortLoad(model *Model) bool {
+	return engine.model == model && engine.waiting && !engine.pending.equal(model.Holding) && engine.Holds.equal(model.Holding)
 }
 
-// needed is how many engines of a model must go on serving during a roll-out: as many as
-// the text wants if there is one to spare, else all but one. A single engine has no choice.
-func needed(model *Model, have int) int {
-	if have > model.Replicas {
+// minServing returns how many engines of a model must keep serving during a roll-out: the
+// configured replicas if there are surplus engines, else all but one. A single engine may stop.
+func minServing(model *Model, assigned int) int {
+	if assigned > model.Replicas {
 		return model.Replicas
 	}
-	return max(have-1, 0)
+	return max(assigned-1, 0)
 }
 
-// proven tells whether an engine has served the version for long enough.
-func (view *view) proven(key versionKey) bool {
-	since, proving := view.planner.proving[key]
-	return proving && view.now.Sub(since) >= Bake
+// proven reports whether the version has been served for at least Bake.
+func (plan *plan) proven(key versionKey) bool {
+	since, found := plan.planner.servingSince[key]
+	return found && plan.now.Sub(since) >= Bake
 }
 
-// onTheWay tells whether an engine holds or will hold the model's version already.
-func (view *view) onTheWay(model *Model) bool {
-	return slices.ContainsFunc(view.engines, func(seat *seat) bool {
-		return seat.model == model && seat.pending.Version == model.Version
+// versionAssigned reports whether an engine holds or is about to hold the model's version.
+func (plan *plan) versionAssigned(model *Model) bool {
+	return slices.ContainsFunc(plan.engines, func(engine *plannedEngine) bool {
+		return engine.model == model && engine.pending.Version == model.Version
 	})
 }
--- a/core/decision/dogwoodprefix/blocks.go
+++ b/core/decision/dogwoodprefix/blocks.go
@@ -6,13 +6,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// BlockBytes is the length of prompt text that one block covers: 256 tokens at the four
-// bytes a token that requests are estimated with. Engines cache in units of 16 to 256
-// tokens, so a block never claims a finer hit than an engine can give.
+// BlockBytes is the length of prompt text that one block covers: 256 tokens at the estimate
+// of four bytes per token that is used for requests. Engines cache in units of 16 to 256
+// tokens, so a block is never finer than an engine's cache unit.
 const BlockBytes = 1024
 
-// Blocks returns the chained hashes of the leading whole blocks of a prompt's text, at
-// most limit of them. Equal hashes at an index mean equal text up to there.
+// Blocks returns the chained hashes of the leading whole blocks of a prompt's text, at most
+// limit of them. Equal hashes at an index mean equal text up to the end of that block.
 func Blocks(text []byte, limit int) []uint64 {
 	count := min(len(text)/BlockBytes, limit)
 	if count <= 0 {
--- a/core/decision/dogwoodprefix/doc.go
+++ b/core/decision/dogwoodprefix/doc.go
@@ -1,8 +1,9 @@
-// Package dogwoodprefix knows which engines probably hold which prompt prefixes in their
-// cache. What it answers is a hint that routing may follow, never a fact.
+// Package dogwoodprefix tracks which engines probably hold which prompt prefixes in their
+// cache. Its results are hints for routing and may be wrong.
 //
-// Load pattern: many requests that share a long prefix, such as one customer's instructions.
-// Reading it once for each engine instead of once for each request saves most of the
-// prefill. Cache events come late and with gaps, so a gap empties the engine's part: a
-// wrong hint costs a prefill, but an index that only grows would end up hinting at all.
+// Load pattern: many requests share a long prefix, such as one customer's instructions.
+// Prefilling it once per engine instead of once per request saves most of the prefill work.
+// Cache events arrive late and with gaps. A gap clears the engine's part of the index: a wrong
+// hint costs one prefill, but an index that only grows would eventually report every prefix as
+// cached on every engine.
 package dogwoodprefix
--- a/core/decision/dogwoodprefix/index.go
+++ b/core/decision/dogwoodprefix/index.go
@@ -6,19 +6,19 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// MaxBlocks bounds an engine's part of the index: 65,536 blocks are 16 million tokens of
-// prompts, forty times the memory of an engine, at some 2 MB.
+// MaxBlocks is the maximum number of blocks indexed per engine. 65,536 blocks cover 16 million
+// prompt tokens, forty times an engine's memory, and take about 2 MB.
 const MaxBlocks = 65_536
 
 // Event is one cache event of an engine.
 type Event struct {
-	// Sequence grows by one from event to event of an instance.
+	// Sequence increases by one with each event of an instance.
 	Sequence uint64
-	Evicted  bool // else added
+	Evicted  bool // false if the blocks were added
 	Blocks   []uint64
 }
 
-// Index maps engines to the blocks they probably hold. It is not safe for concurrent use.
+// Index maps engines to the blocks that they probably hold. It is not safe for concurrent use.
 type Index struct {
 	engines map[dogwoodfleet.EndpointID]*engine
 }
@@ -43,9 +43,10 @@
 	return found
 }
 
-// Apply takes events in the order of their sequence. Events already seen are skipped. A
-// gap, or a gap that the reader was told of, empties the engine's part first, since
-// evictions may have been missed; so does a new instance, whose cache is empty.
+// Apply applies an engine's cache events, which must be ordered by sequence, and skips those
+// already applied. A gap in the sequence, or one reported by gap, clears the engine's blocks
+// first, because evictions may have been missed. A new instance also clears them, because its
+// cache is empty.
 func (index *Index) Apply(id dogwoodfleet.EndpointID, instance dogwoodfleet.InstanceID, events []Event, gap bool) {
 	engine := index.engine(id)
 	if engine.instance != instance {
@@ -75,8 +76,8 @@
 	}
 }
 
-// Expect notes that work with these blocks was just sent to the engine, which will hold
-// them soon: the next request with the prefix needs the hint before the event comes.
+// Expect adds the blocks of a request that was just sent to the engine. The engine will hold
+// them soon, and the next request with the prefix needs the hint before the cache event arrives.
 func (index *Index) Expect(id dogwoodfleet.EndpointID, blocks []uint64) {
 	engine := index.engine(id)
 	for _, block := range blocks {
@@ -86,17 +87,17 @@
 
 func (engine *engine) add(block uint64) {
 	if len(engine.blocks) >= MaxBlocks {
-		for some := range engine.blocks {
-			delete(engine.blocks, some)
+		for evicted := range engine.blocks {
+			delete(engine.blocks, evicted)
 			break
 		}
 	}
 	engine.blocks[block] = struct{}{}
 }
 
-// Hits returns how many leading blocks of the request the engine probably holds. Engines
-// evict the ends of prefixes first, so what they hold is a leading part and a binary search
-// finds its end.
+// Hits returns how many leading blocks of the request the engine probably holds. Engines evict
+// the ends of prefixes first, so the blocks held are the leading ones and a binary search finds
+// the last of them.
 func (index *Index) Hits(id dogwoodfleet.EndpointID, blocks []uint64) int {
 	engine := index.engines[id]
 	if engine == nil {
@@ -108,7 +109,7 @@
 	})
 }
 
-// Forget drops the engine's part: it died, turned cold or has another owner now.
+// Forget removes all blocks of an engine that failed, became cold or has a new owner.
 func (index *Index) Forget(id dogwoodfleet.EndpointID) {
 	delete(index.engines, id)
 }
--- a/core/decision/dogwoodprefix/prefix_test.go
+++ b/core/decision/dogwoodprefix/prefix_test.go
@@ -12,13 +12,13 @@
 		t.Fatalf("got %d blocks, want %d", got, want)
 	}
 	if blocks[0] == blocks[1] {
-		t.Error("got equal hashes for equal blocks at two places, want them to tell what is before")
+		t.Error("got equal hashes for equal blocks at two positions, want them to depend on the preceding text")
 	}
 	changed := bytes.Clone(text)
 	changed[0] = 'b'
 	for i, block := range Blocks(changed, 8) {
 		if block == blocks[i] {
-			t.Errorf("block %d: got an equal hash after another beginning", i)
+			t.Errorf("block %d: got an equal hash after a different beginning", i)
 		}
 	}
 	if got, want := len(Blocks(text, 2)), 2; got != want {
@@ -26,8 +26,8 @@
 	}
 }
 
-// Events get lost, among them evictions. An index that kept the rest would name prefixes
-// for ever that the engine dropped long ago.
+// Guards against stale hints: if events are lost, evictions may be among them, and an index that
+// kept the other blocks would report prefixes long after the engine evicted them.
 func TestIndex(t *testing.T) {
 	add := func(sequence uint64, blocks ...uint64) Event { return Event{Sequence: sequence, Blocks: blocks} }
 	tests := []struct {
@@ -39,12 +39,12 @@
 		{name: "evicted", apply: func(index *Index) {
 			index.Apply("e", "i", []Event{add(1, 10, 11), {Sequence: 2, Evicted: true, Blocks: []uint64{11}}}, false)
 		}, want: 1},
-		{name: "gap in the numbers", apply: func(index *Index) { index.Apply("e", "i", []Event{add(1, 10, 11), add(3, 10)}, false) }, want: 1},
-		{name: "told of a gap", apply: func(index *Index) {
+		{name: "gap in the sequence", apply: func(index *Index) { index.Apply("e", "i", []Event{add(1, 10, 11), add(3, 10)}, false) }, want: 1},
+		{name: "reported gap", apply: func(index *Index) {
 			index.Apply("e", "i", []Event{add(1, 10, 11)}, false)
 			index.Apply("e", "i", []Event{add(9, 10)}, true)
 		}, want: 1},
-		{name: "seen before", apply: func(index *Index) {
+		{name: "already applied", apply: func(index *Index) {
 			index.Apply("e", "i", []Event{add(1, 10), add(2, 11)}, false)
 			index.Apply("e", "i", []Event{add(1, 10)}, false)
 		}, want: 2},
@@ -52,7 +52,7 @@
 			index.Apply("e", "i", []Event{add(1, 10, 11)}, false)
 			index.Apply("e", "j", []Event{add(1, 10)}, false)
 		}, want: 1},
-		{name: "just sent there", apply: func(index *Index) { index.Expect("e", []uint64{10, 11, 12}) }, want: 3},
+		{name: "expected", apply: func(index *Index) { index.Expect("e", []uint64{10, 11, 12}) }, want: 3},
 		{name: "forgotten", apply: func(index *Index) {
 			index.Expect("e", []uint64{10, 11, 12})
 			index.Forget("e")
