--- a/core/decision/dogwoodentry/entry.go
+++ b/core/decision/dogwoodentry/entry.go
@@ -1,10 +1,11 @@
-// Package dogwoodentry decides which of the system's addresses a caller is told to use.
+// Package dogwoodentry selects the daemon addresses that are returned to a caller.
 //
-// Load pattern: there is no balancer, so callers spread as they are told, and keep what
-// they were told for a while. A caller gets a few live addresses that aren't leaving, its
-// own data centre's first, drawn by chance with weights by free capacity. Without the
-// chance all callers that ask between two reports go to the same daemon; without the
-// second address a daemon's death cuts its callers off until they ask again.
+// Load pattern: there is no load balancer, so the addresses returned to callers determine how load
+// is distributed, and callers use them for a while. A caller gets a few addresses of live daemons
+// that aren't leaving, those in its own data centre first, selected at random with weights by free
+// capacity. Without randomness, all callers that ask between two load reports would go to the same
+// daemon. Without a second address, callers of a daemon that dies would have no daemon until they
+// ask again.
 package dogwoodentry
 
 import (
@@ -17,26 +18,26 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Addresses is how many addresses a caller is told: with three, one may die and one may
-// be silent before the caller needs a new answer.
+// Addresses is the number of addresses returned to a caller. With three, one daemon can die and
+// another stop responding before the caller has to ask again.
 const Addresses = 3
 
 // Member is a daemon that callers may use.
 type Member struct {
 	Serve netip.AddrPort
 	Place dogwoodfleet.Place
-	// Leaving is true for a daemon that shuts down or whose place was taken out.
+	// Leaving is true for a daemon that is shutting down or whose place was taken out of service.
 	Leaving bool
-	// Load is the requests it holds; 0 if unknown.
+	// Load is the number of requests in progress; 0 if unknown.
 	Load int
-	// Cores is the processor that the daemon has; 0 if unknown.
+	// Cores is the number of cores; 0 if unknown.
 	Cores float64
 }
 
-// Choose returns at most count addresses, the best first. The place is the caller's if it
-// is known, else the daemon's that was asked.
+// Choose returns at most count addresses, the preferred ones first. place is the place of the
+// caller or, if unknown, of the daemon that was asked.
 func Choose(members []Member, place dogwoodfleet.Place, count int, random *rand.Rand) []netip.AddrPort {
-	type drawn struct {
+	type sample struct {
 		member   *Member
 		distance int
 		key      float64
@@ -47,36 +48,38 @@
 			largest = max(largest, member.cores())
 		}
 	}
-	draws := make([]drawn, 0, len(members))
+	samples := make([]sample, 0, len(members))
 	for i := range members {
 		member := &members[i]
 		if member.Leaving || !member.Serve.IsValid() {
 			continue
 		}
-		// Weighted sampling without replacement: the highest u^(1/w), here as log(u)/w with
-		// the weight cores/(load+1).
+		// Weighted sampling without replacement takes the highest u^(1/w), computed here as
+		// log(u)/w with the weight w = cores/(load+1).
 		key := math.Log(1-random.Float64()) * float64(member.Load+1) / member.cores()
-		draw := drawn{member: member, distance: distance(place, member.Place), key: key}
+		drawn := sample{member: member, distance: distance(place, member.Place), key: key}
 		if random.Float64() > member.cores()/largest {
-			// A caller uses all that it is told alike. Where a data centre has no more daemons than
-			// a caller is told, a small one would get as much as a large one, four times what it
-			// bears; so a caller is told of it as seldom as it is smaller.
-			draw.distance += seldom
+			// Callers spread their requests evenly over the returned addresses. In a data centre
+			// with no more daemons than addresses, a small daemon would get as many requests as a
+			// large one, four times what it can handle. Therefore an address is moved behind the
+			// others with probability 1 - cores/largest.
+			drawn.distance += deferredDistance
 		}
-		draws = append(draws, draw)
+		samples = append(samples, drawn)
 	}
-	slices.SortFunc(draws, func(one, other drawn) int {
-		return cmp.Or(cmp.Compare(one.distance, other.distance), cmp.Compare(other.key, one.key))
+	slices.SortFunc(samples, func(a, b sample) int {
+		return cmp.Or(cmp.Compare(a.distance, b.distance), cmp.Compare(b.key, a.key))
 	})
 	addresses := make([]netip.AddrPort, 0, count)
-	for _, draw := range draws[:min(count, len(draws))] {
-		addresses = append(addresses, draw.member.Serve)
+	for _, chosen := range samples[:min(count, len(samples))] {
+		addresses = append(addresses, chosen.member.Serve)
 	}
 	return addresses
 }
 
-// seldom is a distance beyond all others.
-const seldom = 10
+// deferredDistance is added to a distance to sort an address behind those without it. It exceeds
+// every result of distance.
+const deferredDistance = 10
 
 func (member *Member) cores() float64 {
 	if member.Cores <= 0 {
@@ -85,11 +88,12 @@
 	return member.Cores
 }
 
-func distance(one, other dogwoodfleet.Place) int {
+// distance returns 0 for places in the same data centre, 1 within a region and 2 otherwise.
+func distance(a, b dogwoodfleet.Place) int {
 	switch {
-	case one.Region != other.Region:
+	case a.Region != b.Region:
 		return 2
-	case one.DataCentre != other.DataCentre:
+	case a.DataCentre != b.DataCentre:
 		return 1
 	default:
 		return 0
--- a/core/decision/dogwoodhubs/hubs.go
+++ b/core/decision/dogwoodhubs/hubs.go
@@ -1,14 +1,16 @@
 // Package dogwoodhubs decides which daemons of a fleet are hubs.
 //
-// Load pattern: a fleet with far more daemons than its requests need, most of them small. If
-// each daemon keeps a link to every other, tells it of its work and hears whether it lives,
-// what one daemon pays grows with the fleet, and the fleet pays its square. So a few daemons
-// of each data centre, the largest, are hubs: callers are told to use these, they alone place
-// requests, know each other and follow the store. Every other daemon is a leaf, with a link to
-// one hub that tells it what the store told and which daemons callers may use. A leaf serves
-// callers who still come to it, and takes a hub's place as soon as hubs are missing.
+// Load pattern: a fleet has far more daemons than its requests need, most of them small. If each
+// daemon kept a connection to every other one to exchange load reports and heartbeats, the cost
+// per daemon would grow linearly with the fleet and the total cost quadratically. Therefore a few
+// of the largest daemons of each data centre are hubs: callers are directed to them, and only hubs
+// assign requests to endpoints, connect to each other and watch the store. Every other daemon is a
+// leaf with a connection to one hub, which forwards the store's updates and the list of daemons
+// that callers may use. A leaf still serves callers that connect to it, and is promoted to a hub
+// when there are too few hubs.
 //
-// Hubs grow with the requests and, by mostLeaves, with the daemons; a leaf's cost with neither.
+// The number of hubs grows with the request rate and, because of maxLeavesPerHub, with the number
+// of daemons. The cost of a leaf depends on neither.
 package dogwoodhubs
 
 import (
@@ -23,82 +25,86 @@
 )
 
 const (
-	// smallFleet is the number of daemons up to which all are hubs. So many are the fewest of
-	// the usual size that a larger fleet has, over all data centres: one that dies takes a
-	// twelfth of the requests with it. A larger daemon counts as several.
-	smallFleet = 12
-	// leastInCentre is the least number of hubs of a data centre, so that its leaves and
-	// callers have another one when one dies.
-	leastInCentre = 2
-	// usualCores is the processor of a daemon of the usual size, and of one that does not say.
-	usualCores = 0.4
-	// coresPerRequest is the processor time that a request takes, in seconds of a core.
+	// smallFleetSize is the number of daemons up to which all are hubs. It is also the minimum
+	// number of hubs of typical size in a larger fleet, over all data centres: one that dies takes
+	// a twelfth of the requests with it. A larger daemon counts as several.
+	smallFleetSize = 12
+	// minHubsPerDataCentre is the minimum number of hubs in a data centre, so that its leaves and
+	// callers can fail over when one dies.
+	minHubsPerDataCentre = 2
+	// typicalCores is the number of cores of a daemon of typical size. It is assumed for daemons
+	// that report none.
+	typicalCores = 0.4
+	// coresPerRequest is the CPU time per request in core-seconds.
 	coresPerRequest = 0.0065
-	// aimedUse is the part of their processors that hubs use for requests: the load may double
-	// before one waits for its processor.
-	aimedUse = 0.4
-	// mostLeaves is how many leaves a hub has at most, if there are enough daemons: a hub that
-	// dies has so many daemons look for another one.
-	mostLeaves = 50
-	// joinPause is the mean pause of a daemon with one core before it offers itself as a hub:
-	// longer than the store takes to tell it of one that was sooner. Smaller daemons wait longer.
-	joinPause = 100 * time.Millisecond
-	// leastCores is the processor below which a daemon waits no longer for its smallness.
-	leastCores = 0.04
-	// readersAsked is how many hubs a hub may ask for what the store holds, one after the other.
-	readersAsked = 3
+	// targetUtilization is the share of CPU that hubs use for requests, so that the load can double
+	// before requests wait for CPU.
+	targetUtilization = 0.4
+	// maxLeavesPerHub is the maximum number of leaves per hub if there are enough daemons. It bounds
+	// how many daemons look for another hub at once when one dies.
+	maxLeavesPerHub = 50
+	// baseJoinDelay is the mean delay before a daemon with one core offers itself as a hub. It is
+	// longer than the store takes to report a hub that was registered earlier. Smaller daemons wait
+	// longer.
+	baseJoinDelay = 100 * time.Millisecond
+	// minJoinCores is the number of cores below which the join delay doesn't grow further.
+	minJoinCores = 0.04
+	// maxReaders is the maximum number of hubs that a hub tries, in order, to read the store's
+	// contents from.
+	maxReaders = 3
 )
 
-// Daemon is a daemon as far as its part in the fleet goes.
+// Daemon holds the properties of a daemon that decide whether it is a hub or a leaf.
 type Daemon struct {
 	VM       dogwoodfleet.VM
 	Instance dogwoodfleet.InstanceID
 	Place    dogwoodfleet.Place
-	// Serve is where callers connect, Peer where daemons do.
+	// Serve is the address for callers and Peer the address for other daemons.
 	Serve, Peer netip.AddrPort
-	// Cores is the processor that it has; 0 if unknown.
+	// Cores is the number of cores; 0 if unknown.
 	Cores float64
-	// Away is true while callers must not be told to use it.
+	// Away is true while callers must not be directed to the daemon.
 	Away bool
 }
 
-// Needs are what the hubs of one data centre must bear.
+// Needs describes the load that the hubs of one data centre must handle.
 type Needs struct {
-	// DataCentres is how many there are.
+	// DataCentres is the number of data centres.
 	DataCentres int
-	// RequestsPerSecond come to the hubs of this data centre.
+	// RequestsPerSecond is the request rate of this data centre's hubs.
 	RequestsPerSecond float64
-	// Leaves are in this data centre, Daemons in the whole fleet, hubs included.
+	// Leaves is the number of leaves in this data centre. Daemons is the number of daemons in the
+	// whole fleet, including hubs.
 	Leaves, Daemons int
-	// Settled is true once all daemons that live have been counted. Until then a large fleet
-	// that starts looks like a small one.
+	// Settled is true once all running daemons have been counted. Until then a large fleet that
+	// is starting looks like a small one.
 	Settled bool
 }
 
-// Enough reports whether these hubs of a data centre bear what it needs.
+// Enough reports whether the hubs of a data centre can handle its load.
 func Enough(hubs []Daemon, needs Needs) bool {
 	if needs.Leaves == 0 {
-		return true // there is nobody else
+		return true // no leaf is left to promote
 	}
-	if needs.Settled && isSmall(needs.Daemons) || len(hubs) < leastInCentre || len(hubs)*mostLeaves < needs.Leaves {
+	if needs.Settled && isSmall(needs.Daemons) || len(hubs) < minHubsPerDataCentre || len(hubs)*maxLeavesPerHub < needs.Leaves {
 		return false
 	}
 	share := 1 / float64(max(needs.DataCentres, 1))
 	weight, cores := 0.0, 0.0
 	for _, hub := range hubs {
-		weight += max(hub.cores()/usualCores, 1)
+		weight += max(hub.cores()/typicalCores, 1)
 		cores += hub.cores()
 	}
-	return weight >= smallFleet*share && cores >= needs.RequestsPerSecond*coresPerRequest/aimedUse
+	return weight >= smallFleetSize*share && cores >= needs.RequestsPerSecond*coresPerRequest/targetUtilization
 }
 
-// isSmall reports whether a fleet is so small that all its daemons are hubs.
+// isSmall reports whether all daemons of a fleet of this size are hubs.
 func isSmall(daemons int) bool {
-	return daemons <= smallFleet
+	return daemons <= smallFleetSize
 }
 
-// Spare reports whether a hub is the last of its data centre and the others suffice without
-// it, also for half as many requests and leaves again.
+// Spare reports whether a hub is the last one of its data centre in the order of Compare and the
+// other hubs are enough without it, even with 50% more requests and leaves.
 func Spare(self Daemon, hubs []Daemon, needs Needs) bool {
 	others := slices.DeleteFunc(slices.Clone(hubs), func(hub Daemon) bool { return hub.Instance == self.Instance })
 	for _, other := range others {
@@ -106,36 +112,36 @@
 			return false
 		}
 	}
-	const margin = 1.5
-	needs.RequestsPerSecond *= margin
-	needs.Leaves = int(margin*float64(needs.Leaves)) + 1
+	const headroom = 1.5
+	needs.RequestsPerSecond *= headroom
+	needs.Leaves = int(headroom*float64(needs.Leaves)) + 1
 	return Enough(others, needs)
 }
 
-// Compare orders daemons by who ought to be a hub first: the larger ones, among equals any,
-// but the same at each daemon.
-func Compare(one, other Daemon) int {
-	return cmp.Or(cmp.Compare(other.cores(), one.cores()), cmp.Compare(one.rank(), other.rank()))
+// Compare orders daemons by their preference as hubs: larger ones first. Ties are broken by an
+// arbitrary order that is the same on every daemon.
+func Compare(a, b Daemon) int {
+	return cmp.Or(cmp.Compare(b.cores(), a.cores()), cmp.Compare(a.tieBreak(), b.tieBreak()))
 }
 
-// JoinPause is the mean time that a daemon which found no hub waits before it offers itself.
-// The largest are first, and those that come later find them.
+// JoinPause returns the mean delay before a daemon that found no hub offers itself as one. Larger
+// daemons wait less, so smaller ones find them as hubs.
 func JoinPause(cores float64) time.Duration {
-	return time.Duration(float64(joinPause) / max(Daemon{Cores: cores}.cores(), leastCores))
+	return time.Duration(float64(baseJoinDelay) / max(Daemon{Cores: cores}.cores(), minJoinCores))
 }
 
-// Readers returns the hubs that one of them asks for what the store holds, the best first;
-// none if it is to ask the store itself. All ask the same one, which asks the store, so that
-// the store is asked no more often by a large fleet than by one daemon. Those that are next
-// stand in other data centres and take its place in turn when it fails. In a small fleet each
-// asks the store.
+// Readers returns the hubs from which the hub self reads the store's contents, in order of
+// preference, or none if self reads the store directly. All hubs prefer the same one, which reads
+// the store, so that a large fleet reads it no more often than one daemon. The fallbacks are in
+// other data centres and replace it in order when it fails. In a small fleet every hub reads the
+// store directly.
 func Readers(hubs []Daemon, self Daemon, daemons int) []Daemon {
 	if isSmall(daemons) {
 		return nil
 	}
 	var readers []Daemon
-	for _, hub := range readingOrder(hubs) {
-		if hub.Instance == self.Instance || len(readers) == readersAsked {
+	for _, hub := range readerOrder(hubs) {
+		if hub.Instance == self.Instance || len(readers) == maxReaders {
 			break
 		}
 		readers = append(readers, hub)
@@ -143,28 +149,28 @@
 	return readers
 }
 
-// readingOrder puts the first hub of each data centre before the second ones.
-func readingOrder(hubs []Daemon) []Daemon {
+// readerOrder sorts hubs so that the first hub of each data centre comes before the second ones.
+func readerOrder(hubs []Daemon) []Daemon {
 	ordered := slices.SortedFunc(slices.Values(hubs), Compare)
-	turn := make(map[dogwoodfleet.InstanceID]int, len(ordered))
-	inCentre := map[dogwoodfleet.Place]int{}
+	indexInPlace := make(map[dogwoodfleet.InstanceID]int, len(ordered))
+	countByPlace := map[dogwoodfleet.Place]int{}
 	for _, hub := range ordered {
-		turn[hub.Instance] = inCentre[hub.Place]
-		inCentre[hub.Place]++
+		indexInPlace[hub.Instance] = countByPlace[hub.Place]
+		countByPlace[hub.Place]++
 	}
-	slices.SortStableFunc(ordered, func(one, other Daemon) int {
-		return cmp.Or(cmp.Compare(turn[one.Instance], turn[other.Instance]), cmp.Compare(one.rank(), other.rank()))
+	slices.SortStableFunc(ordered, func(a, b Daemon) int {
+		return cmp.Or(cmp.Compare(indexInPlace[a.Instance], indexInPlace[b.Instance]), cmp.Compare(a.tieBreak(), b.tieBreak()))
 	})
 	return ordered
 }
 
 func (daemon Daemon) cores() float64 {
 	if daemon.Cores <= 0 {
-		return usualCores
+		return typicalCores
 	}
 	return daemon.Cores
 }
 
-func (daemon Daemon) rank() uint64 {
+func (daemon Daemon) tieBreak() uint64 {
 	return xxhash.Sum64String(daemon.Serve.String())
 }
--- a/core/decision/dogwoodhubs/hubs_test.go
+++ b/core/decision/dogwoodhubs/hubs_test.go
@@ -11,18 +11,18 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-var centres = []dogwoodfleet.DataCentre{"a", "b", "c"}
+var dataCentres = []dogwoodfleet.DataCentre{"a", "b", "c"}
 
-// fleetOf returns daemons in three data centres: in each two of 0.8 cores, the others of
-// 0.192.
-func fleetOf(perCentre int) []Daemon {
+// newFleet returns daemons in three data centres. In each, two daemons have 0.8 cores and the
+// others 0.192.
+func newFleet(perDataCentre int) []Daemon {
 	var daemons []Daemon
-	for c, centre := range centres {
-		for i := range perCentre {
+	for c, dataCentre := range dataCentres {
+		for i := range perDataCentre {
 			daemon := Daemon{
-				VM:       dogwoodfleet.VM(fmt.Sprintf("%s-%03d", centre, i)),
-				Instance: dogwoodfleet.InstanceID(fmt.Sprintf("%s-%03d.1", centre, i)),
-				Place:    dogwoodfleet.Place{Region: "r", DataCentre: centre},
+				VM:       dogwoodfleet.VM(fmt.Sprintf("%s-%03d", dataCentre, i)),
+				Instance: dogwoodfleet.InstanceID(fmt.Sprintf("%s-%03d.1", dataCentre, i)),
+				Place:    dogwoodfleet.Place{Region: "r", DataCentre: dataCentre},
 				Serve:    netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(c), byte(i / 200), byte(i % 200)}), 1),
 				Cores:    0.192,
 			}
@@ -35,58 +35,59 @@
 	return daemons
 }
 
-func inCentre(daemons []Daemon, centre dogwoodfleet.DataCentre) []Daemon {
-	return slices.DeleteFunc(slices.Clone(daemons), func(daemon Daemon) bool { return daemon.Place.DataCentre != centre })
+func inDataCentre(daemons []Daemon, dataCentre dogwoodfleet.DataCentre) []Daemon {
+	return slices.DeleteFunc(slices.Clone(daemons), func(daemon Daemon) bool { return daemon.Place.DataCentre != dataCentre })
 }
 
-// hubsOf promotes the best leaf of a data centre as long as there are too few hubs.
-func hubsOf(daemons []Daemon, centre dogwoodfleet.DataCentre, rate float64) []Daemon {
-	there := slices.SortedFunc(slices.Values(inCentre(daemons, centre)), Compare)
-	for count := range there {
-		if Enough(there[:count], needsOf(daemons, len(there)-count, rate)) {
-			return there[:count]
+// promoteHubs promotes the best leaf of a data centre until there are enough hubs, and returns
+// the hubs.
+func promoteHubs(daemons []Daemon, dataCentre dogwoodfleet.DataCentre, rate float64) []Daemon {
+	candidates := slices.SortedFunc(slices.Values(inDataCentre(daemons, dataCentre)), Compare)
+	for count := range candidates {
+		if Enough(candidates[:count], newNeeds(daemons, len(candidates)-count, rate)) {
+			return candidates[:count]
 		}
 	}
-	return there
+	return candidates
 }
 
-func needsOf(daemons []Daemon, leaves int, rate float64) Needs {
-	return Needs{DataCentres: len(centres), RequestsPerSecond: rate / float64(len(centres)), Leaves: leaves, Daemons: len(daemons), Settled: true}
+func newNeeds(daemons []Daemon, leaves int, rate float64) Needs {
+	return Needs{DataCentres: len(dataCentres), RequestsPerSecond: rate / float64(len(dataCentres)), Leaves: leaves, Daemons: len(daemons), Settled: true}
 }
 
-// Sixty daemons each told every other of two requests a second; announcements took more
-// processor than the requests, and small VMs fell behind with them.
-func TestAsManyDaemonsTakeCallersAsTheirRequestsNeed(t *testing.T) {
+// If every daemon is a hub, announcements between them can take more CPU than the requests: with
+// sixty daemons at two requests per second, small VMs fell behind in processing them.
+func TestHubCountMatchesDemand(t *testing.T) {
 	tests := []struct {
-		name      string
-		perCentre int
-		rate      float64
-		want      int // in each data centre
+		name          string
+		perDataCentre int
+		rate          float64
+		want          int // in each data centre
 	}{
-		{name: "a small fleet, all", perCentre: 3, rate: 60, want: 3},
-		{name: "as many as the fewest, all", perCentre: 4, rate: 0, want: 4},
-		{name: "idle, the large ones", perCentre: 20, rate: 0, want: 2},
-		{name: "as much as the large ones bear", perCentre: 20, rate: 290, want: 2},
-		{name: "a little more, a small one besides", perCentre: 20, rate: 310, want: 3},
-		{name: "more than all bear", perCentre: 20, rate: 10_000, want: 20},
-		{name: "more leaves than two hubs are to have", perCentre: 120, rate: 0, want: 3},
+		{name: "all daemons of a small fleet", perDataCentre: 3, rate: 60, want: 3},
+		{name: "all daemons at the limit for small fleets", perDataCentre: 4, rate: 0, want: 4},
+		{name: "only large daemons when idle", perDataCentre: 20, rate: 0, want: 2},
+		{name: "only large daemons up to their capacity", perDataCentre: 20, rate: 290, want: 2},
+		{name: "one small daemon above that capacity", perDataCentre: 20, rate: 310, want: 3},
+		{name: "all daemons above total capacity", perDataCentre: 20, rate: 10_000, want: 20},
+		{name: "more leaves than two hubs may have", perDataCentre: 120, rate: 0, want: 3},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			daemons, cores := fleetOf(test.perCentre), 0.0
-			for _, centre := range centres {
-				hubs := hubsOf(daemons, centre, test.rate)
+			daemons, cores := newFleet(test.perDataCentre), 0.0
+			for _, dataCentre := range dataCentres {
+				hubs := promoteHubs(daemons, dataCentre, test.rate)
 				if got := len(hubs); got != test.want {
-					t.Errorf("data centre %s: got %d hubs, want %d", centre, got, test.want)
+					t.Errorf("data centre %s: got %d hubs, want %d", dataCentre, got, test.want)
 				}
 				if hubs[0].Cores != 0.8 || hubs[1].Cores != 0.8 {
-					t.Errorf("data centre %s: got hubs of %v and %v cores first, want the large ones", centre, hubs[0].Cores, hubs[1].Cores)
+					t.Errorf("data centre %s: got hubs with %v and %v cores first, want the large ones", dataCentre, hubs[0].Cores, hubs[1].Cores)
 				}
 				for _, hub := range hubs {
 					cores += hub.Cores
 				}
 			}
-			needed := math.Min(test.rate*coresPerRequest/aimedUse, float64(3*test.perCentre-6)*0.192+4.8)
+			needed := math.Min(test.rate*coresPerRequest/targetUtilization, float64(3*test.perDataCentre-6)*0.192+4.8)
 			if cores < needed-1e-9 {
 				t.Errorf("got %.2f cores, want at least %.2f", cores, needed)
 			}
@@ -94,42 +95,42 @@
 	}
 }
 
-// The large daemons of a data centre shut down. The same number of daemons of the usual size
-// must take callers as before, of those that are left.
-func TestOthersTakeOverForDaemonsThatAreMissing(t *testing.T) {
-	daemons := slices.DeleteFunc(fleetOf(20), func(daemon Daemon) bool {
+// When the large daemons of a data centre shut down, enough of the remaining small ones must
+// become hubs to replace them.
+func TestRemainingDaemonsReplaceLostHubs(t *testing.T) {
+	daemons := slices.DeleteFunc(newFleet(20), func(daemon Daemon) bool {
 		return daemon.Place.DataCentre == "b" && daemon.Cores > 0.5
 	})
-	// In a the two large ones count as four, in b all are small.
-	if got, want := len(hubsOf(daemons, "b", 100)), smallFleet/len(centres); got != want {
-		t.Errorf("got %d hubs of small daemons, want %d", got, want)
+	// In data centre a the two large daemons count as four; in b all daemons are small.
+	if got, want := len(promoteHubs(daemons, "b", 100)), smallFleetSize/len(dataCentres); got != want {
+		t.Errorf("data centre with small daemons only: got %d hubs, want %d", got, want)
 	}
-	if got, want := len(hubsOf(daemons, "a", 100)), smallFleet/len(centres)-2; got != want {
-		t.Errorf("got %d hubs of large daemons, want %d", got, want)
+	if got, want := len(promoteHubs(daemons, "a", 100)), smallFleetSize/len(dataCentres)-2; got != want {
+		t.Errorf("data centre with large daemons: got %d hubs, want %d", got, want)
 	}
 }
 
-// A fleet of hundreds starts, and each hub sees only the first leaves. Taken for a small fleet,
-// all of which are hubs, it would get as many hubs as came first.
-func TestALargeFleetThatStartsIsNotTakenForASmallOne(t *testing.T) {
-	daemons := fleetOf(3)
-	hubs := inCentre(daemons, "a")[:2]
-	needs := needsOf(daemons, 1, 0)
+// While a fleet of hundreds starts, each hub sees only the first leaves. If that counted as a
+// small fleet, all of these leaves would become hubs.
+func TestStartingLargeFleetIsNotTreatedAsSmall(t *testing.T) {
+	daemons := newFleet(3)
+	hubs := inDataCentre(daemons, "a")[:2]
+	needs := newNeeds(daemons, 1, 0)
 	if Enough(hubs, needs) {
-		t.Error("got enough hubs in a small fleet, want all its daemons")
+		t.Error("small fleet: got enough hubs with one leaf left, want all daemons as hubs")
 	}
 	needs.Settled = false
 	if !Enough(hubs, needs) {
-		t.Error("got too few hubs while the fleet has not settled, want enough")
+		t.Error("fleet that has not settled: got too few hubs, want enough")
 	}
 }
 
-// Daemons were promoted while others were down. When these are back the last hub becomes a
-// leaf; if two did at once, or one that is needed as soon as the load grows, hubs would come
-// and go for ever.
-func TestOnlyTheLastHubIsSpare(t *testing.T) {
-	daemons := fleetOf(20)
-	there := slices.SortedFunc(slices.Values(inCentre(daemons, "a")), Compare)
+// Hubs that were promoted while others were down become leaves again once those are back. Only the
+// last hub may do so, and only if it isn't needed when the load grows a little; otherwise hubs
+// would be promoted and demoted indefinitely.
+func TestOnlyLowestRankedHubIsSpare(t *testing.T) {
+	daemons := newFleet(20)
+	candidates := slices.SortedFunc(slices.Values(inDataCentre(daemons, "a")), Compare)
 	tests := []struct {
 		name string
 		hubs int
@@ -138,13 +139,13 @@
 	}{
 		{name: "one too many", hubs: 3, rate: 100, want: []bool{false, false, true}},
 		{name: "just enough", hubs: 2, rate: 100, want: []bool{false, false}},
-		{name: "needed with half as much again", hubs: 3, rate: 250, want: []bool{false, false, false}},
+		{name: "needed with 50% more load", hubs: 3, rate: 250, want: []bool{false, false, false}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			hubs := there[:test.hubs]
+			hubs := candidates[:test.hubs]
 			for i, hub := range hubs {
-				if got := Spare(hub, hubs, needsOf(daemons, 18, test.rate)); got != test.want[i] {
+				if got := Spare(hub, hubs, newNeeds(daemons, 18, test.rate)); got != test.want[i] {
 					t.Errorf("hub %d: got spare %v, want %v", i, got, test.want[i])
 				}
 			}
@@ -152,75 +153,76 @@
 	}
 }
 
-// Each daemon asked the store, which is paid for by the call. One must read it, the next ones
-// stand in other data centres, and a fleet of the same hubs in another order has the same one.
+// Calls to the store are billed individually, so only one hub must read it. Its fallbacks must be
+// in other data centres, and the choice must not depend on the order of the hubs.
 func TestOneHubReadsTheStore(t *testing.T) {
-	daemons := fleetOf(20)
+	daemons := newFleet(20)
 	var hubs []Daemon
-	for _, centre := range centres {
-		hubs = append(hubs, hubsOf(daemons, centre, 0)...)
+	for _, dataCentre := range dataCentres {
+		hubs = append(hubs, promoteHubs(daemons, dataCentre, 0)...)
 	}
 	asked, direct := map[dogwoodfleet.InstanceID]int{}, 0
 	for _, hub := range hubs {
 		reversed := slices.Clone(hubs)
 		slices.Reverse(reversed)
-		readers, other := Readers(hubs, hub, len(daemons)), Readers(reversed, hub, len(daemons))
-		if !slices.Equal(readers, other) {
-			t.Errorf("got readers %v, and %v of the same hubs in another order", readers, other)
+		readers, readersOfReversed := Readers(hubs, hub, len(daemons)), Readers(reversed, hub, len(daemons))
+		if !slices.Equal(readers, readersOfReversed) {
+			t.Errorf("got readers %v, and %v for the same hubs in another order", readers, readersOfReversed)
 		}
 		if len(readers) == 0 {
 			direct++
 			continue
 		}
 		asked[readers[0].Instance]++
-		if len(readers) == readersAsked && (readers[0].Place == readers[1].Place || readers[1].Place == readers[2].Place) {
+		if len(readers) == maxReaders && (readers[0].Place == readers[1].Place || readers[1].Place == readers[2].Place) {
 			t.Errorf("got readers in one data centre: %v", readers)
 		}
 	}
 	if direct != 1 || len(asked) != 1 {
-		t.Errorf("got %d hubs that read the store and %d that are asked first, want one", direct, len(asked))
+		t.Errorf("got %d hubs that read the store directly and %d that the others ask first, want one", direct, len(asked))
 	}
-	small := fleetOf(4)
+	small := newFleet(4)
 	if got := Readers(small, small[0], len(small)); len(got) != 0 {
 		t.Errorf("got readers %v in a small fleet, want none", got)
 	}
 }
 
-// A fleet starts for the first time and finds no hub. The largest daemons must offer themselves
-// before the small ones do.
+// When a fleet starts for the first time there is no hub. Large daemons must offer themselves as
+// hubs before small ones do.
 func TestLargeDaemonsOfferThemselvesFirst(t *testing.T) {
-	// A pause is spread by half both ways.
+	// The caller jitters the mean delay by 50% in both directions.
 	if large, small := JoinPause(0.8)*3/2, JoinPause(0.192)/2; large >= small {
-		t.Errorf("got up to %s for a large daemon and from %s for a small one, want the large one first", large, small)
+		t.Errorf("got delays up to %s for a large daemon and from %s for a small one, want the large one first", large, small)
 	}
 	if got := JoinPause(0); got <= 0 || got > time.Second {
-		t.Errorf("got %s for a daemon that does not know its size, want a short pause", got)
+		t.Errorf("got %s for a daemon with an unknown number of cores, want a short delay", got)
 	}
 }
 
-// Engines fail, and six daemons of sixty have nearly all requests. They must be able to try
-// again most of what all may together, and the parts of all daemons must never add up to more.
-func TestPartsOfAnAllowanceAddUpToNoMore(t *testing.T) {
+// When engines fail and six of sixty daemons have nearly all requests, these six must be able to
+// use most of the fleet-wide retry allowance. The shares of all daemons must never add up to more
+// than the allowance.
+func TestAllowanceSharesSumToAtMostOne(t *testing.T) {
 	tests := []struct {
 		name          string
 		daemons, hubs int
 		wantHub       int
 	}{
-		{name: "all are hubs", daemons: 8, hubs: 8, wantHub: 8},
-		{name: "none known", daemons: 8, hubs: 0, wantHub: 8},
-		{name: "few of many", daemons: 61, hubs: 6, wantHub: 8},
-		{name: "few of hundreds", daemons: 295, hubs: 10, wantHub: 13},
+		{name: "all daemons are hubs", daemons: 8, hubs: 8, wantHub: 8},
+		{name: "no hub is known", daemons: 8, hubs: 0, wantHub: 8},
+		{name: "few hubs among dozens", daemons: 61, hubs: 6, wantHub: 8},
+		{name: "few hubs among hundreds", daemons: 295, hubs: 10, wantHub: 13},
 		{name: "most", daemons: 20, hubs: 19, wantHub: 24},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := Sharers(test.daemons, test.hubs, true); got != test.wantHub {
-				t.Errorf("got a part of 1/%d for a hub, want 1/%d", got, test.wantHub)
+				t.Errorf("got a share of 1/%d for a hub, want 1/%d", got, test.wantHub)
 			}
 			sum := float64(test.hubs)/float64(Sharers(test.daemons, test.hubs, true)) +
 				float64(test.daemons-test.hubs)/float64(Sharers(test.daemons, test.hubs, false))
 			if sum > 1+1e-9 {
-				t.Errorf("got parts that add up to %.2f, want at most 1", sum)
+				t.Errorf("got shares that add up to %.2f, want at most 1", sum)
 			}
 		})
 	}
--- a/core/decision/dogwoodhubs/sharers.go
+++ b/core/decision/dogwoodhubs/sharers.go
@@ -2,13 +2,14 @@
 
 import "math"
 
-// hubShare is the part of what all daemons may do together that the hubs may; the rest is for
-// callers who still use the address of a leaf.
+// hubShare is the share of a fleet-wide allowance that all hubs get together. The rest is for
+// callers that still use the address of a leaf.
 const hubShare = 0.8
 
-// Sharers is by how many daemons an allowance for all is divided to get one daemon's part.
-// Divided evenly, a hundred repeats are one or two for each of sixty daemons, and the few
-// that take nearly all requests refuse what the others could still try again.
+// Sharers returns the number by which a fleet-wide allowance is divided to get one daemon's share.
+// Hubs get a larger share than leaves: if an allowance of a hundred retries were divided evenly
+// among sixty daemons, each would get one or two, and the few that serve nearly all requests would
+// reject retries while the shares of the others stay unused.
 func Sharers(daemons, hubs int, isHub bool) int {
 	leaves := daemons - hubs
 	switch {
--- a/core/decision/dogwoodroute/route.go
+++ b/core/decision/dogwoodroute/route.go
@@ -1,6 +1,6 @@
-// Package dogwoodroute finds what the operators' text says of a request: the route by host
-// and path, the service by weight and the customer by key. A Table is one version of the
-// text and never changes, so that a request sees one version throughout a decision.
+// Package dogwoodroute looks up the parts of the operators' configuration that apply to a request:
+// the route by host and path, the service by weight and the customer by key. A Table holds one
+// version of the configuration and is immutable, so all lookups for a request use the same version.
 package dogwoodroute
 
 import (
@@ -15,26 +15,26 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Repeat says what may be repeated of a route's requests.
+// Repeat defines whether a route's requests may be repeated.
 type Repeat string
 
 // The kinds of repetition.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Repeat = "Idempotent"
-	// Once is for requests that may run once at most.
+	// Once requests may run at most once.
 	Once Repeat = "Once"
-	// Stream is for answers that are a series of events.
+	// Stream requests are answered by a series of events.
 	Stream Repeat = "Stream"
 )
 
-// Split is a share of a route's requests for one service.
+// Split assigns a weighted share of a route's requests to one service.
 type Split struct {
 	Service dogwoodfleet.Service
 	Weight  float64
 }
 
-// Route is how requests of one host and path prefix are served.
+// Route defines how requests for one host and path prefix are served.
 type Route struct {
 	Name   string
 	Host   string
@@ -42,37 +42,37 @@
 	Repeat Repeat
 	// Resumable streams may be continued at another endpoint.
 	Resumable bool
-	// Timeout is the longest that a request may wait for its answer.
+	// Timeout is the maximum time a request waits for its answer.
 	Timeout time.Duration
-	// Aim is the time of a good answer, for a stream of its first event; Pause is the
-	// longest good pause between two events.
+	// Aim is the target time to the answer, or to the first event of a stream. Pause is the
+	// longest acceptable pause between two events.
 	Aim, Pause time.Duration
-	// Attempts is the most endpoints that may run one request.
+	// Attempts is the maximum number of endpoints that may run one request.
 	Attempts int
 	// Public routes need no key.
 	Public bool
 	Splits []Split
 }
 
-// Pick draws the service of one request.
+// Pick selects a service for one request at random, by weight.
 func (route *Route) Pick(random *rand.Rand) dogwoodfleet.Service {
 	total := 0.0
 	for _, split := range route.Splits {
 		total += split.Weight
 	}
-	left := random.Float64() * total
+	remaining := random.Float64() * total
 	for _, split := range route.Splits {
-		if left -= split.Weight; left < 0 {
+		if remaining -= split.Weight; remaining < 0 {
 			return split.Service
 		}
 	}
 	return route.Splits[len(route.Splits)-1].Service
 }
 
-// Service is what the text says of a service's endpoints.
+// Service holds the configuration of a service's endpoints.
 type Service struct {
 	Name dogwoodfleet.Service
-	// ColdPerSecond is how many requests a cold endpoint bears in a second; 0 for no limit.
+	// ColdPerSecond is the limit of requests per second to a cold endpoint; 0 means no limit.
 	ColdPerSecond float64
 	// Engine is nil for plain services.
 	Engine *dogwoodenginetime.Engine
@@ -82,43 +82,45 @@
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// Idle is how long a caller's connection may be unused.
+	// Idle is the maximum idle time of a caller's connection.
 	Idle time.Duration
 }
 
-// keyDigest stands for a key: a look-up by digest tells nothing of a key by its time.
+// keyDigest is the hash of a key. Lookups use the hash so that their timing reveals nothing
+// about the key.
 type keyDigest [sha256.Size]byte
 
-// Table is one version of the operators' text.
+// Table holds one version of the operators' configuration.
 type Table struct {
-	Version   int64
-	Limits    Limits
-	routes    map[string][]Route // by host, the longest prefix first
-	services  map[dogwoodfleet.Service]Service
-	customers map[keyDigest]dogwoodfleet.Customer
-	keyed     bool
+	Version      int64
+	Limits       Limits
+	routes       map[string][]Route // by host, longest prefix first
+	services     map[dogwoodfleet.Service]Service
+	customers    map[keyDigest]dogwoodfleet.Customer
+	requiresKeys bool
 }
 
-// Customer is a customer and its keys.
+// Customer holds a customer's name and keys.
 type Customer struct {
 	Name dogwoodfleet.Customer
 	Keys []string
 }
 
-// NewTable builds a table.
+// NewTable returns a Table of the given routes, services and customers. Keys are required if
+// there is at least one customer.
 func NewTable(version int64, limits Limits, routes []Route, services []Service, customers []Customer) *Table {
 	table := &Table{
 		Version: version, Limits: limits,
-		routes:    map[string][]Route{},
-		services:  map[dogwoodfleet.Service]Service{},
-		customers: map[keyDigest]dogwoodfleet.Customer{},
-		keyed:     len(customers) > 0,
+		routes:       map[string][]Route{},
+		services:     map[dogwoodfleet.Service]Service{},
+		customers:    map[keyDigest]dogwoodfleet.Customer{},
+		requiresKeys: len(customers) > 0,
 	}
 	for _, route := range routes {
 		table.routes[route.Host] = append(table.routes[route.Host], route)
 	}
-	for _, found := range table.routes {
-		slices.SortStableFunc(found, func(one, other Route) int { return len(other.Prefix) - len(one.Prefix) })
+	for _, hostRoutes := range table.routes {
+		slices.SortStableFunc(hostRoutes, func(a, b Route) int { return len(b.Prefix) - len(a.Prefix) })
 	}
 	for _, service := range services {
 		table.services[service.Name] = service
@@ -131,12 +133,13 @@
 	return table
 }
 
-// Route returns the route of a request, or false if there is none.
+// Route returns the route for a host and path, or false if there is none. If no route has the
+// host with its port, the host without the port is used.
 func (table *Table) Route(host, path string) (*Route, bool) {
 	routes, ok := table.routes[host]
 	if !ok {
-		if name, _, err := net.SplitHostPort(host); err == nil {
-			routes = table.routes[name]
+		if hostname, _, err := net.SplitHostPort(host); err == nil {
+			routes = table.routes[hostname]
 		}
 	}
 	for i := range routes {
@@ -147,18 +150,18 @@
 	return nil, false
 }
 
-// Service returns what the text says of a service.
+// Service returns the configuration of a service, or false if there is none.
 func (table *Table) Service(name dogwoodfleet.Service) (Service, bool) {
 	service, ok := table.services[name]
 	return service, ok
 }
 
-// NeedsKey reports whether requests of the route need a key.
+// NeedsKey reports whether requests for the route need a key.
 func (table *Table) NeedsKey(route *Route) bool {
-	return table.keyed && !route.Public
+	return table.requiresKeys && !route.Public
 }
 
-// Customer returns the customer that holds the key.
+// Customer returns the customer that the key belongs to, or false if the key is unknown.
 func (table *Table) Customer(key string) (dogwoodfleet.Customer, bool) {
 	customer, ok := table.customers[sha256.Sum256([]byte(key))]
 	return customer, ok
--- a/core/decision/dogwoodrouting/owners.go
+++ b/core/decision/dogwoodrouting/owners.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// OwnerLoad is what an entry knows of an owner that may serve a request: the owner's last
-// summary, and what the entry itself has asked of it since.
+// OwnerLoad is an entry daemon's view of an owner that can serve a request: the owner's last load
+// summary and the number of requests that the entry daemon has sent to it since.
 type OwnerLoad struct {
 	// Hash is a fixed hash of the owner's instance.
 	Hash uint64
-	// Slots, Running and Waiting are the summary's.
+	// Slots, Running and Waiting are copied from the summary.
 	Slots, Running, Waiting int
-	// Asked is what this entry has asked there since that summary.
+	// Asked is the number of requests that the entry daemon has sent to the owner since the summary.
 	Asked int
-	// Distance is 0 in the entry's data centre, 1 in its region, 2 elsewhere.
+	// Distance is 0 within the entry daemon's data centre, 1 within its region and 2 elsewhere.
 	Distance int
-	// Wait is the wait that the summary predicts.
+	// Wait is the queueing time predicted by the summary.
 	Wait time.Duration
 }
 
@@ -24,17 +24,18 @@
 	return float64(owner.Running+owner.Waiting+owner.Asked+1) / float64(max(owner.Slots, 1))
 }
 
-// queueAhead is the load from which an owner is as good as full: nearer ones that queue
-// aren't better than farther ones with free slots.
-const queueAhead = 1.0
+// fullLoad is the load above which an owner counts as full. A nearby owner that queues requests
+// isn't preferred to a distant one with free slots.
+const fullLoad = 1.0
 
-// PickOwner returns the index of the owner to ask, or -1. A request with a known prefix
-// goes to the owner that the prefix hashes to, as long as its load is within the bound;
-// else the less loaded of two chosen by chance is taken. Only owners at the least
-// distance that has a free slot are looked at; if none has one, all are. The first block
-// is 0 for a request without a prefix.
+// PickOwner returns the index of the owner to send a request to, or -1 if there is none. A
+// request with a prefix goes to the owner that the prefix hashes to if that owner's load is at
+// most boundedLoad times the mean, or at most half of fullLoad. Otherwise it goes to the less
+// loaded of two owners drawn at random. Only owners up to the smallest distance with a free slot
+// are considered; if no owner has a free slot, all are. firstBlock is 0 for a request without a
+// prefix.
 func PickOwner(owners []OwnerLoad, firstBlock uint64, random *rand.Rand) int {
-	distance := leastDistance(owners)
+	distance := minFreeDistance(owners)
 	mean, count, preferred := 0.0, 0, -1
 	var highest uint64
 	for i := range owners {
@@ -43,7 +44,7 @@
 		}
 		count++
 		mean += owners[i].load()
-		if score := spread(owners[i].Hash ^ firstBlock); preferred < 0 || score > highest {
+		if score := mixHash(owners[i].Hash ^ firstBlock); preferred < 0 || score > highest {
 			preferred, highest = i, score
 		}
 	}
@@ -51,31 +52,34 @@
 		return -1
 	}
 	mean /= float64(count)
-	if firstBlock != 0 && owners[preferred].load() <= max(boundedLoad*mean, queueAhead/2) {
+	if firstBlock != 0 && owners[preferred].load() <= max(boundedLoad*mean, fullLoad/2) {
 		return preferred
 	}
 	return twoChoices(owners, distance, count, random)
 }
 
-func leastDistance(owners []OwnerLoad) int {
+// minFreeDistance returns the smallest distance of an owner that isn't full, or 3 if all are full.
+func minFreeDistance(owners []OwnerLoad) int {
 	least := 3
 	for i := range owners {
-		if owners[i].load() <= queueAhead {
+		if owners[i].load() <= fullLoad {
 			least = min(least, owners[i].Distance)
 		}
 	}
 	return least
 }
 
+// twoChoices draws two of the count owners within distance and returns the less loaded one.
 func twoChoices(owners []OwnerLoad, distance, count int, random *rand.Rand) int {
-	one := nth(owners, distance, random.IntN(count))
-	other := nth(owners, distance, random.IntN(count))
-	if owners[other].load() < owners[one].load() {
-		return other
+	first := nth(owners, distance, random.IntN(count))
+	second := nth(owners, distance, random.IntN(count))
+	if owners[second].load() < owners[first].load() {
+		return second
 	}
-	return one
+	return first
 }
 
+// nth returns the position in owners of the index-th owner within distance, counted from 0.
 func nth(owners []OwnerLoad, distance, index int) int {
 	for i := range owners {
 		if owners[i].Distance > distance {
@@ -89,8 +93,8 @@
 	return 0
 }
 
-// spread is the finaliser of xorshift*.
-func spread(value uint64) uint64 {
+// mixHash mixes the bits of value with the finaliser of xorshift*.
+func mixHash(value uint64) uint64 {
 	value ^= value >> 12
 	value ^= value << 25
 	value ^= value >> 27
--- a/core/decision/dogwoodrouting/routing.go
+++ b/core/decision/dogwoodrouting/routing.go
@@ -1,16 +1,17 @@
-// Package dogwoodrouting decides where work goes: which endpoint of an owner's, and which
-// owner an entry asks.
+// Package dogwoodrouting chooses the owner to which an entry daemon sends a request and the
+// endpoint to which the owner assigns it.
 //
-// Load patterns it answers, and what happens without it:
+// It handles these load patterns:
 //
-//   - A hot prefix. Work goes where its prefix is cached as long as that endpoint isn't
-//     much fuller than the others. Without the bound one engine gets all of it; without
-//     the affinity each engine reads the same prompt again.
-//   - A slow endpoint. Its predicted first token grows with its slowness and others are
-//     chosen; a probe now and then finds out when it is well. Without it a tenth of the
-//     fleet slows a tenth of the requests.
-//   - A herd. What was just granted counts at once, before any report tells of it.
-//     Without it all that comes between two reports goes to the one that looked emptiest.
+//   - Hot prefix. A request goes to an endpoint that has its prefix cached unless that endpoint
+//     is much more loaded than the others. Without the bound, one engine would get all requests
+//     with the prefix; without the affinity, each engine would prefill the same prompt again.
+//   - Slow endpoint. Its predicted time to first token grows with its slowness, so others are
+//     chosen; occasional probes detect when it has recovered. Otherwise, if a tenth of the fleet
+//     were slow, a tenth of the requests would be too.
+//   - Thundering herd. A grant counts towards an endpoint's load immediately, before the next
+//     load report includes it. Otherwise all requests between two reports would go to the
+//     endpoint that was least loaded in the first.
 package dogwoodrouting
 
 import (
@@ -19,62 +20,63 @@
 )
 
 const (
-	// boundedLoad is how full, against the mean, an endpoint may be and still be chosen
-	// for its prefix: the 1.25 of consistent hashing with bounded loads.
+	// boundedLoad is the highest load, relative to the mean, at which prefix affinity still
+	// applies: the 1.25 of consistent hashing with bounded loads.
 	boundedLoad = 1.25
-	// slowFactor is the slowness from which an endpoint is only probed while others are
-	// free: the limiter's ratio counts 1 as bad, at three times the normal latency.
-	slowFactor = 1.5
-	// probeAfter is how long a slow endpoint goes without a measurement before it gets one
-	// request to show that it is well.
-	probeAfter = time.Second
-	// overhead is what a full endpoint adds to a first token over an idle one: a step of a
-	// full batch takes some 5 ms and a new request waits for a few.
-	overhead = 20 * time.Millisecond
-	// regionDistance and farDistance are what the way to another data centre and to another
-	// region add: round trips of one to three milliseconds, and of some fifty.
-	regionDistance = 3 * time.Millisecond
-	farDistance    = 50 * time.Millisecond
-	// alike is the difference of scores that chance decides over.
-	alike = time.Millisecond
+	// slowThreshold is the slowness above which an endpoint gets only probes while another
+	// candidate isn't slow. The limiter's ratio treats 1 as bad, at three times the normal latency.
+	slowThreshold = 1.5
+	// probeInterval is the age of a slow endpoint's last measurement at which the endpoint gets
+	// one request to check whether it has recovered.
+	probeInterval = time.Second
+	// fullLoadDelay is the extra time to first token on a full endpoint compared with an idle
+	// one: a step of a full batch takes about 5 ms and a new request waits for a few steps.
+	fullLoadDelay = 20 * time.Millisecond
+	// regionDelay and crossRegionDelay are added for another data centre and another region:
+	// round trips take one to three milliseconds and about fifty, respectively.
+	regionDelay      = 3 * time.Millisecond
+	crossRegionDelay = 50 * time.Millisecond
+	// scoreTolerance is the difference up to which two scores count as equal.
+	scoreTolerance = time.Millisecond
 )
 
-// Candidate is an endpoint that has what the request needs and a free slot.
+// Candidate is an endpoint that can serve the request and has a free slot.
 type Candidate struct {
-	// InFlight counts all grants, those just given included.
+	// InFlight counts all grants, including those that no load report covers yet.
 	InFlight, Limit int
-	// AheadTokens is the prompt tokens granted to it that aren't answered yet.
+	// AheadTokens is the number of prompt tokens in granted requests without an answer yet.
 	AheadTokens int
-	// HitTokens is how much of the prompt its cache probably holds.
+	// HitTokens estimates how many of the prompt's tokens are in the endpoint's cache.
 	HitTokens int
-	// PerToken is its time to read a prompt token.
+	// PerToken is the time to prefill one prompt token.
 	PerToken time.Duration
-	// Slowness is its latency over the normal; 1 and less is well.
+	// Slowness is the ratio of the latency to the normal one; 1 or less is healthy.
 	Slowness float64
-	// Measured is when its latency was last told.
+	// Measured is when the latency was last reported.
 	Measured time.Time
-	// Distance is 0 in the entry's data centre, 1 in its region, 2 elsewhere.
+	// Distance is 0 within the entry daemon's data centre, 1 within its region and 2 elsewhere.
 	Distance int
-	// Unproven is true when it runs an equal request that never finished yet.
+	// Unproven is true while the endpoint runs an identical request and no such request has
+	// ever completed.
 	Unproven bool
 }
 
-// Pick returns the index of the candidate to grant, or -1 if there is none. Of those that
-// are about equally good it takes one by chance.
+// Pick returns the index of the candidate with the lowest score, or -1 if there is none.
+// Candidates whose scores are about equal are chosen at random.
 func Pick(now time.Time, candidates []Candidate, promptTokens int, random *rand.Rand) int {
-	mean, healthy := survey(candidates)
+	mean, anyHealthy := summarize(candidates)
 	best, count := -1, 0
 	var bestScore time.Duration
 	for i := range candidates {
 		candidate := &candidates[i]
-		if healthy && candidate.slow() && !candidate.probe(now) {
+		if anyHealthy && candidate.slow() && !candidate.probeDue(now) {
 			continue
 		}
 		score := candidate.score(now, promptTokens, mean)
 		switch {
-		case best < 0 || score < bestScore-alike:
+		case best < 0 || score < bestScore-scoreTolerance:
 			best, bestScore, count = i, score, 1
-		case score <= bestScore+alike:
+		case score <= bestScore+scoreTolerance:
 			count++
 			if random.IntN(count) == 0 {
 				best, bestScore = i, min(bestScore, score)
@@ -84,13 +86,13 @@
 	return best
 }
 
-// survey returns the mean load and whether any candidate isn't slow.
-func survey(candidates []Candidate) (mean float64, healthy bool) {
+// summarize returns the mean load and whether any candidate isn't slow.
+func summarize(candidates []Candidate) (mean float64, anyHealthy bool) {
 	for i := range candidates {
 		mean += candidates[i].load()
-		healthy = healthy || !candidates[i].slow()
+		anyHealthy = anyHealthy || !candidates[i].slow()
 	}
-	return mean / float64(max(len(candidates), 1)), healthy
+	return mean / float64(max(len(candidates), 1)), anyHealthy
 }
 
 func (candidate *Candidate) load() float64 {
@@ -98,31 +100,33 @@
 }
 
 func (candidate *Candidate) slow() bool {
-	return candidate.Slowness > slowFactor
+	return candidate.Slowness > slowThreshold
 }
 
-func (candidate *Candidate) probe(now time.Time) bool {
-	return candidate.InFlight == 0 && now.Sub(candidate.Measured) >= probeAfter
+// probeDue reports whether the endpoint is idle and its last measurement is old enough for a probe.
+func (candidate *Candidate) probeDue(now time.Time) bool {
+	return candidate.InFlight == 0 && now.Sub(candidate.Measured) >= probeInterval
 }
 
-// score is the predicted time to the first token.
+// score predicts the time to first token. Cached tokens don't count above the load bound, and
+// slowness doesn't count for a probe.
 func (candidate *Candidate) score(now time.Time, promptTokens int, mean float64) time.Duration {
 	load := candidate.load()
-	hit := candidate.HitTokens
+	cached := candidate.HitTokens
 	if load > boundedLoad*mean {
-		hit = 0
+		cached = 0
 	}
-	tokens := candidate.AheadTokens + max(promptTokens-hit, 0)
-	work := float64(time.Duration(tokens)*candidate.PerToken) + load*float64(overhead)
-	if !candidate.slow() || !candidate.probe(now) {
+	tokens := candidate.AheadTokens + max(promptTokens-cached, 0)
+	work := float64(time.Duration(tokens)*candidate.PerToken) + load*float64(fullLoadDelay)
+	if !candidate.slow() || !candidate.probeDue(now) {
 		work *= max(candidate.Slowness, 1)
 	}
 	switch candidate.Distance {
 	case 0:
 		return time.Duration(work)
 	case 1:
-		return time.Duration(work) + regionDistance
+		return time.Duration(work) + regionDelay
 	default:
-		return time.Duration(work) + farDistance
+		return time.Duration(work) + crossRegionDelay
 	}
 }
--- a/core/decision/dogwoodrouting/routing_test.go
+++ b/core/decision/dogwoodrouting/routing_test.go
@@ -14,25 +14,25 @@
 }
 
 func TestPick(t *testing.T) {
-	cached, overfull, slow, far := candidate(4), candidate(14), candidate(0), candidate(0)
-	cached.HitTokens, overfull.HitTokens = 16_000, 16_000
+	cached, overloaded, slow, far := candidate(4), candidate(14), candidate(0), candidate(0)
+	cached.HitTokens, overloaded.HitTokens = 16_000, 16_000
 	slow.Slowness = 8
 	far.Distance = 2
 	probe := slow
-	probe.Measured = start.Add(-2 * probeAfter)
+	probe.Measured = start.Add(-2 * probeInterval)
 	tests := []struct {
 		name       string
 		candidates []Candidate
 		want       int
 	}{
 		{name: "none", want: -1},
-		{name: "the emptier", candidates: []Candidate{candidate(9), candidate(1)}, want: 1},
-		{name: "the cached although fuller", candidates: []Candidate{candidate(3), cached, candidate(4)}, want: 1},
-		{name: "not the cached far above the mean", candidates: []Candidate{candidate(3), overfull, candidate(3)}, want: 0},
-		{name: "not the slow", candidates: []Candidate{slow, candidate(12)}, want: 1},
-		{name: "the slow if there is no other", candidates: []Candidate{slow}, want: 0},
-		{name: "a probe of the slow", candidates: []Candidate{probe, candidate(12)}, want: 0},
-		{name: "the near although fuller", candidates: []Candidate{far, candidate(12)}, want: 1},
+		{name: "less loaded", candidates: []Candidate{candidate(9), candidate(1)}, want: 1},
+		{name: "cached despite higher load", candidates: []Candidate{candidate(3), cached, candidate(4)}, want: 1},
+		{name: "not cached above load bound", candidates: []Candidate{candidate(3), overloaded, candidate(3)}, want: 0},
+		{name: "not slow", candidates: []Candidate{slow, candidate(12)}, want: 1},
+		{name: "slow if it is the only one", candidates: []Candidate{slow}, want: 0},
+		{name: "slow when probe is due", candidates: []Candidate{probe, candidate(12)}, want: 0},
+		{name: "near despite higher load", candidates: []Candidate{far, candidate(12)}, want: 1},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -46,9 +46,9 @@
 	}
 }
 
-// A hundred requests come between two reports. If only reported work counted, all of them
-// would go to the endpoint that looked emptiest.
-func TestNoHerdBetweenReports(t *testing.T) {
+// Requests that arrive between two load reports must not all go to the endpoint that was least
+// loaded in the last report.
+func TestPickSpreadsRequestsBetweenReports(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	candidates := []Candidate{candidate(0), candidate(1), candidate(2), candidate(3)}
 	for range 40 {
@@ -71,8 +71,8 @@
 		want   int
 	}{
 		{name: "none", want: -1},
-		{name: "the near", owners: []OwnerLoad{owner(1, 0, 1), owner(2, 20, 0)}, want: 1},
-		{name: "the farther with room", owners: []OwnerLoad{owner(1, 0, 1), owner(2, 60, 0)}, want: 0},
+		{name: "near", owners: []OwnerLoad{owner(1, 0, 1), owner(2, 20, 0)}, want: 1},
+		{name: "far with free slots", owners: []OwnerLoad{owner(1, 0, 1), owner(2, 60, 0)}, want: 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -83,18 +83,18 @@
 	}
 }
 
-func TestPickOwnerFollowsThePrefixUpToTheBound(t *testing.T) {
+func TestPickOwnerFollowsPrefixWithinLoadBound(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	owners := make([]OwnerLoad, 8)
 	for i := range owners {
-		owners[i] = OwnerLoad{Hash: spread(uint64(i + 1)), Slots: 32}
+		owners[i] = OwnerLoad{Hash: mixHash(uint64(i + 1)), Slots: 32}
 	}
-	first := PickOwner(owners, 77, random)
-	if again := PickOwner(owners, 77, random); again != first {
-		t.Errorf("got owner %d and then %d for one prefix, want the same", first, again)
+	preferred := PickOwner(owners, 77, random)
+	if second := PickOwner(owners, 77, random); second != preferred {
+		t.Errorf("got owner %d and then %d for the same prefix, want the same", preferred, second)
 	}
-	owners[first].Running = 32
-	if got := PickOwner(owners, 77, random); got == first {
+	owners[preferred].Running = 32
+	if got := PickOwner(owners, 77, random); got == preferred {
 		t.Errorf("got the full owner %d, want another", got)
 	}
 }
--- a/core/decision/dogwoodtopology/heartbeat_test.go
+++ b/core/decision/dogwoodtopology/heartbeat_test.go
@@ -10,7 +10,7 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Beat is of the size of the daemons' heartbeat: who, which start, how far its log is.
+// Beat has the size of the daemons' heartbeat: the sender, its instance and its log position.
 type Beat struct {
 	VM       dogwoodfleet.VM
 	Instance dogwoodfleet.InstanceID
@@ -19,12 +19,12 @@
 	Leaving  bool
 }
 
-// Heart answers a beat with its own.
+// Heart is an RPC server that echoes heartbeats.
 type Heart struct{}
 
-// Beat is the call of net/rpc.
-func (heart *Heart) Beat(ask Beat, answer *Beat) error {
-	*answer = ask
+// Beat answers a heartbeat with a copy of it, as a method of net/rpc.
+func (heart *Heart) Beat(request Beat, answer *Beat) error {
+	*answer = request
 	return nil
 }
 
@@ -33,25 +33,25 @@
 	written *atomic.Int64
 }
 
-// Write counts what is written.
+// Write writes bytes to the connection and counts them.
 func (connection connection) Write(bytes []byte) (int, error) {
 	connection.written.Add(int64(len(bytes)))
 	return connection.Conn.Write(bytes)
 }
 
-// BenchmarkHeartbeat gives the bytes of one beat and its answer on a connection of
-// net/rpc that stays open, without the TCP and IP headers of the segments.
+// BenchmarkHeartbeat reports the bytes of one heartbeat and its answer on a persistent net/rpc
+// connection, excluding TCP and IP headers.
 func BenchmarkHeartbeat(b *testing.B) {
 	var sent atomic.Int64
-	near, far := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	server := rpc.NewServer()
 	if err := server.RegisterName("Member", &Heart{}); err != nil {
 		b.Fatal(err)
 	}
 	var serving sync.WaitGroup
 	defer serving.Wait()
-	serving.Go(func() { server.ServeConn(connection{far, &sent}) })
-	client := rpc.NewClient(connection{near, &sent})
+	serving.Go(func() { server.ServeConn(connection{serverConn, &sent}) })
+	client := rpc.NewClient(connection{clientConn, &sent})
 	beat := Beat{VM: "entry-kyushu-17", Instance: "0191c2f4-8a7e-7d31-9d43-0f6a5b1c2d3e", Number: 1 << 20, Version: 26_000}
 	call := func() {
 		var answer Beat
--- a/core/decision/dogwoodtopology/hypercube.go
+++ b/core/decision/dogwoodtopology/hypercube.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// Hypercube puts the members on the corners of a cube of as many dimensions as the binary
-// logarithm of their number, in the order of a Gray code, with an edge wherever two labels
-// differ in one bit. The order keeps the cube compact when members are not a power of two
-// and makes every embedded tree consist of present members only. From: Jörg Liebeherr and
-// Bhupinder S. Sethi, "A Scalable Control Topology for Multicast Communications", sections
-// 3.2 and 3.3.
+// Hypercube places the members on the corners of a hypercube in Gray code order, with an edge
+// between two labels that differ in one bit. The number of dimensions is the binary logarithm of
+// the number of members, rounded up. The order keeps the cube compact when the number of members
+// isn't a power of two, and embedded trees contain only existing members. See Jörg Liebeherr and
+// Bhupinder S. Sethi, "A Scalable Control Topology for Multicast Communications", sections 3.2
+// and 3.3.
 type Hypercube struct{}
 
 // Name returns "hypercube".
 func (hypercube Hypercube) Name() string { return "hypercube" }
 
-// Neighbours returns the members whose labels differ from that of self in one bit.
+// Neighbours returns the members whose labels differ from the label of self in one bit.
 func (hypercube Hypercube) Neighbours(self, count int) []int {
 	if count < 2 {
 		return nil
@@ -33,8 +33,8 @@
 	return neighbours
 }
 
-// Parent is the procedure Parent of the paper's figure 4: below the root's place in the
-// order the lowest differing bit is flipped, above it the highest.
+// Parent implements the procedure Parent in figure 4 of the paper: it flips the lowest differing
+// bit if self comes before root in the order, and the highest otherwise.
 func (hypercube Hypercube) Parent(self, root, _ int) int {
 	label := gray(uint(self))
 	differing := label ^ gray(uint(root))
@@ -44,8 +44,8 @@
 	return int(position(label ^ 1<<(bits.Len(differing)-1)))
 }
 
-// gray returns the label of a position.
-func gray(place uint) uint { return place ^ place>>1 }
+// gray returns the Gray code label of the member at an index.
+func gray(index uint) uint { return index ^ index>>1 }
 
 // position is the inverse of gray.
 func position(label uint) uint {
--- a/core/decision/dogwoodtopology/mesh.go
+++ b/core/decision/dogwoodtopology/mesh.go
@@ -1,13 +1,13 @@
 package dogwoodtopology
 
-// Mesh joins every member to every other one. A loss is seen by all at once and nothing is
-// passed on; the cost of a member grows with the number of members.
+// Mesh connects every member to every other one. All members detect a loss directly and no
+// message needs forwarding, but the cost per member grows with the number of members.
 type Mesh struct{}
 
 // Name returns "mesh".
 func (mesh Mesh) Name() string { return "mesh" }
 
-// Neighbours returns all others.
+// Neighbours returns all members except self.
 func (mesh Mesh) Neighbours(self, count int) []int {
 	neighbours := make([]int, 0, max(count-1, 0))
 	for member := range count {
--- a/core/decision/dogwoodtopology/ring.go
+++ b/core/decision/dogwoodtopology/ring.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Ring is a ring with chords: each member has edges to the members 1, 2, 4, 8 ... places
+// Ring is a ring with chords: each member has edges to the members 1, 2, 4, 8, ... positions
 // before and after it. Every member has the same number of edges, about twice the binary
-// logarithm of the members.
+// logarithm of the number of members.
 type Ring struct{}
 
 // Name returns "ring".
 func (ring Ring) Name() string { return "ring" }
 
-// Neighbours returns the members a power of two away on either side.
+// Neighbours returns the members at a distance of a power of two in either direction.
 func (ring Ring) Neighbours(self, count int) []int {
 	var neighbours []int
 	for step := 1; step <= count/2; step *= 2 {
@@ -20,7 +20,8 @@
 	return slices.Compact(neighbours)
 }
 
-// Parent takes the longest chord that does not pass root, on the shorter way round.
+// Parent returns the neighbour over the longest chord that doesn't go past root, in the direction
+// in which root is closer.
 func (ring Ring) Parent(self, root, count int) int {
 	forward := (root - self + count) % count
 	backward := count - forward
@@ -30,7 +31,7 @@
 	return (self - longestStep(backward) + count) % count
 }
 
-// longestStep returns the greatest power of two that is at most distance.
+// longestStep returns the largest power of two that is at most distance.
 func longestStep(distance int) int {
 	step := 1
 	for step*2 <= distance {
--- a/core/decision/dogwoodtopology/topology_test.go
+++ b/core/decision/dogwoodtopology/topology_test.go
@@ -13,12 +13,12 @@
 	for _, topology := range topologies {
 		for count := 1; count <= 70; count++ {
 			for self := range count {
-				for _, other := range topology.Neighbours(self, count) {
-					if other == self || other < 0 || other >= count {
-						t.Fatalf("%s: neighbour of %d among %d: got %d", topology.Name(), self, count, other)
+				for _, neighbour := range topology.Neighbours(self, count) {
+					if neighbour == self || neighbour < 0 || neighbour >= count {
+						t.Fatalf("%s: neighbour of %d among %d: got %d", topology.Name(), self, count, neighbour)
 					}
-					if !slices.Contains(topology.Neighbours(other, count), self) {
-						t.Errorf("%s: %d among %d lists %d: got one way, want both", topology.Name(), self, count, other)
+					if !slices.Contains(topology.Neighbours(neighbour, count), self) {
+						t.Errorf("%s: %d among %d lists %d: got one direction, want both", topology.Name(), self, count, neighbour)
 					}
 				}
 			}
@@ -31,45 +31,45 @@
 		for _, count := range []int{2, 3, 7, 8, 25, 65} {
 			for root := range count {
 				for self := range count {
-					checkWayToRoot(t, topology, self, root, count)
+					checkPathToRoot(t, topology, self, root, count)
 				}
 			}
 		}
 	}
 }
 
-func checkWayToRoot(t *testing.T, topology Topology, self, root, count int) {
+func checkPathToRoot(t *testing.T, topology Topology, self, root, count int) {
 	t.Helper()
 	steps := 0
-	for at := self; at != root; steps++ {
-		parent := topology.Parent(at, root, count)
-		if !slices.Contains(topology.Neighbours(at, count), parent) {
-			t.Fatalf("%s: parent of %d towards %d among %d: got %d, want a neighbour", topology.Name(), at, root, count, parent)
+	for member := self; member != root; steps++ {
+		parent := topology.Parent(member, root, count)
+		if !slices.Contains(topology.Neighbours(member, count), parent) {
+			t.Fatalf("%s: parent of %d towards %d among %d: got %d, want a neighbour", topology.Name(), member, root, count, parent)
 		}
 		if steps > count {
-			t.Fatalf("%s: way from %d to %d among %d: got a cycle", topology.Name(), self, root, count)
+			t.Fatalf("%s: path from %d to %d among %d: got a cycle", topology.Name(), self, root, count)
 		}
-		at = parent
+		member = parent
 	}
 }
 
-// The table is that of the paper's section 3.2.
+// The expected labels are from section 3.2 of the paper that Hypercube refers to.
 func TestGrayLabels(t *testing.T) {
 	labels := []uint{0b000, 0b001, 0b011, 0b010, 0b110, 0b111, 0b101, 0b100}
-	for place, want := range labels {
-		if got := gray(uint(place)); got != want {
-			t.Errorf("label of %d: got %03b, want %03b", place, got, want)
+	for i, want := range labels {
+		if got := gray(uint(i)); got != want {
+			t.Errorf("label of %d: got %03b, want %03b", i, got, want)
 		}
-		if got := position(want); got != uint(place) {
-			t.Errorf("position of %03b: got %d, want %d", want, got, place)
+		if got := position(want); got != uint(i) {
+			t.Errorf("position of %03b: got %d, want %d", want, got, i)
 		}
 	}
 }
 
-// A change is accepted by one daemon just after another one died, before anybody has
-// noticed. If the change went along one tree only, the daemons behind the dead one would
-// keep the old text until the next poll. Flooding over the same edges goes round it.
-func TestFloodGoesRoundALostMember(t *testing.T) {
+// A daemon accepts a change after another one died but before the death is detected. If the change
+// were propagated along one tree only, the daemons behind the dead one would keep the old
+// configuration until the next poll. Flooding over the same edges reaches them.
+func TestFloodReachesAllDespiteLostMember(t *testing.T) {
 	const seed = 7
 	random := rand.New(rand.NewPCG(seed, seed))
 	for _, topology := range []Topology{Mesh{}, Ring{}, Hypercube{}} {
@@ -91,8 +91,8 @@
 		want    []string
 	}{
 		{"alone", "a", nil, []string{}},
-		{"listed twice and unsorted", "b", []string{"c", "a", "b", "a"}, []string{"a", "c"}},
-		{"self not yet listed", "b", []string{"c", "a"}, []string{"a", "c"}},
+		{"duplicate and unsorted", "b", []string{"c", "a", "b", "a"}, []string{"a", "c"}},
+		{"self not in members", "b", []string{"c", "a"}, []string{"a", "c"}},
 	}
 	for _, test := range tests {
 		if got := Neighbours(test.self, test.members); !slices.Equal(got, test.want) {
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestForTurnsFromMeshToHypercube(t *testing.T) {
+func TestForSwitchesFromMeshToHypercube(t *testing.T) {
 	tests := []struct {
 		count int
 		want  string
--- a/core/decision/dogwoodtopology/tree.go
+++ b/core/decision/dogwoodtopology/tree.go
@@ -1,17 +1,17 @@
 package dogwoodtopology
 
-// Tree is one shared tree in which a member has up to Fanout children, re-hung at whichever
-// member spreads something. It has the fewest edges, but the members in its middle carry the
-// most, and any lost member that has children cuts the tree.
+// Tree is a single shared tree in which a member has up to Fanout children. It is re-rooted at
+// the member that sends a message. It has the fewest edges, but inner members carry the most
+// traffic, and the loss of a member with children partitions the tree.
 type Tree struct {
-	// Fanout is the most children of a member, at least 2.
+	// Fanout is the maximum number of children of a member, at least 2.
 	Fanout int
 }
 
 // Name returns "tree".
 func (tree Tree) Name() string { return "tree" }
 
-// Neighbours returns the parent and the children in the tree as it hangs from member 0.
+// Neighbours returns the parent and the children of self in the tree rooted at member 0.
 func (tree Tree) Neighbours(self, count int) []int {
 	var neighbours []int
 	if self > 0 {
@@ -24,15 +24,16 @@
 	return neighbours
 }
 
-// Parent returns the child that root is below, or else the parent.
+// Parent returns the child of self whose subtree contains root, or else the parent of self in the
+// tree rooted at member 0.
 func (tree Tree) Parent(self, root, _ int) int {
-	below := root
-	for below > self {
-		above := (below - 1) / tree.Fanout
-		if above == self {
-			return below
+	descendant := root
+	for descendant > self {
+		parent := (descendant - 1) / tree.Fanout
+		if parent == self {
+			return descendant
 		}
-		below = above
+		descendant = parent
 	}
 	return (self - 1) / tree.Fanout
 }
--- a/core/decision/dogwoodtopology/weigh.go
+++ b/core/decision/dogwoodtopology/weigh.go
@@ -1,36 +1,39 @@
 package dogwoodtopology
 
-// Load is what a topology costs and how well it spreads, counted and not estimated.
+// Load holds the exact cost of a topology and how well it propagates messages.
 type Load struct {
 	Topology string
 	Members  int
 	Lost     int
-	// Edges per present member: heartbeats go along each edge both ways.
+	// EdgesMean and EdgesMax are edges per present member. Heartbeats are sent in both directions
+	// of each edge.
 	EdgesMean float64
 	EdgesMax  int
-	// Balance is EdgesMax over EdgesMean.
+	// Balance is EdgesMax divided by EdgesMean.
 	Balance float64
-	// Tree is what spreading along the tree gives, Flood what flooding gives.
+	// Tree is the result of propagation along the tree, Flood the result of flooding.
 	Tree  Spread
 	Flood Spread
 }
 
-// Spread tells how one message from each present member in turn reaches the others.
+// Spread describes how messages propagate if each present member in turn, the root, sends one to
+// all others.
 type Spread struct {
-	// Messages is the mean number of messages that one spreading takes.
+	// Messages is the mean number of messages sent per root.
 	Messages float64
-	// SentMean and SentMax are messages sent by a member, as a mean over all roots.
+	// SentMean and SentMax are messages sent by a member, averaged over all roots.
 	SentMean, SentMax float64
-	// Reached is the share of present members that get it, the mean over all roots.
+	// Reached is the share of present members that receive the message, averaged over all roots.
 	Reached float64
-	// HopsMean and HopsMax count the edges to a member that gets it.
+	// HopsMean and HopsMax are the number of edges from the root to a member that receives the
+	// message.
 	HopsMean float64
 	HopsMax  int
 }
 
-// Weigh counts the load of a topology between count members of which some are lost: they
-// are still listed by all, as in the seconds before a loss is noticed, but neither pass on
-// nor answer.
+// Weigh computes the load of a topology with count members, some of which are lost. Lost members
+// are still in every member's list, as in the seconds before a loss is detected, but neither
+// forward nor answer.
 func Weigh(topology Topology, count int, lost map[int]bool) Load {
 	load := Load{Topology: topology.Name(), Members: count, Lost: len(lost)}
 	present := 0
@@ -45,20 +48,21 @@
 	}
 	load.EdgesMean /= float64(present)
 	load.Balance = float64(load.EdgesMax) / load.EdgesMean
-	load.Tree = spread(count, lost, func(self, root, _ int) []int {
+	load.Tree = measureSpread(count, lost, func(self, root, _ int) []int {
 		return Children(topology, self, root, count)
 	})
-	load.Flood = spread(count, lost, func(self, _, from int) []int {
-		return without(topology.Neighbours(self, count), from)
+	load.Flood = measureSpread(count, lost, func(self, _, sender int) []int {
+		return without(topology.Neighbours(self, count), sender)
 	})
 	return load
 }
 
-// forward returns to whom self passes on what it got from a member; from is -1 at the root.
-type forward func(self, root, from int) []int
+// recipientsFunc returns the members to which self forwards a message from sender; sender is -1 if
+// self is the root.
+type recipientsFunc func(self, root, sender int) []int
 
-// spread sends one message from every present member and counts.
-func spread(count int, lost map[int]bool, next forward) Spread {
+// measureSpread propagates one message from every present member and returns the combined result.
+func measureSpread(count int, lost map[int]bool, recipients recipientsFunc) Spread {
 	sent := make([]int, count)
 	var result Spread
 	roots, reached, hops := 0, 0, 0
@@ -67,7 +71,7 @@
 			continue
 		}
 		roots++
-		for _, distance := range walk(root, count, lost, next, sent) {
+		for _, distance := range propagate(root, count, lost, recipients, sent) {
 			if distance > 0 {
 				reached++
 				hops += distance
@@ -75,14 +79,14 @@
 			}
 		}
 	}
-	total, most := 0, 0
+	total, maxSent := 0, 0
 	for _, messages := range sent {
 		total += messages
-		most = max(most, messages)
+		maxSent = max(maxSent, messages)
 	}
 	result.Messages = float64(total) / float64(roots)
 	result.SentMean = result.Messages / float64(roots)
-	result.SentMax = float64(most) / float64(roots)
+	result.SentMax = float64(maxSent) / float64(roots)
 	if reached > 0 {
 		result.Reached = float64(reached) / float64(roots*(roots-1))
 		result.HopsMean = float64(hops) / float64(reached)
@@ -90,37 +94,38 @@
 	return result
 }
 
-// walk passes one message on from root, breadth first, and returns each member's distance:
-// 0 for the root and -1 for members that it does not reach.
-func walk(root, count int, lost map[int]bool, next forward, sent []int) []int {
+// propagate forwards one message from root in breadth-first order and adds the messages sent by
+// each member to sent. It returns each member's distance from root: 0 for root and -1 for members
+// that the message doesn't reach.
+func propagate(root, count int, lost map[int]bool, recipients recipientsFunc, sent []int) []int {
 	distances := make([]int, count)
-	from := make([]int, count)
+	senders := make([]int, count)
 	for member := range count {
-		distances[member], from[member] = -1, -1
+		distances[member], senders[member] = -1, -1
 	}
 	distances[root] = 0
 	queue := []int{root}
 	for len(queue) > 0 {
 		self := queue[0]
 		queue = queue[1:]
-		for _, other := range next(self, root, from[self]) {
+		for _, recipient := range recipients(self, root, senders[self]) {
 			sent[self]++
-			if lost[other] || distances[other] >= 0 {
+			if lost[recipient] || distances[recipient] >= 0 {
 				continue
 			}
-			distances[other], from[other] = distances[self]+1, self
-			queue = append(queue, other)
+			distances[recipient], senders[recipient] = distances[self]+1, self
+			queue = append(queue, recipient)
 		}
 	}
 	return distances
 }
 
-func without(members []int, absent int) []int {
-	kept := make([]int, 0, len(members))
+func without(members []int, excluded int) []int {
+	remaining := make([]int, 0, len(members))
 	for _, member := range members {
-		if member != absent {
-			kept = append(kept, member)
+		if member != excluded {
+			remaining = append(remaining, member)
 		}
 	}
-	return kept
+	return remaining
 }
