--- a/core/duty/dogwoodowner/acquire.go
+++ b/core/duty/dogwoodowner/acquire.go
@@ -11,37 +11,40 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// waiter is an ask in a queue.
+// waiter is an acquire request that waits for a slot.
 type waiter struct {
 	dogwoodadmission.Work
-	ask     Ask
-	tokens  int // memory to reserve
-	long    bool
-	suspect bool
-	lane    *lane
-	keeps   *endpoint // the endpoint that is being cleared for it
-	answer  chan outcome
+	ask      Ask
+	tokens   int // memory to reserve
+	long     bool
+	suspect  bool
+	lane     *lane
+	reserved *endpoint // the endpoint that is being cleared for this waiter
+	outcomes chan outcome
 }
 
+// outcome is the result of an acquire request: a grant, or a refusal if that isn't nil.
 type outcome struct {
 	grant   Grant
 	refusal *Refusal
 }
 
-// refuse answers the waiter. The channel holds the one answer that a waiter gets.
-func (waiter *waiter) refuse(refusal *Refusal) {
-	waiter.unkeep()
-	waiter.answer <- outcome{refusal: refusal}
+// reject ends the wait with a refusal. The channel's buffer holds the waiter's only outcome,
+// so the send doesn't block.
+func (waiter *waiter) reject(refusal *Refusal) {
+	waiter.cancelReservation()
+	waiter.outcomes <- outcome{refusal: refusal}
 }
 
-func (waiter *waiter) unkeep() {
-	if waiter.keeps != nil && waiter.keeps.kept != nil && waiter.keeps.kept.waiter == waiter {
-		waiter.keeps.kept = nil
+func (waiter *waiter) cancelReservation() {
+	if waiter.reserved != nil && waiter.reserved.reservation != nil && waiter.reserved.reservation.waiter == waiter {
+		waiter.reserved.reservation = nil
 	}
-	waiter.keeps = nil
+	waiter.reserved = nil
 }
 
-// accepts tells whether the endpoint is one that the ask allows and that has its adapter.
+// accepts reports whether the waiter allows the endpoint and the endpoint has the adapter that
+// it needs. Endpoints to avoid are accepted if there are as many as the lane has in force.
 func (waiter *waiter) accepts(state *endpoint) bool {
 	if waiter.ask.Pin != "" {
 		return state.fleet.ID == waiter.ask.Pin
@@ -50,7 +53,7 @@
 	if adapter != "" && len(state.fleet.Adapters) > 0 && !slices.Contains(state.fleet.Adapters, adapter) {
 		return false
 	}
-	return !slices.Contains(waiter.ask.Avoid, state.fleet.ID) || waiter.lane.inForce() <= len(waiter.ask.Avoid)
+	return !slices.Contains(waiter.ask.Avoid, state.fleet.ID) || waiter.lane.inForceCount() <= len(waiter.ask.Avoid)
 }
 
 func refusalNoEndpoint() *Refusal {
@@ -60,7 +63,7 @@
 	}
 }
 
-func refusalLate() *Refusal {
+func refusalDeadline() *Refusal {
 	return &Refusal{
 		Reason: dogwoodfleet.ReasonDeadline, NotRun: true, RetryAfter: dogwoodadmission.MinRetryAfter,
 		Detail: "it waited too long to finish by its deadline",
@@ -78,8 +81,8 @@
 	}
 }
 
-// Acquire waits until a slot is granted. It returns a *Refusal, at once if it can be
-// known, when there will be none in time. The end of the context withdraws the ask.
+// Acquire waits until a slot is granted. If no slot will be free in time it returns a
+// *Refusal, at once if that can be predicted. The end of the context withdraws the request.
 func (owner *Owner) Acquire(ctx context.Context, ask Ask) (Grant, error) {
 	deadline := time.Now().Add(ask.Budget)
 	for {
@@ -87,7 +90,7 @@
 		if refusal == nil {
 			return granted, nil
 		}
-		if refusal != askAgain {
+		if refusal != acquireAgain {
 			return Grant{}, refusal
 		}
 		ask.Budget = time.Until(deadline)
@@ -102,7 +105,7 @@
 	case waiter == nil:
 		return owner.acquireGang(ctx, ask)
 	case waiter.suspect:
-		if refusal := owner.awaitTrial(ctx, waiter); refusal != nil {
+		if refusal := owner.awaitPermit(ctx, waiter); refusal != nil {
 			return Grant{}, refusal
 		}
 	}
@@ -111,14 +114,14 @@
 	}
 	granted, refusal := owner.await(ctx, waiter)
 	if refusal != nil {
-		owner.endTrial(ctx, waiter)
+		owner.returnPermit(ctx, waiter)
 		return Grant{}, refusal
 	}
 	return granted, nil
 }
 
-// prepare checks an ask and makes its waiter; it returns neither for an ask that needs
-// a gang.
+// prepare checks an acquire request and returns its waiter or a refusal; it returns neither if a
+// gang is needed.
 func (owner *Owner) prepare(ask Ask) (*waiter, *Refusal) {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
@@ -126,7 +129,7 @@
 	request := &ask.Request
 	request.Arrived, request.Deadline = now, now.Add(ask.Budget)
 	lane := owner.findLaneLocked(request)
-	if lane == nil || lane.inForce() == 0 || ask.Pin != "" && !owner.ownsLocked(ask.Pin) {
+	if lane == nil || lane.inForceCount() == 0 || ask.Pin != "" && !owner.ownsLocked(ask.Pin) {
 		return nil, refusalNoEndpoint()
 	}
 	prepared := &waiter{
@@ -134,7 +137,7 @@
 			Customer: request.Customer, PromptTokens: request.PromptTokens, MaxTokens: request.MaxTokens,
 			Arrived: request.Arrived, Deadline: request.Deadline,
 		},
-		ask: ask, tokens: request.Tokens(), lane: lane, answer: make(chan outcome, 1),
+		ask: ask, tokens: request.Tokens(), lane: lane, outcomes: make(chan outcome, 1),
 		long: dogwoodadmission.ClassOf(request.PromptTokens).Long(),
 	}
 	prepared.Value = prepared
@@ -146,12 +149,12 @@
 		return nil, refusalSuspect(now, until)
 	}
 	prepared.suspect = standing == dogwoodsuspect.Suspect && ask.Pin == ""
-	if usable, whole := lane.usableTokens(); usable > 0 && prepared.tokens > usable && ask.Pin == "" {
+	if usable, largest := lane.usableTokens(); usable > 0 && prepared.tokens > usable && ask.Pin == "" {
 		if owner.options.Gangs != nil {
 			return nil, nil
 		}
-		if prepared.tokens > whole {
-			return nil, refusalTooLarge(prepared.tokens, whole)
+		if prepared.tokens > largest {
+			return nil, refusalTooLarge(prepared.tokens, largest)
 		}
 	}
 	return prepared, nil
@@ -162,7 +165,7 @@
 	return state != nil && state.fleet.InForce
 }
 
-// enqueue offers the waiter to its lane's queue.
+// enqueue adds the waiter to one of its lane's queues, or returns why it isn't admitted.
 func (owner *Owner) enqueue(arrived *waiter) *Refusal {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
@@ -170,7 +173,7 @@
 	lane := arrived.lane
 	switch {
 	case owner.baseline():
-		lane.arrivals = append(lane.arrivals, arrived)
+		lane.baselineQueue = append(lane.baselineQueue, arrived)
 	case arrived.suspect:
 		lane.suspects = append(lane.suspects, arrived)
 	case arrived.ask.Pin != "":
@@ -179,7 +182,7 @@
 		verdict := lane.queue.Offer(now, &arrived.Work, lane.capacity(now))
 		if verdict.Shed != nil {
 			shed := verdict.Shed.Value.(*waiter)
-			shed.refuse(&Refusal{
+			shed.reject(&Refusal{
 				Reason: dogwoodfleet.ReasonShare, NotRun: true, RetryAfter: dogwoodadmission.RetryAfter(verdict.Wait),
 				Detail: "the queue is full and its customer is furthest over its share",
 			})
@@ -191,23 +194,23 @@
 			}
 		}
 	}
-	lane.pump(now)
+	lane.grantWaiting(now)
 	return nil
 }
 
-// await waits for the answer, at most until the latest moment at which starting helps.
+// await waits for the outcome, at most until the latest start that can meet the deadline.
 func (owner *Owner) await(ctx context.Context, waiter *waiter) (Grant, *Refusal) {
 	select {
-	case outcome := <-waiter.answer:
+	case outcome := <-waiter.outcomes:
 		return outcome.grant, outcome.refusal
 	default:
 	}
 	latest := waiter.LatestStart()
 	timer := time.NewTimer(time.Until(latest))
 	defer timer.Stop()
-	refusal := refusalLate()
+	refusal := refusalDeadline()
 	select {
-	case outcome := <-waiter.answer:
+	case outcome := <-waiter.outcomes:
 		return outcome.grant, outcome.refusal
 	case <-timer.C:
 	case <-ctx.Done():
@@ -218,27 +221,27 @@
 	return owner.withdraw(waiter, refusal)
 }
 
-// withdraw takes the waiter out. An answer that came meanwhile is kept if it can still be
-// used, else given back.
+// withdraw removes the waiter from its queue. A grant that was made meanwhile is returned to
+// the caller, or released if the caller is gone.
 func (owner *Owner) withdraw(waiter *waiter, refusal *Refusal) (Grant, *Refusal) {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	if refusal.Reason == dogwoodfleet.ReasonDeadline {
 		waiter.lane.queue.GiveUp(time.Now(), &waiter.Work)
 	}
-	waiter.lane.leave(waiter)
+	waiter.lane.remove(waiter)
 	select {
-	case outcome := <-waiter.answer:
+	case outcome := <-waiter.outcomes:
 		if outcome.refusal != nil || refusal.Reason != dogwoodfleet.ReasonCancelled {
 			return outcome.grant, outcome.refusal
 		}
 		now := time.Now()
-		if held := owner.grants[outcome.grant.ID]; held != nil {
-			owner.dropLocked(held.ID, held, false)
+		if grant := owner.grants[outcome.grant.ID]; grant != nil {
+			owner.removeGrantLocked(grant.ID, grant, false)
 		}
-		owner.pumpAllLocked(now)
+		owner.grantWaitingLocked(now)
 	default:
-		waiter.lane.pump(time.Now())
+		waiter.lane.grantWaiting(time.Now())
 	}
 	return Grant{}, refusal
 }
--- a/core/duty/dogwoodowner/endpoint.go
+++ b/core/duty/dogwoodowner/endpoint.go
@@ -11,64 +11,68 @@
 )
 
 const (
-	// longSlots is the part of an endpoint's slots that long prompts may take, one at least:
-	// short work always finds three of four slots that no prefill of a minute holds.
-	longSlots = 4
-	// endedKept is how long the end of a request is remembered against lagging reports.
-	endedKept = 10 * time.Second
+	// longSlotsDivisor limits long prompts to one of this many of an endpoint's slots, but at
+	// least one slot: prefills that take a minute then leave three of four slots to short work.
+	longSlotsDivisor = 4
+	// endedTTL is how long ended requests are recorded, since lagging reports may list them.
+	endedTTL = 10 * time.Second
 )
 
-// endpoint is one owned endpoint with what was granted on it.
+// endpoint holds the state of an owned endpoint and the totals of the grants on it.
 type endpoint struct {
 	fleet     dogwoodfleet.Endpoint
 	warmLimit int
 	limiter   *dogwoodlimit.Limiter
 	memory    *dogwoodmemory.Ledger
-	// reconciled is when the engine's own list was last compared with the books.
+	// reconciled is when the engine's list of streams was last compared with the grants.
 	reconciled time.Time
-	// running counts live and expired grants; long those of long prompts.
-	running, long int
-	// longTokens is the memory of the long ones.
+	// running counts live and expired grants; runningLong counts those of long prompts.
+	running, runningLong int
+	// longTokens is the memory reserved by the grants of long prompts.
 	longTokens int
-	// foreign counts streams that the engine listed and no grant explains.
-	foreign int
-	alone   bool
-	// kept is waiting work that the endpoint is being cleared for.
-	kept *reservation
-	// prefillUntil is when the engine will have read all prompts granted so far.
-	prefillUntil  time.Time
-	quietUntil    time.Time
-	settlingUntil time.Time
-	heardEngine   bool
-	heardEntries  bool
-	ended         []endedRequest // the oldest first
+	// unknownStreams counts listed streams that match no grant.
+	unknownStreams int
+	// alone is true while a suspect runs alone on the endpoint.
+	alone bool
+	// reservation is for the waiter that the endpoint is being cleared for; nil if none.
+	reservation *reservation
+	// prefillUntil is when the engine is expected to have prefilled all prompts granted so far.
+	prefillUntil time.Time
+	// noGrantsUntil and settlingUntil are the ends of noGrantsTimeout and SettleTimeout.
+	noGrantsUntil   time.Time
+	settlingUntil   time.Time
+	engineReported  bool
+	entriesReported bool
+	ended           []endedRequest // the oldest first
 }
 
+// endedRequest is a request whose grant has ended.
 type endedRequest struct {
 	request dogwoodfleet.RequestID
 	at      time.Time
 }
 
-// reservation keeps an endpoint's memory for work that needs more than is free. Other
-// work may go on using it as long as it leaves what the reservation needs (backfilling),
-// so that long prompts don't starve and the engine doesn't idle while it is cleared.
+// reservation reserves an endpoint's memory for a waiter that needs more than is free. Other
+// work may still be granted while enough memory remains for the reservation (backfilling), so
+// that long prompts don't starve and the engine isn't idle while it is cleared.
 type reservation struct {
 	waiter *waiter
 	tokens int
-	// backfill is the tokens granted to others since.
-	backfill int
+	// backfilledTokens is the memory granted to other work since the reservation was made.
+	backfilledTokens int
 }
 
 func newEndpoint(service *dogwoodsettings.Service, now time.Time) *endpoint {
 	return &endpoint{
 		limiter:       dogwoodlimit.New(service.ColdLimit, service.WarmLimit, now),
 		memory:        dogwoodmemory.New(),
-		quietUntil:    now.Add(settleQuiet),
+		noGrantsUntil: now.Add(noGrantsTimeout),
 		settlingUntil: now.Add(SettleTimeout),
 	}
 }
 
-// update takes the fleet's and the text's word, but keeps what the engine itself told.
+// update applies the endpoint's data from the fleet and the limits from the text. Fields that the
+// fleet's data leaves empty keep the values that the engine reported.
 func (endpoint *endpoint) update(fleet dogwoodfleet.Endpoint, service *dogwoodsettings.Service) {
 	if fleet.Instance == "" {
 		fleet.Instance = endpoint.fleet.Instance
@@ -85,10 +89,10 @@
 	endpoint.limiter.SetBounds(service.ColdLimit, service.WarmLimit)
 }
 
-// report takes the engine's word. It tells whether the engine holds other models than before.
-func (endpoint *endpoint) report(now time.Time, report LoadReport) (moved bool) {
+// report applies the engine's load report and returns whether the engine's models changed.
+func (endpoint *endpoint) report(now time.Time, report LoadReport) (modelsChanged bool) {
 	if len(report.Models) > 0 {
-		moved = !slices.Equal(report.Models, endpoint.fleet.Models)
+		modelsChanged = !slices.Equal(report.Models, endpoint.fleet.Models)
 		endpoint.fleet.Models, endpoint.fleet.Adapters = report.Models, report.Adapters
 	}
 	if report.Instance != "" {
@@ -99,20 +103,21 @@
 		endpoint.memory.SetMemory(report.MemoryTokens)
 	}
 	endpoint.limiter.Report(now, dogwoodlimit.Report{Taken: now.Add(-report.Age), Instance: report.Instance, Cold: report.Cold})
-	return moved
+	return modelsChanged
 }
 
-// heard ends the quiet time, and the settling too once both sides told.
-func (endpoint *endpoint) heard(now time.Time) {
-	if now.Before(endpoint.quietUntil) {
-		endpoint.quietUntil = now
+// shortenSettling ends the time without grants, and also the settling once the engine and an
+// entry daemon have reported.
+func (endpoint *endpoint) shortenSettling(now time.Time) {
+	if now.Before(endpoint.noGrantsUntil) {
+		endpoint.noGrantsUntil = now
 	}
-	if endpoint.heardEngine && endpoint.heardEntries && now.Before(endpoint.settlingUntil) {
+	if endpoint.engineReported && endpoint.entriesReported && now.Before(endpoint.settlingUntil) {
 		endpoint.settlingUntil = now
 	}
 }
 
-// limit is how many requests it may hold now.
+// limit returns how many requests the endpoint may hold now.
 func (endpoint *endpoint) limit(now time.Time) int {
 	limit := endpoint.limiter.Limit()
 	if now.Before(endpoint.settlingUntil) {
@@ -121,88 +126,89 @@
 	return limit
 }
 
-// serving tells whether ordinary work can be granted here as slots come free.
+// serving reports whether ordinary work can be granted as slots become free.
 func (endpoint *endpoint) serving(now time.Time) bool {
-	suspect := endpoint.alone || endpoint.kept != nil && endpoint.kept.waiter.suspect
+	suspect := endpoint.alone || endpoint.reservation != nil && endpoint.reservation.waiter.suspect
 	return endpoint.fleet.InForce && !suspect && !now.Before(endpoint.limiter.Opens())
 }
 
-// ready tells whether it may be given anything at all.
+// ready reports whether the endpoint accepts new grants.
 func (endpoint *endpoint) ready(now time.Time) bool {
 	return endpoint.fleet.InForce && !endpoint.alone &&
-		!now.Before(endpoint.quietUntil) && !now.Before(endpoint.limiter.Opens())
+		!now.Before(endpoint.noGrantsUntil) && !now.Before(endpoint.limiter.Opens())
 }
 
-// free tells whether it has a slot for ordinary work.
-func (endpoint *endpoint) free(now time.Time) bool {
+// hasFreeSlot reports whether there is a slot for ordinary work.
+func (endpoint *endpoint) hasFreeSlot(now time.Time) bool {
 	if !endpoint.ready(now) {
 		return false
 	}
-	taken := endpoint.running + endpoint.foreign
-	if endpoint.kept != nil {
-		if endpoint.kept.waiter.suspect {
+	taken := endpoint.running + endpoint.unknownStreams
+	if endpoint.reservation != nil {
+		if endpoint.reservation.waiter.suspect {
 			return false
 		}
-		if endpoint.long < endpoint.longLimit(now) {
-			taken++ // else the kept work waits for a long one's end, whose slot it will have
+		if endpoint.runningLong < endpoint.longLimit(now) {
+			taken++ // otherwise the reservation gets the slot of a long prompt that must end first
 		}
 	}
 	return taken < endpoint.limit(now)
 }
 
-// longLimit is how many long prompts it may hold now.
+// longLimit returns how many long prompts the endpoint may hold now.
 func (endpoint *endpoint) longLimit(now time.Time) int {
-	return max(1, endpoint.limit(now)/longSlots)
+	return max(1, endpoint.limit(now)/longSlotsDivisor)
 }
 
-// usableTokens is the memory that one request may take; 0 means unknown.
+// usableTokens returns the memory that one request may reserve; 0 means unknown.
 func (endpoint *endpoint) usableTokens() int {
 	return endpoint.fleet.MemoryTokens - endpoint.fleet.MemoryTokens/dogwoodmemory.ShortPart
 }
 
-// fits tells whether the waiter's work can run here now.
+// fits reports whether the waiter can be granted a slot now.
 func (endpoint *endpoint) fits(now time.Time, waiter *waiter) bool {
-	mine := endpoint.kept != nil && endpoint.kept.waiter == waiter
-	if mine {
-		slot := endpoint.running+endpoint.foreign < endpoint.limit(now)
-		return endpoint.ready(now) && slot && endpoint.holds(waiter.tokens, waiter.long)
+	reserved := endpoint.reservation != nil && endpoint.reservation.waiter == waiter
+	if reserved {
+		hasSlot := endpoint.running+endpoint.unknownStreams < endpoint.limit(now)
+		return endpoint.ready(now) && hasSlot && endpoint.hasMemory(waiter.tokens, waiter.long)
 	}
-	if !endpoint.free(now) {
+	if !endpoint.hasFreeSlot(now) {
 		return false
 	}
-	if waiter.Long() && (endpoint.kept != nil || endpoint.long >= endpoint.longLimit(now)) {
+	if waiter.Long() && (endpoint.reservation != nil || endpoint.runningLong >= endpoint.longLimit(now)) {
 		return false
 	}
-	if !endpoint.holds(waiter.tokens, waiter.long) {
+	if !endpoint.hasMemory(waiter.tokens, waiter.long) {
 		return false
 	}
-	return endpoint.kept == nil || endpoint.kept.backfill+waiter.tokens <= endpoint.fleet.MemoryTokens-endpoint.kept.tokens
+	return endpoint.reservation == nil || endpoint.reservation.backfilledTokens+waiter.tokens <= endpoint.fleet.MemoryTokens-endpoint.reservation.tokens
 }
 
-// holds tells whether the memory has room. An empty engine takes whatever it can hold; a
-// cold one is kept to a part of its memory as to a part of its slots. For short work that
-// part leaves out what long prompts hold: one that an empty engine took may exceed the part
-// alone, and would keep all short work off the engine's other slots until it ends.
-func (endpoint *endpoint) holds(tokens int, long bool) bool {
+// hasMemory reports whether the tokens fit into the engine's free memory. An empty engine
+// admits whatever fits; a cold one is limited to a part of its memory as it is to a part of
+// its slots. For short work, memory held by long prompts doesn't count towards that part: a
+// long prompt admitted by an empty engine may exceed that part by itself, and would keep all
+// short work off the engine's other slots until it ends.
+func (endpoint *endpoint) hasMemory(tokens int, long bool) bool {
 	memory := endpoint.fleet.MemoryTokens
 	if memory == 0 {
 		return true
 	}
 	used := endpoint.memory.Used()
-	if endpoint.running+endpoint.foreign == 0 || used+tokens > memory {
+	if endpoint.running+endpoint.unknownStreams == 0 || used+tokens > memory {
 		return used+tokens <= memory
 	}
 	if !long {
 		used -= endpoint.longTokens
 	}
-	return used+tokens <= max(endpoint.limiter.TokenBudget(memory), min(memory, coldTokens))
+	return used+tokens <= max(endpoint.limiter.TokenBudget(memory), min(memory, minColdTokens))
 }
 
-// coldTokens is a token budget that any engine bears: one prompt of the largest class
-// that isn't long, with its answer.
-const coldTokens = 80_000
+// minColdTokens is the least token budget of an engine, which any engine can handle: one
+// prompt of the largest class that isn't long, with its answer.
+const minColdTokens = 80_000
 
-// aheadTokens is the prompt tokens granted that the engine has probably not read yet.
+// aheadTokens estimates how many of the granted prompt tokens the engine hasn't prefilled yet.
 func (endpoint *endpoint) aheadTokens(now time.Time) int {
 	left := endpoint.prefillUntil.Sub(now)
 	if left <= 0 {
@@ -211,70 +217,70 @@
 	return int(left / max(endpoint.limiter.PerToken(), 1))
 }
 
-// take counts a grant at once, before any report tells of it.
-func (endpoint *endpoint) take(now time.Time, held *grant, hitTokens int) {
+// addGrant counts a new grant at once, without waiting for a report that includes it.
+func (endpoint *endpoint) addGrant(now time.Time, grant *grant, hitTokens int) {
 	endpoint.running++
 	endpoint.memory.Claim(dogwoodmemory.Hold{
-		Request: held.request.ID, Holder: held.holder, Tokens: held.tokens, Expires: held.renewed.Add(GrantLease),
+		Request: grant.request.ID, Holder: grant.holder, Tokens: grant.tokens, Expires: grant.renewedAt.Add(GrantLease),
 	}, now)
-	if held.long {
-		endpoint.long++
-		endpoint.longTokens += held.tokens
+	if grant.long {
+		endpoint.runningLong++
+		endpoint.longTokens += grant.tokens
 	}
-	if held.Alone {
+	if grant.Alone {
 		endpoint.alone = true
 	}
-	if endpoint.kept != nil {
-		if endpoint.kept.waiter == held.waiter {
-			endpoint.kept = nil
+	if endpoint.reservation != nil {
+		if endpoint.reservation.waiter == grant.waiter {
+			endpoint.reservation = nil
 		} else {
-			endpoint.kept.backfill += held.tokens
-			held.backfill = endpoint.kept
+			endpoint.reservation.backfilledTokens += grant.tokens
+			grant.backfilled = endpoint.reservation
 		}
 	}
-	held.ahead = endpoint.aheadTokens(now)
-	prefill := time.Duration(max(held.request.PromptTokens-hitTokens, 0)) * endpoint.limiter.PerToken()
+	grant.aheadTokens = endpoint.aheadTokens(now)
+	prefill := time.Duration(max(grant.request.PromptTokens-hitTokens, 0)) * endpoint.limiter.PerToken()
 	if endpoint.prefillUntil.Before(now) {
 		endpoint.prefillUntil = now
 	}
 	endpoint.prefillUntil = endpoint.prefillUntil.Add(prefill)
 }
 
-// reconcileFresh is for how long a comparison with the engine's list counts as recent.
-const reconcileFresh = 5 * time.Second
+// reconcileMaxAge is how long a comparison with the engine's list counts as recent.
+const reconcileMaxAge = 5 * time.Second
 
-// give counts a grant's end. The memory of a stream that was cut off is free once the
-// engine doesn't list it any more, where its list is read; else at once.
-func (endpoint *endpoint) give(now time.Time, held *grant, cut bool) {
+// removeGrant counts a grant's end. If the engine's list was fetched recently, the memory of a
+// stream that was cut off is freed once the engine no longer lists it; otherwise at once.
+func (endpoint *endpoint) removeGrant(now time.Time, grant *grant, cut bool) {
 	endpoint.running--
-	if cut && now.Sub(endpoint.reconciled) < reconcileFresh {
-		endpoint.memory.Drain(held.request.ID, now)
+	if cut && now.Sub(endpoint.reconciled) < reconcileMaxAge {
+		endpoint.memory.Drain(grant.request.ID, now)
 	} else {
-		endpoint.memory.Finish(held.request.ID, now)
+		endpoint.memory.Finish(grant.request.ID, now)
 	}
-	if held.long {
-		endpoint.long--
-		endpoint.longTokens -= held.tokens
+	if grant.long {
+		endpoint.runningLong--
+		endpoint.longTokens -= grant.tokens
 	}
-	if held.Alone {
+	if grant.Alone {
 		endpoint.alone = false
 	}
-	if held.backfill != nil {
-		held.backfill.backfill -= held.tokens
+	if grant.backfilled != nil {
+		grant.backfilled.backfilledTokens -= grant.tokens
 	}
 	if endpoint.running == 0 {
 		endpoint.prefillUntil = now
 	}
-	endpoint.ended = append(endpoint.ended, endedRequest{request: held.request.ID, at: now})
-	old := 0
-	for old < len(endpoint.ended) && now.Sub(endpoint.ended[old].at) > endedKept {
-		old++
+	endpoint.ended = append(endpoint.ended, endedRequest{request: grant.request.ID, at: now})
+	expired := 0
+	for expired < len(endpoint.ended) && now.Sub(endpoint.ended[expired].at) > endedTTL {
+		expired++
 	}
-	endpoint.ended = slices.Delete(endpoint.ended, 0, old)
+	endpoint.ended = slices.Delete(endpoint.ended, 0, expired)
 }
 
-// endedAfter tells whether the request ended after the report was taken, so that the
-// report lists it although nothing runs any more.
+// endedAfter reports whether the request ended after the report was taken. Such a report may
+// still list the request.
 func (endpoint *endpoint) endedAfter(request dogwoodfleet.RequestID, taken time.Time) bool {
 	return slices.ContainsFunc(endpoint.ended, func(ended endedRequest) bool {
 		return ended.request == request && !ended.at.Before(taken)
--- a/core/duty/dogwoodowner/engine_test.go
+++ b/core/duty/dogwoodowner/engine_test.go
@@ -12,7 +12,7 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// engineSettings are those of a small engine; the defaults are the stand-in's.
+// engineSettings configures a fake engine. defaultSettings has the values of the engine stand-in.
 type engineSettings struct {
 	MemoryTokens           int
 	PrefillTokensPerSecond int
@@ -20,13 +20,13 @@
 	MaxBatch               int
 	ColdLimit              int
 	ColdFor                time.Duration
-	// TellsCold is true when its answers begin with the word that it is cold.
+	// TellsCold is true when answers report at their beginning that the engine is cold.
 	TellsCold bool `json:",omitempty"`
 }
 
-// engine is a fake model engine on paused time: one prefill at a time in chunks by
-// priority, a batch of decoding streams, memory, and a cold time in which more than the
-// cold limit makes it fall over.
+// engine is a fake model engine that runs on the fake clock of synctest. It runs one prefill at a
+// time in chunks and by priority, decodes a batch of streams, has limited memory, and crashes if
+// it is sent several times its cold limit while it is cold.
 type engine struct {
 	id       dogwoodfleet.EndpointID
 	settings engineSettings
@@ -34,32 +34,34 @@
 	mutex      sync.Mutex
 	streams    []*stream // in the batch or waiting for it
 	prefilling *stream
-	slow       float64
+	slowFactor float64
 	dead       chan struct{}
 	downUntil  time.Time
 	coldUntil  time.Time
 	starts     int
 	cached     map[uint64]struct{}
 	poison     map[dogwoodfleet.Digest]bool
-	ran        int
+	runs       int
 	overruns   int
 	crashes    int
 	prefilled  int
-	tell       func(id dogwoodfleet.EndpointID, instance dogwoodfleet.InstanceID)
+	reportCold func(id dogwoodfleet.EndpointID, instance dogwoodfleet.InstanceID)
 }
 
+// stream is a request that an engine runs or that waits for its batch.
 type stream struct {
-	request  dogwoodfleet.Request
-	priority dogwoodfleet.Priority
-	order    int
-	tokens   int
-	batched  bool
-	prefill  bool // wants the prefill
-	cold     bool // came while the engine was cold
-	turn     chan struct{}
+	request      dogwoodfleet.Request
+	priority     dogwoodfleet.Priority
+	order        int
+	tokens       int
+	batched      bool
+	needsPrefill bool // waits for prefill or is in it
+	arrivedCold  bool // arrived while the engine was cold
+	turn         chan struct{}
 }
 
-type ran struct {
+// runResult is the result of a request that was sent to an engine.
+type runResult struct {
 	result           dogwoodfleet.Result
 	firstToken, took time.Duration
 	instance         dogwoodfleet.InstanceID
@@ -68,34 +70,35 @@
 
 const (
 	prefillChunk = 4096
-	// coldSlowdown is how much slower a cold engine works, and collapse how many times its
-	// cold limit of new work makes it fall over, as with the stand-in.
-	coldSlowdown = 4
-	collapse     = 3
+	// coldSlowdown is how many times slower a cold engine is. An engine crashes if more than
+	// collapseFactor times its cold limit arrive while it is cold. Both are as with the engine
+	// stand-in.
+	coldSlowdown   = 4
+	collapseFactor = 3
 )
 
-// newWhileCold counts the streams that came while it was cold.
-func (engine *engine) newWhileCold() int {
+// arrivedWhileCold counts the streams that arrived while the engine was cold.
+func (engine *engine) arrivedWhileCold() int {
 	count := 0
 	for _, stream := range engine.streams {
-		if stream.cold {
+		if stream.arrivedCold {
 			count++
 		}
 	}
 	return count
 }
 
-// slowness is by how much it works slower than a warm engine that is well.
+// slowness returns how many times slower the engine is than a healthy warm one.
 func (engine *engine) slowness() float64 {
 	if time.Now().Before(engine.coldUntil) {
-		return engine.slow * coldSlowdown
+		return engine.slowFactor * coldSlowdown
 	}
-	return engine.slow
+	return engine.slowFactor
 }
 
 func newEngine(id string, settings engineSettings) *engine {
 	return &engine{
-		id: dogwoodfleet.EndpointID(id), settings: settings, slow: 1, dead: make(chan struct{}),
+		id: dogwoodfleet.EndpointID(id), settings: settings, slowFactor: 1, dead: make(chan struct{}),
 		cached: map[uint64]struct{}{}, poison: map[dogwoodfleet.Digest]bool{},
 		coldUntil: time.Now().Add(settings.ColdFor),
 	}
@@ -105,7 +108,7 @@
 	return dogwoodfleet.InstanceID(fmt.Sprintf("%s-%d", engine.id, engine.starts))
 }
 
-// crash ends all streams; the engine is back, cold, after the time.
+// crash ends all streams. The engine is back, and cold, after the down time.
 func (engine *engine) crash(down time.Duration) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -123,6 +126,7 @@
 	clear(engine.cached)
 }
 
+// turnCold makes the engine cold without a restart.
 func (engine *engine) turnCold() {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -130,41 +134,41 @@
 	clear(engine.cached)
 }
 
-func (engine *engine) setSlow(factor float64) {
+func (engine *engine) setSlowFactor(factor float64) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.slow = factor
+	engine.slowFactor = factor
 }
 
-// run runs a request to its end.
-func (engine *engine) run(ctx context.Context, request dogwoodfleet.Request, priority dogwoodfleet.Priority, output, members int) ran {
+// run runs a request, or the share of one of several members, to its end.
+func (engine *engine) run(ctx context.Context, request dogwoodfleet.Request, priority dogwoodfleet.Priority, output, members int) runResult {
 	started := time.Now()
 	engine.mutex.Lock()
 	dead := engine.dead
 	now := time.Now()
 	if now.Before(engine.downUntil) {
 		engine.mutex.Unlock()
-		return ran{result: dogwoodfleet.ResultRefused}
+		return runResult{result: dogwoodfleet.ResultRefused}
 	}
 	if (request.PromptTokens+output)/members > engine.settings.MemoryTokens {
 		engine.mutex.Unlock()
-		return ran{result: dogwoodfleet.ResultFailed}
+		return runResult{result: dogwoodfleet.ResultFailed}
 	}
 	cold := now.Before(engine.coldUntil)
-	engine.ran++
-	mine := &stream{
-		request: request, priority: priority, order: engine.ran, turn: make(chan struct{}, 1),
+	engine.runs++
+	current := &stream{
+		request: request, priority: priority, order: engine.runs, turn: make(chan struct{}, 1),
 		tokens: (request.PromptTokens + output) / members,
 	}
-	engine.streams = append(engine.streams, mine)
-	mine.cold = cold
-	if cold && engine.newWhileCold() > engine.settings.ColdLimit {
+	engine.streams = append(engine.streams, current)
+	current.arrivedCold = cold
+	if cold && engine.arrivedWhileCold() > engine.settings.ColdLimit {
 		engine.overruns++
 	}
-	if cold && engine.newWhileCold() > collapse*engine.settings.ColdLimit {
+	if cold && engine.arrivedWhileCold() > collapseFactor*engine.settings.ColdLimit {
 		engine.crashLocked(2 * time.Second)
 		engine.mutex.Unlock()
-		return ran{result: dogwoodfleet.ResultDied, took: time.Since(started)}
+		return runResult{result: dogwoodfleet.ResultDied, took: time.Since(started)}
 	}
 	hit := 0
 	for _, block := range request.Blocks {
@@ -174,22 +178,23 @@
 		hit += dogwoodprefix.BlockBytes / 4
 	}
 	instance := engine.instance()
-	engine.arrangeLocked()
+	engine.scheduleLocked()
 	engine.mutex.Unlock()
 	if cold && engine.settings.TellsCold {
-		engine.tell(engine.id, instance)
+		engine.reportCold(engine.id, instance)
 	}
 
-	result := engine.work(ctx, dead, mine, started, max((request.PromptTokens-hit)/members, 1), output)
+	result := engine.work(ctx, dead, current, started, max((request.PromptTokens-hit)/members, 1), output)
 	result.instance, result.cold = instance, cold
-	engine.end(mine)
+	engine.end(current)
 	return result
 }
 
-func (engine *engine) work(ctx context.Context, dead chan struct{}, mine *stream, started time.Time, prompt, output int) ran {
+// work runs a stream's prefill and decoding.
+func (engine *engine) work(ctx context.Context, dead chan struct{}, current *stream, started time.Time, prompt, output int) runResult {
 	for left := prompt; left > 0; left -= prefillChunk {
-		if result, ok := await(ctx, dead, mine.turn); !ok {
-			return ran{result: result, took: time.Since(started)}
+		if result, ok := await(ctx, dead, current.turn); !ok {
+			return runResult{result: result, took: time.Since(started)}
 		}
 		engine.mutex.Lock()
 		chunk := min(left, prefillChunk)
@@ -197,33 +202,35 @@
 		took := time.Duration(float64(chunk) / float64(engine.settings.PrefillTokensPerSecond) * engine.slowness() * float64(time.Second))
 		engine.mutex.Unlock()
 		if result, ok := await(ctx, dead, time.After(took)); !ok {
-			return ran{result: result, took: time.Since(started)}
+			return runResult{result: result, took: time.Since(started)}
 		}
 		engine.mutex.Lock()
-		mine.prefill = left-chunk > 0
-		if engine.prefilling == mine {
+		current.needsPrefill = left-chunk > 0
+		if engine.prefilling == current {
 			engine.prefilling = nil
 		}
-		engine.arrangeLocked()
+		engine.scheduleLocked()
 		engine.mutex.Unlock()
 	}
 	first := time.Since(started)
 	engine.mutex.Lock()
-	if engine.poison[mine.request.Digest] {
+	if engine.poison[current.request.Digest] {
 		engine.crashLocked(2 * time.Second)
 	}
-	for _, block := range mine.request.Blocks {
+	for _, block := range current.request.Blocks {
 		engine.cached[block] = struct{}{}
 	}
 	decode := time.Duration(float64(output) / float64(engine.settings.DecodeTokensPerSecond) * engine.slowness() * float64(time.Second))
 	engine.mutex.Unlock()
 	result, ok := await(ctx, dead, time.After(decode))
 	if !ok {
-		return ran{result: result, firstToken: first, took: time.Since(started)}
+		return runResult{result: result, firstToken: first, took: time.Since(started)}
 	}
-	return ran{result: dogwoodfleet.ResultDone, firstToken: first, took: time.Since(started)}
+	return runResult{result: dogwoodfleet.ResultDone, firstToken: first, took: time.Since(started)}
 }
 
+// await waits for the channel. It returns false and the result if the engine crashes or the
+// context ends first.
 func await[T any](ctx context.Context, dead chan struct{}, until <-chan T) (dogwoodfleet.Result, bool) {
 	select {
 	case <-until:
@@ -235,20 +242,22 @@
 	}
 }
 
-func (engine *engine) end(mine *stream) {
+// end removes a stream.
+func (engine *engine) end(current *stream) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.streams = slices.DeleteFunc(engine.streams, func(other *stream) bool { return other == mine })
-	if engine.prefilling == mine {
+	engine.streams = slices.DeleteFunc(engine.streams, func(stream *stream) bool { return stream == current })
+	if engine.prefilling == current {
 		engine.prefilling = nil
 	}
-	engine.arrangeLocked()
+	engine.scheduleLocked()
 }
 
-// arrangeLocked lets waiting streams into the batch and gives the prefill to the first.
-func (engine *engine) arrangeLocked() {
-	slices.SortStableFunc(engine.streams, func(one, other *stream) int {
-		return cmp.Or(cmp.Compare(other.priority, one.priority), cmp.Compare(one.order, other.order))
+// scheduleLocked admits waiting streams to the batch and starts the prefill of the first that
+// needs it.
+func (engine *engine) scheduleLocked() {
+	slices.SortStableFunc(engine.streams, func(a, b *stream) int {
+		return cmp.Or(cmp.Compare(b.priority, a.priority), cmp.Compare(a.order, b.order))
 	})
 	batched, used := 0, 0
 	for _, stream := range engine.streams {
@@ -261,7 +270,7 @@
 		if stream.batched || batched >= engine.settings.MaxBatch || used+stream.tokens > engine.settings.MemoryTokens && batched > 0 {
 			continue
 		}
-		stream.batched, stream.prefill = true, true
+		stream.batched, stream.needsPrefill = true, true
 		batched++
 		used += stream.tokens
 	}
@@ -269,7 +278,7 @@
 		return
 	}
 	for _, stream := range engine.streams {
-		if stream.batched && stream.prefill {
+		if stream.batched && stream.needsPrefill {
 			engine.prefilling = stream
 			stream.turn <- struct{}{}
 			return
@@ -277,8 +286,8 @@
 	}
 }
 
-// idle is how long a request takes on an idle warm engine.
-func (settings *engineSettings) idle(prompt, output int) time.Duration {
+// idleDuration returns how long a request takes on an idle warm engine.
+func (settings *engineSettings) idleDuration(prompt, output int) time.Duration {
 	seconds := float64(prompt)/float64(settings.PrefillTokensPerSecond) + float64(output)/float64(settings.DecodeTokensPerSecond)
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/core/duty/dogwoodowner/gang.go
+++ b/core/duty/dogwoodowner/gang.go
@@ -15,24 +15,26 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// gangWait bounds how long a member's memory is kept for a gang that isn't complete.
-const gangWait = 30 * time.Second
+// gangHoldTimeout bounds how long a member's memory is held for an incomplete gang.
+const gangHoldTimeout = 30 * time.Second
 
-// refusalTooLarge says how many tokens a request may have, so that its caller need not
-// guess; most is left out where it says nothing, as when an engine that it needs is avoided.
-func refusalTooLarge(tokens, most int) *Refusal {
+// refusalTooLarge reports how many tokens a request may have, so that its caller need not
+// guess. The maximum is left out if it is unknown or if the request doesn't exceed it, as when
+// an engine that the request needs is to be avoided.
+func refusalTooLarge(tokens, maxTokens int) *Refusal {
 	refusal := &Refusal{
 		Reason: dogwoodfleet.ReasonTooLarge, NotRun: true,
 		Detail: fmt.Sprintf("%d tokens fit no engine and no gang of engines", tokens),
 	}
-	if most > 0 && most < tokens {
-		refusal.Detail = (&dogwoodmemory.TooLarge{Tokens: tokens, Most: most}).Error()
+	if maxTokens > 0 && maxTokens < tokens {
+		refusal.Detail = (&dogwoodmemory.TooLarge{Tokens: tokens, Most: maxTokens}).Error()
 	}
 	return refusal
 }
 
-// mostTokens is what a request may have on the engines in force, alone or as a gang.
-func mostTokens(engines []GangEngine) int {
+// maxRequestTokens returns how many tokens a request may have on the engines in force, alone
+// or as a gang.
+func maxRequestTokens(engines []GangEngine) int {
 	rooms := make([]dogwoodmemory.Room, 0, len(engines))
 	for i := range engines {
 		if engines[i].InForce {
@@ -42,25 +44,24 @@
 	return dogwoodmemory.Most(rooms)
 }
 
-// acquireGang reserves several engines for a prompt that exceeds one, all or nothing.
-// Members are taken in the order of their ids by all owners, so two gangs that want the
-// same engines meet at the first of them and neither waits for one that the other holds
-// while holding one that the other waits for. Waiting is bounded, and what was reserved
-// is released together.
+// acquireGang acquires several engines, or none, for a prompt that exceeds one. To prevent
+// deadlocks, all owners acquire the members in the order of their IDs: of two gangs that need
+// the same engines, one waits at the first shared engine and holds none of the later ones. The
+// wait is bounded, and if it fails all members acquired so far are released.
 func (owner *Owner) acquireGang(ctx context.Context, ask Ask) (Grant, *Refusal) {
 	started := time.Now()
 	request := &ask.Request
 	engines := owner.options.Gangs.Engines(request.Service, request.Model)
 	members := chooseGang(request, engines, ask.Avoid)
 	if len(members) == 0 {
-		return Grant{}, refusalTooLarge(request.Tokens(), mostTokens(engines))
+		return Grant{}, refusalTooLarge(request.Tokens(), maxRequestTokens(engines))
 	}
 	parts := make([]Grant, 0, len(members))
 	for _, member := range members {
-		part := gangPart(ask, member.ID, len(members), time.Since(started))
+		part := memberRequest(ask, member.ID, len(members), time.Since(started))
 		granted, err := owner.options.Gangs.Acquire(ctx, member, part)
 		if err != nil {
-			owner.releaseGang(ctx, parts)
+			owner.releaseMembers(ctx, parts)
 			return Grant{}, gangRefusal(err)
 		}
 		parts = append(parts, granted)
@@ -76,8 +77,8 @@
 	return gang, nil
 }
 
-// releaseGang gives the members back although the asker may have gone.
-func (owner *Owner) releaseGang(ctx context.Context, parts []Grant) {
+// releaseMembers releases the acquired members, also if the context has ended.
+func (owner *Owner) releaseMembers(ctx context.Context, parts []Grant) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), GrantLease)
 	defer cancel()
 	for i := range parts {
@@ -85,8 +86,8 @@
 	}
 }
 
-// gangRefusal passes a member's refusal on. Whatever else went wrong, nothing was sent to
-// an engine, so it did not run.
+// gangRefusal returns a member's refusal, or wraps any other error in one. Nothing was sent to
+// an engine yet, so the request did not run.
 func gangRefusal(err error) *Refusal {
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
@@ -98,11 +99,11 @@
 	}
 }
 
-// gangPart is the ask for one of count members.
-func gangPart(ask Ask, member dogwoodfleet.EndpointID, count int, spent time.Duration) Ask {
+// memberRequest returns the acquire request for one of count members.
+func memberRequest(ask Ask, member dogwoodfleet.EndpointID, count int, spent time.Duration) Ask {
 	ask.Pin = member
 	ask.Budget -= spent
-	ask.Hold = min(ask.Budget, gangWait)
+	ask.Hold = min(ask.Budget, gangHoldTimeout)
 	ask.Request.PromptTokens = (ask.Request.PromptTokens + count - 1) / count
 	ask.Request.MaxTokens = (ask.Request.MaxTokens + count - 1) / count
 	ask.Request.Blocks = nil
@@ -112,69 +113,73 @@
 // GangEngine is an engine that a gang may include.
 type GangEngine struct {
 	dogwoodfleet.Endpoint
-	// FreeTokens is what a member could have at once; 0 if it would have to wait.
+	// FreeTokens is the memory that a member could reserve at once; 0 if it would have to wait.
 	FreeTokens int
 }
 
-// Lendable adds to an owned engine what a member of a gang could have of it at once.
+// Lendable returns an owned engine with the memory that a member of a gang could reserve on it
+// at once.
 func (owner *Owner) Lendable(engine dogwoodfleet.Endpoint) GangEngine {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
-	lendable := GangEngine{Endpoint: engine}
+	gangEngine := GangEngine{Endpoint: engine}
 	state := owner.endpoints[engine.ID]
-	if state != nil && state.kept == nil && state.long < state.longLimit(time.Now()) {
-		lendable.FreeTokens = max(state.memory.Free(), 0)
+	if state != nil && state.reservation == nil && state.runningLong < state.longLimit(time.Now()) {
+		gangEngine.FreeTokens = max(state.memory.Free(), 0)
 	}
-	return lendable
+	return gangEngine
 }
 
-// chooseGang returns the fewest engines that hold the request together, in the order of
-// their ids: such as can all be had at once, in one data centre if it has enough, since its
-// engines pass KV blocks to each other; else in the region; else such as must be waited for.
-// The request's id chooses the data centre of the region and among its engines: a prompt
-// that takes seconds to read gains nothing from the millisecond to the nearest, and gangs
-// that all met there would run one after another.
+// chooseGang returns the smallest set of engines that together hold the request, in the order
+// of their IDs. It prefers engines that are all free at once: in one data centre if possible,
+// since engines there pass KV blocks to each other, otherwise in the region. If too few are
+// free it returns engines that must be waited for. The data centre within the region, and its
+// engines, are selected by a hash of the request's ID: for a prompt that takes seconds to
+// prefill, the millisecond saved by the nearest ones doesn't matter, and gangs that all selected those
+// would run one after another.
 func chooseGang(request *dogwoodfleet.Request, engines []GangEngine, avoid []dogwoodfleet.EndpointID) []dogwoodfleet.Endpoint {
-	able := slices.DeleteFunc(slices.Clone(engines), func(engine GangEngine) bool {
+	eligible := slices.DeleteFunc(slices.Clone(engines), func(engine GangEngine) bool {
 		return !engine.InForce || engine.MemoryTokens == 0 || slices.Contains(avoid, engine.ID)
 	})
-	arrangeForGang(request, able)
-	for count := 2; count <= len(able); count++ {
+	sortForGang(request, eligible)
+	for count := 2; count <= len(eligible); count++ {
 		share := (request.PromptTokens+count-1)/count + (request.MaxTokens+count-1)/count
-		roomy := slices.DeleteFunc(slices.Clone(able), func(engine GangEngine) bool {
+		large := slices.DeleteFunc(slices.Clone(eligible), func(engine GangEngine) bool {
 			return share > engine.MemoryTokens-engine.MemoryTokens/dogwoodmemory.ShortPart
 		})
-		if len(roomy) < count {
+		if len(large) < count {
 			continue
 		}
 		var members []dogwoodfleet.Endpoint
-		for _, engine := range pickMembers(roomy, count, share) {
+		for _, engine := range pickMembers(large, count, share) {
 			members = append(members, engine.Endpoint)
 		}
-		slices.SortFunc(members, func(one, other dogwoodfleet.Endpoint) int { return cmp.Compare(one.ID, other.ID) })
+		slices.SortFunc(members, func(a, b dogwoodfleet.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 		return members
 	}
 	return nil
 }
 
-// arrangeForGang orders engines by region, data centre and name, as the request's id has it.
-func arrangeForGang(request *dogwoodfleet.Request, engines []GangEngine) {
-	choice := func(name string) uint64 {
+// sortForGang sorts engines by the distance of their regions from the request's origin, and within
+// a distance by hashes of the request's ID with the data centre and with the engine.
+func sortForGang(request *dogwoodfleet.Request, engines []GangEngine) {
+	hash := func(name string) uint64 {
 		return xxhash.Sum64String(string(request.ID) + "\x00" + name)
 	}
-	otherRegion := func(engine *GangEngine) int {
+	regionDistance := func(engine *GangEngine) int {
 		return max(dogwoodownership.Distance(request.Origin, engine.Place), 1)
 	}
-	slices.SortFunc(engines, func(one, other GangEngine) int {
+	slices.SortFunc(engines, func(a, b GangEngine) int {
 		return cmp.Or(
-			cmp.Compare(otherRegion(&one), otherRegion(&other)),
-			cmp.Compare(choice(string(one.Place.DataCentre)), choice(string(other.Place.DataCentre))),
-			cmp.Compare(choice(string(one.ID)), choice(string(other.ID))),
+			cmp.Compare(regionDistance(&a), regionDistance(&b)),
+			cmp.Compare(hash(string(a.Place.DataCentre)), hash(string(b.Place.DataCentre))),
+			cmp.Compare(hash(string(a.ID)), hash(string(b.ID))),
 		)
 	})
 }
 
-// pickMembers picks count of the engines, which are in the order of preference.
+// pickMembers returns count of the engines, which are sorted by preference. It prefers free
+// ones in the same place, then free ones.
 func pickMembers(engines []GangEngine, count, share int) []GangEngine {
 	free := slices.DeleteFunc(slices.Clone(engines), func(engine GangEngine) bool { return engine.FreeTokens < share })
 	if len(free) < count {
@@ -188,44 +193,44 @@
 	return free[:count]
 }
 
-// pumpMembers gives endpoints to waiting members of gangs, and begins to clear each endpoint
-// for the first that waits for it.
+// grantMembers grants endpoints to waiting members of gangs, and reserves each other endpoint
+// for the first member that waits for it.
 //
-// Failure guarded against: in the fair queue a member would wait behind others of its
-// customer and class, also for endpoints that it does not want. A gang that holds engine 4
-// and wants engine 7 then waits behind one that wants engine 4: neither ever starts, and both
-// engines idle until a deadline passes. Here a member waits for its own endpoint alone.
-func (lane *lane) pumpMembers(now time.Time) {
+// Members don't wait in the fair queue, since there a member would also wait behind requests of
+// its customer and class that need other endpoints. A gang that holds engine 4 and needs engine
+// 7 could then wait behind one that needs engine 4: neither starts, and both engines are idle
+// until a deadline passes. Here a member waits for its pinned endpoint only.
+func (lane *lane) grantMembers(now time.Time) {
 	waiting := lane.members
 	lane.members = nil
 	for _, member := range waiting {
-		at := slices.IndexFunc(lane.endpoints, func(state *endpoint) bool { return state.fleet.ID == member.ask.Pin })
+		index := slices.IndexFunc(lane.endpoints, func(state *endpoint) bool { return state.fleet.ID == member.ask.Pin })
 		switch {
-		case at < 0:
-			member.refuse(refusalNoEndpoint())
-		case lane.endpoints[at].fitsMember(now, member):
-			lane.grant(now, member, lane.endpoints[at], 0, false)
+		case index < 0:
+			member.reject(refusalNoEndpoint())
+		case lane.endpoints[index].fitsMember(now, member):
+			lane.grant(now, member, lane.endpoints[index], 0, false)
 		default:
 			lane.members = append(lane.members, member)
-			lane.clearFor(member, lane.endpoints[at])
+			lane.reserveForMember(member, lane.endpoints[index])
 		}
 	}
 }
 
-// clearFor keeps the endpoint's memory for a member, unless it is kept for another already.
-func (lane *lane) clearFor(member *waiter, state *endpoint) {
-	if state.kept == nil && member.keeps == nil && state.fleet.InForce && member.tokens <= state.fleet.MemoryTokens {
-		state.kept = &reservation{waiter: member, tokens: member.tokens}
-		member.keeps = state
+// reserveForMember reserves the endpoint for a member, unless it is reserved already.
+func (lane *lane) reserveForMember(member *waiter, state *endpoint) {
+	if state.reservation == nil && member.reserved == nil && state.fleet.InForce && member.tokens <= state.fleet.MemoryTokens {
+		state.reservation = &reservation{waiter: member, tokens: member.tokens}
+		member.reserved = state
 	}
 }
 
-// fitsMember tells whether a member of a gang can have the endpoint now.
+// fitsMember reports whether a member of a gang can be granted a slot on the endpoint now.
 func (endpoint *endpoint) fitsMember(now time.Time, member *waiter) bool {
-	if endpoint.kept != nil && endpoint.kept.waiter != member {
+	if endpoint.reservation != nil && endpoint.reservation.waiter != member {
 		return false
 	}
 	limit := endpoint.limit(now)
-	return endpoint.ready(now) && endpoint.running+endpoint.foreign < limit &&
-		endpoint.long < endpoint.longLimit(now) && endpoint.holds(member.tokens, true)
+	return endpoint.ready(now) && endpoint.running+endpoint.unknownStreams < limit &&
+		endpoint.runningLong < endpoint.longLimit(now) && endpoint.hasMemory(member.tokens, true)
 }
--- a/core/duty/dogwoodowner/lane.go
+++ b/core/duty/dogwoodowner/lane.go
@@ -11,38 +11,39 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// laneKey names what endpoints can do alike.
+// laneKey identifies a lane. The model is empty for endpoints whose models aren't known.
 type laneKey struct {
 	service dogwoodfleet.Service
 	model   dogwoodfleet.Model
 }
 
-// lane is the queue before the endpoints that serve one model of one service.
+// lane holds the endpoints that serve one model of one service, and the queues of the requests
+// that wait for them.
 type lane struct {
 	owner     *Owner
 	key       laneKey
 	rates     dogwoodadmission.Rates
 	queue     *dogwoodadmission.Queue
 	endpoints []*endpoint
-	// suspects wait for an endpoint of their own.
+	// suspects wait for an empty endpoint, each to run alone on it.
 	suspects []*waiter
-	// members wait for one endpoint each, for their gangs.
+	// members wait for the endpoint that their gang needs.
 	members []*waiter
-	// arrivals is the baseline policy's queue.
-	arrivals []*waiter
+	// baselineQueue holds all waiters under the baseline policy.
+	baselineQueue []*waiter
 
-	candidates []dogwoodrouting.Candidate
-	chosen     []*endpoint // the endpoint of each candidate
-	now        time.Time
-	picked     *endpoint
-	pickedHit  int
-	place      func(*dogwoodadmission.Work) bool
+	candidates         []dogwoodrouting.Candidate
+	candidateEndpoints []*endpoint // the endpoint of each candidate
+	now                time.Time
+	picked             *endpoint
+	pickedHitTokens    int
+	placeFunc          func(*dogwoodadmission.Work) bool
 }
 
 func newLane(owner *Owner, key laneKey) *lane {
 	lane := &lane{owner: owner, key: key}
 	lane.queue = dogwoodadmission.NewQueue(&lane.rates, dogwoodadmission.MaxWaiting, owner.weightLocked)
-	lane.place = lane.placeWork
+	lane.placeFunc = lane.placeWork
 	return lane
 }
 
@@ -50,7 +51,7 @@
 	lane.endpoints = append(lane.endpoints, state)
 }
 
-func (lane *lane) inForce() int {
+func (lane *lane) inForceCount() int {
 	count := 0
 	for _, state := range lane.endpoints {
 		if state.fleet.InForce {
@@ -60,12 +61,13 @@
 	return count
 }
 
-func (lane *lane) waiting() int {
-	return lane.queue.Len() + len(lane.suspects) + len(lane.members) + len(lane.arrivals)
+func (lane *lane) waitingCount() int {
+	return lane.queue.Len() + len(lane.suspects) + len(lane.members) + len(lane.baselineQueue)
 }
 
-// usableTokens is the most that one endpoint in force can hold; 0 means unknown.
-func (lane *lane) usableTokens() (usable, whole int) {
+// usableTokens returns the largest memory that one request may reserve on an endpoint in force,
+// and the largest total memory of one. Both are 0 if the memory of one is unknown.
+func (lane *lane) usableTokens() (usable, largest int) {
 	for _, state := range lane.endpoints {
 		if !state.fleet.InForce {
 			continue
@@ -74,14 +76,14 @@
 			return 0, 0
 		}
 		usable = max(usable, state.usableTokens())
-		whole = max(whole, state.fleet.MemoryTokens)
+		largest = max(largest, state.fleet.MemoryTokens)
 	}
-	return usable, whole
+	return usable, largest
 }
 
-// capacity is what the lane's endpoints can do now. What just failed, and what a suspect
-// has or waits for, can do nothing: counted, it would let work in that then waits for it
-// until its deadline.
+// capacity returns how much work the lane's endpoints can run now. Endpoints that just failed,
+// or that a suspect runs on or waits for, don't count; otherwise work would be admitted that
+// waits for them until its deadline.
 func (lane *lane) capacity(now time.Time) dogwoodadmission.Capacity {
 	var capacity dogwoodadmission.Capacity
 	for _, state := range lane.endpoints {
@@ -90,64 +92,66 @@
 		}
 		limit := state.limit(now)
 		capacity.Slots += limit
-		capacity.LongSlots += max(1, limit/longSlots)
+		capacity.LongSlots += max(1, limit/longSlotsDivisor)
 	}
 	return capacity
 }
 
+// anyFree reports whether an endpoint has a free slot or is reserved for a waiter.
 func (lane *lane) anyFree(now time.Time) bool {
 	for _, state := range lane.endpoints {
-		if state.free(now) || state.kept != nil {
+		if state.hasFreeSlot(now) || state.reservation != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// pump grants what can be granted.
-func (lane *lane) pump(now time.Time) {
+// grantWaiting grants slots to waiting work as far as possible, and reserves an endpoint for long
+// work that remains.
+func (lane *lane) grantWaiting(now time.Time) {
 	if lane.owner.baseline() {
-		lane.pumpBaseline(now)
+		lane.grantBaseline(now)
 		return
 	}
-	lane.pumpSuspects(now)
-	lane.pumpMembers(now)
+	lane.grantSuspects(now)
+	lane.grantMembers(now)
 	lane.now = now
 	for lane.queue.Len() > 0 && lane.anyFree(now) {
-		work := lane.queue.Next(lane.place)
+		work := lane.queue.Next(lane.placeFunc)
 		if work == nil {
 			break
 		}
-		chosen := work.Value.(*waiter)
+		waiter := work.Value.(*waiter)
 		if now.After(work.LatestStart()) {
 			lane.queue.GiveUp(now, work)
-			chosen.refuse(refusalLate())
+			waiter.reject(refusalDeadline())
 			continue
 		}
 		lane.queue.Take(now, work)
-		lane.grant(now, chosen, lane.picked, lane.pickedHit, false)
+		lane.grant(now, waiter, lane.picked, lane.pickedHitTokens, false)
 	}
-	lane.reserve(now)
+	lane.reserveForLong(now)
 }
 
-// placeWork picks an endpoint for the work, and tells whether there is one. Work that is
-// too late fits as well: pump refuses it.
+// placeWork picks an endpoint for the work and reports whether there is one. It also returns
+// true for work that is too late, which grantWaiting then rejects.
 func (lane *lane) placeWork(work *dogwoodadmission.Work) bool {
 	if lane.now.After(work.LatestStart()) {
 		return true
 	}
-	asking := work.Value.(*waiter)
-	request := &asking.ask.Request
+	waiter := work.Value.(*waiter)
+	request := &waiter.ask.Request
 	lane.candidates = lane.candidates[:0]
-	lane.chosen = lane.chosen[:0]
-	only := lane.owner.onlyEndpointLocked(asking)
+	lane.candidateEndpoints = lane.candidateEndpoints[:0]
+	required := lane.owner.requiredEndpointLocked(waiter)
 	for _, state := range lane.endpoints {
-		if only != nil && state != only || !state.fits(lane.now, asking) || !asking.accepts(state) {
+		if required != nil && state != required || !state.fits(lane.now, waiter) || !waiter.accepts(state) {
 			continue
 		}
-		lane.chosen = append(lane.chosen, state)
+		lane.candidateEndpoints = append(lane.candidateEndpoints, state)
 		lane.candidates = append(lane.candidates, dogwoodrouting.Candidate{
-			InFlight: state.running + state.foreign, Limit: state.limit(lane.now),
+			InFlight: state.running + state.unknownStreams, Limit: state.limit(lane.now),
 			AheadTokens: state.aheadTokens(lane.now),
 			HitTokens:   lane.owner.prefixes.Hits(state.fleet.ID, request.Blocks) * (dogwoodprefix.BlockBytes / bytesPerToken),
 			PerToken:    state.limiter.PerToken(), Slowness: state.limiter.Slowness(), Measured: state.limiter.Measured(),
@@ -158,67 +162,69 @@
 	if index < 0 {
 		return false
 	}
-	lane.picked, lane.pickedHit = lane.chosen[index], lane.candidates[index].HitTokens
+	lane.picked, lane.pickedHitTokens = lane.candidateEndpoints[index], lane.candidates[index].HitTokens
 	return true
 }
 
-// bytesPerToken is how requests' tokens are estimated.
+// bytesPerToken is the number of bytes by which a request's tokens are estimated.
 const bytesPerToken = 4
 
-// maxReservations bounds how many of a lane's endpoints are cleared at once: one of four.
-const maxReservations = 4
+// reservedEndpointsDivisor limits reservations for long work: a further one is made only while
+// fewer than one in this many of a lane's endpoints is reserved, or while none is.
+const reservedEndpointsDivisor = 4
 
-// reserve begins to clear an endpoint for the long work that is next and fits nowhere.
-func (lane *lane) reserve(now time.Time) {
+// reserveForLong reserves an endpoint for the first long work in the queue, which fits no endpoint
+// now.
+func (lane *lane) reserveForLong(now time.Time) {
 	head := lane.queue.NextLong()
 	if head == nil {
 		return
 	}
-	next := head.Value.(*waiter)
-	kept := 0
+	waiter := head.Value.(*waiter)
+	reserved := 0
 	var best *endpoint
 	for _, state := range lane.endpoints {
-		if state.kept != nil {
-			kept++
-			if state.kept.waiter == next {
+		if state.reservation != nil {
+			reserved++
+			if state.reservation.waiter == waiter {
 				return
 			}
 			continue
 		}
-		able := state.fleet.InForce && !state.alone && next.accepts(state) && next.tokens <= state.fleet.MemoryTokens &&
-			state.long < max(1, state.limit(now)/longSlots)
-		if able && (best == nil || state.memory.Free() > best.memory.Free()) {
+		eligible := state.fleet.InForce && !state.alone && waiter.accepts(state) && waiter.tokens <= state.fleet.MemoryTokens &&
+			state.runningLong < max(1, state.limit(now)/longSlotsDivisor)
+		if eligible && (best == nil || state.memory.Free() > best.memory.Free()) {
 			best = state
 		}
 	}
-	if best == nil || kept >= max(1, len(lane.endpoints)/maxReservations) {
+	if best == nil || reserved >= max(1, len(lane.endpoints)/reservedEndpointsDivisor) {
 		return
 	}
-	best.kept = &reservation{waiter: next, tokens: next.tokens}
-	next.keeps = best
+	best.reservation = &reservation{waiter: waiter, tokens: waiter.tokens}
+	waiter.reserved = best
 }
 
-// grant gives the endpoint to the waiter.
+// grant grants a slot on the endpoint to the waiter.
 func (lane *lane) grant(now time.Time, waiter *waiter, state *endpoint, hitTokens int, alone bool) {
 	owner := lane.owner
-	owner.number++
+	owner.lastGrantNumber++
 	held := &grant{
 		Grant: Grant{
-			ID:       GrantID{Owner: owner.options.Self, Number: owner.number},
+			ID:       GrantID{Owner: owner.options.Self, Number: owner.lastGrantNumber},
 			Endpoint: state.fleet, Priority: lane.priority(waiter.ask.Request.PromptTokens),
 			ReservedTokens: waiter.tokens, Lease: GrantLease, Alone: alone,
 		},
 		endpoint: state, lane: lane, waiter: waiter, holder: waiter.ask.Holder, request: waiter.ask.Request,
-		tokens: waiter.tokens, long: waiter.long, member: waiter.ask.Pin != "", granted: now, renewed: now.Add(max(0, waiter.ask.Hold-GrantLease)),
+		tokens: waiter.tokens, long: waiter.long, member: waiter.ask.Pin != "", grantedAt: now, renewedAt: now.Add(max(0, waiter.ask.Hold-GrantLease)),
 	}
-	state.take(now, held, hitTokens)
+	state.addGrant(now, held, hitTokens)
 	held.waiter = nil
-	waiter.unkeep()
+	waiter.cancelReservation()
 	owner.grants[held.ID] = held
 	owner.byRequest[held.request.ID] = held
-	owner.noteRunLocked(held)
+	owner.trackRunLocked(held)
 	owner.prefixes.Expect(state.fleet.ID, held.request.Blocks)
-	waiter.answer <- outcome{grant: held.Grant}
+	waiter.outcomes <- outcome{grant: held.Grant}
 }
 
 func (lane *lane) priority(promptTokens int) dogwoodfleet.Priority {
@@ -235,26 +241,26 @@
 	}
 }
 
-// leave takes a waiter out of whichever queue it is in.
-func (lane *lane) leave(leaving *waiter) {
-	lane.queue.Remove(&leaving.Work)
-	isLeaving := func(waiter *waiter) bool { return waiter == leaving }
-	lane.suspects = slices.DeleteFunc(lane.suspects, isLeaving)
-	lane.members = slices.DeleteFunc(lane.members, isLeaving)
-	lane.arrivals = slices.DeleteFunc(lane.arrivals, isLeaving)
-	leaving.unkeep()
+// remove removes a waiter from its queue and cancels its reservation.
+func (lane *lane) remove(removed *waiter) {
+	lane.queue.Remove(&removed.Work)
+	isRemoved := func(waiter *waiter) bool { return waiter == removed }
+	lane.suspects = slices.DeleteFunc(lane.suspects, isRemoved)
+	lane.members = slices.DeleteFunc(lane.members, isRemoved)
+	lane.baselineQueue = slices.DeleteFunc(lane.baselineQueue, isRemoved)
+	removed.cancelReservation()
 }
 
-// refuseAll empties the lane's queues.
-func (lane *lane) refuseAll(refusal func(request *dogwoodfleet.Request) *Refusal) {
-	for _, waiter := range slices.Concat(lane.suspects, lane.members, lane.arrivals) {
-		waiter.refuse(refusal(&waiter.ask.Request))
+// rejectAll rejects all waiters and empties the lane's queues.
+func (lane *lane) rejectAll(refusal func(request *dogwoodfleet.Request) *Refusal) {
+	for _, waiter := range slices.Concat(lane.suspects, lane.members, lane.baselineQueue) {
+		waiter.reject(refusal(&waiter.ask.Request))
 	}
-	lane.suspects, lane.members, lane.arrivals = nil, nil, nil
+	lane.suspects, lane.members, lane.baselineQueue = nil, nil, nil
 	anything := func(*dogwoodadmission.Work) bool { return true }
 	for work := lane.queue.Next(anything); work != nil; work = lane.queue.Next(anything) {
 		lane.queue.Remove(work)
-		refused := work.Value.(*waiter)
-		refused.refuse(refusal(&refused.ask.Request))
+		waiter := work.Value.(*waiter)
+		waiter.reject(refusal(&waiter.ask.Request))
 	}
 }
--- a/core/duty/dogwoodowner/messages.go
+++ b/core/duty/dogwoodowner/messages.go
@@ -13,28 +13,28 @@
 	Number uint64
 }
 
-// String is for logs.
+// String formats the ID for logs.
 func (id GrantID) String() string {
 	return fmt.Sprintf("%s/%d", id.Owner, id.Number)
 }
 
-// Ask is an entry's wish for a slot.
+// Ask is an entry daemon's request to acquire a slot on an endpoint.
 type Ask struct {
-	// Request's Arrived and Deadline are set anew by the owner from Budget, since the
-	// clocks of two VMs differ.
+	// Request is the request to run. The owner sets its Arrived and Deadline from Budget,
+	// since the clocks of two VMs differ.
 	Request dogwoodfleet.Request
 	// Holder is the entry daemon that holds the caller's connection.
 	Holder dogwoodfleet.InstanceID
-	// Avoid lists endpoints that this request has failed on already.
+	// Avoid lists endpoints on which a try of this request has failed.
 	Avoid []dogwoodfleet.EndpointID
-	// Try counts from 1.
+	// Try is the number of the try, counted from 1.
 	Try int
 	// Budget is the time left until the deadline.
 	Budget time.Duration
-	// Pin, if set, is the only endpoint that will do: the ask is for one member of a gang.
+	// Pin, if set, is the only acceptable endpoint: the slot is for one member of a gang.
 	Pin dogwoodfleet.EndpointID
-	// Hold, if set, is how long the grant lasts until it is renewed for the first time:
-	// the lead of a gang waits for the other members meanwhile.
+	// Hold, if set, is how long the grant lasts until its first renewal, which comes only
+	// after the other members of the gang were granted.
 	Hold time.Duration
 }
 
@@ -42,22 +42,22 @@
 type Grant struct {
 	ID       GrantID
 	Endpoint dogwoodfleet.Endpoint
-	// Gang lists all engines of a gang, Endpoint first; it is empty for a single engine.
+	// Gang lists all engines of a gang, Endpoint first. It is empty for a single engine.
 	Gang []dogwoodfleet.Endpoint
-	// Members are the grants of a gang, one for each engine of Gang and in its order; each
-	// is renewed, announced and released at the owner of its own endpoint. See Parts.
+	// Members lists the grants of a gang, one for each engine of Gang and in its order. Each
+	// is renewed, announced and released at the owner of its endpoint. See Parts.
 	Members  []GrantID
 	Priority dogwoodfleet.Priority
-	// ReservedTokens is the memory kept for the request on each engine of the grant.
+	// ReservedTokens is the memory reserved for the request on each engine of the grant.
 	ReservedTokens int
 	// Lease is how long the grant lasts without being renewed.
 	Lease time.Duration
-	// Alone is true when nothing else runs on the endpoint: the request is a suspect.
+	// Alone is true for a suspect: nothing else runs on the endpoint.
 	Alone bool
 }
 
 // Parts returns the grants that the holder renews, announces and releases, each at the
-// owner of its endpoint: the members of a gang, else the grant itself.
+// owner of its endpoint: the members of a gang, or the grant itself.
 func (grant *Grant) Parts() []Grant {
 	if len(grant.Members) == 0 {
 		return []Grant{*grant}
@@ -72,22 +72,22 @@
 	return parts
 }
 
-// Release ends a grant. The owner takes it once; a second one for the same ID is ignored.
+// Release ends a grant and reports the result. A second release of the same ID is ignored.
 type Release struct {
 	ID     GrantID
 	Result dogwoodfleet.Result
-	// FirstToken is the time from the sending of the request to its first token; 0 if none came.
+	// FirstToken is the time from sending the request to its first token; 0 if there was none.
 	FirstToken time.Duration
-	// Took is the time from the sending of the request to its end.
+	// Took is the time from sending the request to its end.
 	Took                       time.Duration
 	PromptTokens, OutputTokens int
-	// Instance is the endpoint's instance as its answer told it; empty if unknown.
+	// Instance is the endpoint's instance according to its answer; empty if unknown.
 	Instance dogwoodfleet.InstanceID
-	// Cold is true when the endpoint said with its answer that it is cold.
+	// Cold is true when the endpoint's answer reported that it is cold.
 	Cold bool
 }
 
-// Held is a live grant as its holder re-announces it after a change of owner.
+// Held is a live grant that its holder announces to a new owner of the endpoint.
 type Held struct {
 	Grant        Grant
 	Holder       dogwoodfleet.InstanceID
@@ -100,32 +100,32 @@
 	Age time.Duration
 }
 
-// LoadReport is what an engine said of its load. It lags; what it runs is told to
-// Reconcile instead.
+// LoadReport is an engine's report of its state. It lags. The streams that the engine runs
+// are passed to Reconcile instead.
 type LoadReport struct {
 	// Age is how old the report is.
 	Age      time.Duration
 	Instance dogwoodfleet.InstanceID
 	Cold     bool
-	// MemoryTokens is the whole memory; 0 if it did not tell.
+	// MemoryTokens is the engine's total memory; 0 if not reported.
 	MemoryTokens int
-	// Models and Adapters are what it holds; empty if it did not tell.
+	// Models and Adapters are those that the engine has loaded; empty if not reported.
 	Models   []dogwoodfleet.Model
 	Adapters []dogwoodfleet.Adapter
 }
 
-// Orphan is a stream that no one holds any more: whoever got it from Expire or Reconcile
-// cancels it at the engine and then calls Cancelled. It is returned again until then, or
-// until the engine's list shows it gone; its memory stays reserved for as long.
+// Orphan is a stream without a live holder. The caller of Expire or Reconcile that receives
+// it cancels it at the engine and then calls Cancelled. Until then, or until the engine no
+// longer lists it, it is returned again and its memory stays reserved.
 type Orphan struct {
-	// Grant is zero for a stream that no grant explains.
+	// Grant is zero for a stream that matches no grant.
 	Grant    GrantID
 	Endpoint dogwoodfleet.Endpoint
 	Gang     []dogwoodfleet.Endpoint
 	Request  dogwoodfleet.RequestID
 }
 
-// Summary is what an owner tells the entries, so that they can choose among owners.
+// Summary is an owner's load report to the entry daemons, which choose among owners by it.
 type Summary struct {
 	Owner    dogwoodfleet.InstanceID
 	Settling bool
@@ -136,27 +136,27 @@
 type ServiceSummary struct {
 	Service   dogwoodfleet.Service
 	Endpoints int
-	// Slots is the sum of the endpoints' present limits; Running of them are taken.
+	// Slots is the sum of the endpoints' current limits; Running counts the taken ones.
 	Slots   int
 	Running int
 	Waiting int
-	// Wait is how long the short work that waits will take.
+	// Wait is the estimated time to process the waiting short work.
 	Wait time.Duration
 	// LargestTokens is the largest memory of one endpoint, in tokens; 0 if unknown.
 	LargestTokens int
 }
 
-// Refusal is the typed error of Acquire.
+// Refusal is the error that Acquire returns when it rejects the request for a slot.
 type Refusal struct {
 	Reason dogwoodfleet.Reason
-	// NotRun is true when the request certainly did not run under this ask.
+	// NotRun is true when the request is known not to have run as a result of this call.
 	NotRun bool
-	// RetryAfter is when it makes sense to ask again; 0 means that it makes none.
+	// RetryAfter is the delay after which a retry makes sense; 0 means that none does.
 	RetryAfter time.Duration
 	Detail     string
 }
 
-// Error tells the reason and the detail.
+// Error returns the reason and the detail.
 func (refusal *Refusal) Error() string {
 	return fmt.Sprintf("owner: refused: %s: %s", refusal.Reason, refusal.Detail)
 }
--- a/core/duty/dogwoodowner/owner.go
+++ b/core/duty/dogwoodowner/owner.go
@@ -1,10 +1,11 @@
-// Package dogwoodowner is the soft owner: it queues the work for the endpoints that this
-// daemon owns, grants their slots and memory, and learns from what comes back. One place
-// sees all the work of an endpoint, so nothing is sent past another's back. It uses no
-// network; daemons reach each other's owners through net/rpc, which the daemon adds.
+// Package dogwoodowner queues the requests for the endpoints that this daemon owns, grants
+// the endpoints' slots and memory, and updates its estimates from the results. All requests
+// to an endpoint pass through its owner, so that their sum is known. The owner's state is
+// lost with the daemon, and the next owner rebuilds it from reports and announcements.
+// The package uses no network; the daemon exposes its owner to other daemons through net/rpc.
 //
-// The decisions are those of the packages under core/decision. The owner holds the state
-// that they work on under one lock and wakes whom they chose.
+// The decisions are made by the packages under core/decision. The owner holds their state
+// under one lock and wakes the requests that they choose.
 package dogwoodowner
 
 import (
@@ -25,51 +26,56 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("owner")
 
-// PolicyBaseline names the policy to compare with: first come, first served, a random
-// endpoint, and only the static warm limit.
+// PolicyBaseline names the policy that serves as a baseline for comparisons: first come,
+// first served, a random endpoint, and the static warm limit only.
 const PolicyBaseline = "Baseline"
 
 const (
-	// GrantLease is how long a grant lasts without renewal: three missed heartbeats of a second.
+	// GrantLease is how long a grant lasts without renewal: three missed heartbeats, which
+	// are sent once a second.
 	GrantLease = 3 * time.Second
-	// SettleTimeout is how long a new owner of an endpoint grants the cold limit only: the
-	// heartbeat timeout, after which every entry has announced what it holds.
+	// SettleTimeout is how long a new owner of an endpoint grants no more than the cold limit
+	// unless the engine and an entry daemon report earlier. It is the heartbeat timeout, by which
+	// every entry daemon has announced the grants that it holds.
 	SettleTimeout = 3 * time.Second
-	// settleQuiet is how long it grants nothing unless it heard from the endpoint or an
-	// entry before: the owner before may have granted the cold limit a moment ago.
-	settleQuiet = 500 * time.Millisecond
+	// noGrantsTimeout is how long a new owner grants nothing unless the engine's list of streams
+	// arrives earlier: the previous owner may just have granted the whole cold limit.
+	noGrantsTimeout = 500 * time.Millisecond
 )
 
-// SuspectPeers reaches the other owners about suspects. The daemon implements it.
+// SuspectPeers exchanges information about suspects with the other owners. The daemon
+// implements it.
 type SuspectPeers interface {
-	// Trial asks the digest's home, found by dogwoodsuspect.Home; it may be this owner.
+	// Trial requests or returns a permit at the digest's home, the owner that
+	// dogwoodsuspect.Home returns. That may be this owner.
 	Trial(ctx context.Context, trial dogwoodsuspect.Trial) (dogwoodsuspect.TrialAnswer, error)
-	// Spread tells all other owners and returns when they know or the context ends.
+	// Spread sends the notices to all other owners and returns when they have confirmed them
+	// or the context ends.
 	Spread(ctx context.Context, notices []dogwoodsuspect.Notice)
 }
 
-// GangPeers reaches the engines of other owners for gangs. The daemon implements it.
+// GangPeers acquires and releases engines of any owner for gangs. The daemon implements it.
 type GangPeers interface {
-	// Engines lists the engines that a gang may be made of, this owner's among them. All
-	// have a known memory.
+	// Engines lists the engines that a gang may include, those of this owner among them.
+	// The memory of each is known.
 	Engines(service dogwoodfleet.Service, model dogwoodfleet.Model) []GangEngine
-	// Acquire asks the owner of the endpoint, which ask.Pin names.
+	// Acquire acquires a slot at the owner of the endpoint, which ask.Pin names.
 	Acquire(ctx context.Context, endpoint dogwoodfleet.Endpoint, ask Ask) (Grant, error)
-	// Release releases there.
+	// Release ends a grant at the owner of the endpoint.
 	Release(ctx context.Context, endpoint dogwoodfleet.Endpoint, release Release)
 }
 
-// Options are what an owner is made from.
+// Options configures an owner.
 type Options struct {
 	Text   *dogwoodsettings.Text
 	Policy string
 	Place  dogwoodfleet.Place
 	Self   dogwoodfleet.InstanceID
-	// Suspects may be nil: the owner is alone then.
+	// Suspects may be nil if there is no other owner.
 	Suspects SuspectPeers
-	// Gangs may be nil: prompts that exceed one engine are refused then.
+	// Gangs may be nil: prompts that exceed one engine are rejected then.
 	Gangs GangPeers
-	// Seed makes the random choices repeatable in tests; 0 draws one.
+	// Seed makes the random choices repeatable in tests; 0 selects a random seed.
 	Seed uint64
 }
 
@@ -78,22 +84,22 @@
 type Owner struct {
 	options Options
 
-	mutex     sync.Mutex
-	text      *dogwoodsettings.Text
-	weights   map[dogwoodfleet.Customer]float64
-	endpoints map[dogwoodfleet.EndpointID]*endpoint
-	order     []*endpoint
-	lanes     map[laneKey]*lane
-	laneOrder []*lane
-	grants    map[GrantID]*grant
-	byRequest map[dogwoodfleet.RequestID]*grant
-	unproven  map[dogwoodfleet.Digest]unprovenRun
-	number    uint64
-	suspects  *dogwoodsuspect.Ledger
-	prefixes  *dogwoodprefix.Index
-	random    *rand.Rand
-	timer     *time.Timer
-	wakeAt    time.Time
+	mutex           sync.Mutex
+	text            *dogwoodsettings.Text
+	weights         map[dogwoodfleet.Customer]float64
+	endpoints       map[dogwoodfleet.EndpointID]*endpoint
+	endpointList    []*endpoint
+	lanes           map[laneKey]*lane
+	laneList        []*lane
+	grants          map[GrantID]*grant
+	byRequest       map[dogwoodfleet.RequestID]*grant
+	unprovenRuns    map[dogwoodfleet.Digest]unprovenRun
+	lastGrantNumber uint64
+	suspects        *dogwoodsuspect.Ledger
+	prefixes        *dogwoodprefix.Index
+	random          *rand.Rand
+	timer           *time.Timer
+	wakeAt          time.Time
 }
 
 // New returns an owner without endpoints.
@@ -103,15 +109,15 @@
 		seed = rand.Uint64()
 	}
 	owner := &Owner{
-		options:   options,
-		endpoints: map[dogwoodfleet.EndpointID]*endpoint{},
-		lanes:     map[laneKey]*lane{},
-		grants:    map[GrantID]*grant{},
-		byRequest: map[dogwoodfleet.RequestID]*grant{},
-		unproven:  map[dogwoodfleet.Digest]unprovenRun{},
-		suspects:  dogwoodsuspect.NewLedger(),
-		prefixes:  dogwoodprefix.NewIndex(),
-		random:    rand.New(rand.NewPCG(seed, seed)),
+		options:      options,
+		endpoints:    map[dogwoodfleet.EndpointID]*endpoint{},
+		lanes:        map[laneKey]*lane{},
+		grants:       map[GrantID]*grant{},
+		byRequest:    map[dogwoodfleet.RequestID]*grant{},
+		unprovenRuns: map[dogwoodfleet.Digest]unprovenRun{},
+		suspects:     dogwoodsuspect.NewLedger(),
+		prefixes:     dogwoodprefix.NewIndex(),
+		random:       rand.New(rand.NewPCG(seed, seed)),
 	}
 	owner.setTextLocked(options.Text)
 	return owner
@@ -136,16 +142,16 @@
 	return owner.weights[customer]
 }
 
-// SetEndpoints states which endpoints this owner owns from now on, and the text in force.
-// The grants of endpoints that went to another owner are dropped; their holders announce
-// them there.
+// SetEndpoints sets the endpoints that this owner owns from now on, and the text in force.
+// The grants of endpoints that moved to another owner are dropped; their holders announce
+// them to that owner.
 func (owner *Owner) SetEndpoints(endpoints []dogwoodfleet.Endpoint, text *dogwoodsettings.Text) {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	now := time.Now()
 	owner.setTextLocked(text)
 	owned := make(map[dogwoodfleet.EndpointID]*endpoint, len(endpoints))
-	owner.order = owner.order[:0]
+	owner.endpointList = owner.endpointList[:0]
 	for _, fleet := range endpoints {
 		state := owner.endpoints[fleet.ID]
 		service, known := owner.text.Service(fleet.Service)
@@ -154,42 +160,43 @@
 		}
 		if state == nil {
 			state = newEndpoint(service, now)
-			owner.wakeLocked(state.quietUntil)
-			owner.wakeLocked(state.settlingUntil)
+			owner.scheduleWakeLocked(state.noGrantsUntil)
+			owner.scheduleWakeLocked(state.settlingUntil)
 		}
 		state.update(fleet, service)
 		owned[fleet.ID] = state
-		owner.order = append(owner.order, state)
+		owner.endpointList = append(owner.endpointList, state)
 	}
 	for id, state := range owner.endpoints {
 		if owned[id] == nil {
-			owner.disownLocked(state)
+			owner.dropEndpointLocked(state)
 		}
 	}
 	owner.endpoints = owned
-	owner.arrangeLanesLocked()
-	owner.pumpAllLocked(now)
+	owner.assignLanesLocked()
+	owner.grantWaitingLocked(now)
 }
 
-// disownLocked drops what is known of an endpoint that has another owner now.
-func (owner *Owner) disownLocked(state *endpoint) {
-	for id, held := range owner.grants {
-		if held.endpoint == state {
+// dropEndpointLocked drops the grants and prefixes of an endpoint that moved to another owner.
+func (owner *Owner) dropEndpointLocked(state *endpoint) {
+	for id, grant := range owner.grants {
+		if grant.endpoint == state {
 			delete(owner.grants, id)
-			owner.forgetRunLocked(held)
+			owner.untrackRunLocked(grant)
 		}
 	}
 	owner.prefixes.Forget(state.fleet.ID)
 }
 
-// arrangeLanesLocked gives each lane its endpoints. What waits in a lane without endpoints
-// in force asks again if another lane will do, as when engines have told their models; else
-// it is refused, so that the entries can ask elsewhere at once.
-func (owner *Owner) arrangeLanesLocked() {
-	for _, lane := range owner.laneOrder {
+// assignLanesLocked assigns the endpoints to their lanes. Requests that wait in a lane
+// without endpoints in force are queued anew if another lane can serve them, as after engines
+// reported their models. Otherwise they are rejected, so that the entry daemons can
+// try another owner at once.
+func (owner *Owner) assignLanesLocked() {
+	for _, lane := range owner.laneList {
 		lane.endpoints = lane.endpoints[:0]
 	}
-	for _, state := range owner.order {
+	for _, state := range owner.endpointList {
 		models := state.fleet.Models
 		if len(models) == 0 {
 			owner.laneLocked(laneKey{service: state.fleet.Service}).add(state)
@@ -198,11 +205,11 @@
 			owner.laneLocked(laneKey{service: state.fleet.Service, model: model}).add(state)
 		}
 	}
-	for _, lane := range owner.laneOrder {
-		if lane.inForce() == 0 {
-			lane.refuseAll(func(request *dogwoodfleet.Request) *Refusal {
-				if other := owner.findLaneLocked(request); other != nil && other.inForce() > 0 {
-					return askAgain
+	for _, lane := range owner.laneList {
+		if lane.inForceCount() == 0 {
+			lane.rejectAll(func(request *dogwoodfleet.Request) *Refusal {
+				if substitute := owner.findLaneLocked(request); substitute != nil && substitute.inForceCount() > 0 {
+					return acquireAgain
 				}
 				return refusalNoEndpoint()
 			})
@@ -215,35 +222,37 @@
 	if found == nil {
 		found = newLane(owner, key)
 		owner.lanes[key] = found
-		owner.laneOrder = append(owner.laneOrder, found)
+		owner.laneList = append(owner.laneList, found)
 	}
 	return found
 }
 
-// findLaneLocked returns the lane for a request: that of its model, else that of the
-// service's endpoints that tell no models.
+// findLaneLocked returns the lane of the request's model if it has an endpoint in force, else
+// the lane of the service's endpoints whose models aren't known, or nil.
 func (owner *Owner) findLaneLocked(request *dogwoodfleet.Request) *lane {
 	found := owner.lanes[laneKey{service: request.Service, model: request.Model}]
-	if found != nil && found.inForce() > 0 {
+	if found != nil && found.inForceCount() > 0 {
 		return found
 	}
 	return owner.lanes[laneKey{service: request.Service}]
 }
 
-func (owner *Owner) pumpAllLocked(now time.Time) {
-	if len(owner.laneOrder) == 0 {
+// grantWaitingLocked grants what can be granted in all lanes.
+func (owner *Owner) grantWaitingLocked(now time.Time) {
+	if len(owner.laneList) == 0 {
 		return
 	}
-	// Lanes that share endpoints take turns at being first.
-	start := owner.random.IntN(len(owner.laneOrder))
-	for i := range owner.laneOrder {
-		owner.laneOrder[(start+i)%len(owner.laneOrder)].pump(now)
+	// A random start gives lanes that share endpoints equal chances to be first.
+	start := owner.random.IntN(len(owner.laneList))
+	for i := range owner.laneList {
+		owner.laneList[(start+i)%len(owner.laneList)].grantWaiting(now)
 	}
 }
 
-// wakeLocked makes sure that the queues are looked at when the time comes, for what only
-// the passing of time changes: the end of settling, a failed endpoint's next chance.
-func (owner *Owner) wakeLocked(at time.Time) {
+// scheduleWakeLocked schedules a pass over the queues at the given time. It is needed for
+// changes that no call reports: the end of settling, or of the time for which a failed endpoint
+// is blocked.
+func (owner *Owner) scheduleWakeLocked(at time.Time) {
 	now := time.Now()
 	if !at.After(now) || owner.wakeAt.After(now) && !at.Before(owner.wakeAt) {
 		return
@@ -256,20 +265,21 @@
 	owner.timer.Reset(at.Sub(now))
 }
 
+// wake grants what can be granted and schedules the next pass.
 func (owner *Owner) wake() {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	now := time.Now()
-	owner.pumpAllLocked(now)
+	owner.grantWaitingLocked(now)
 	owner.wakeAt = time.Time{}
-	for _, state := range owner.order {
-		for _, at := range []time.Time{state.quietUntil, state.settlingUntil, state.limiter.Opens()} {
-			owner.wakeLocked(at)
+	for _, state := range owner.endpointList {
+		for _, at := range []time.Time{state.noGrantsUntil, state.settlingUntil, state.limiter.Opens()} {
+			owner.scheduleWakeLocked(at)
 		}
 	}
 }
 
-// Report takes an engine's lagging report.
+// Report applies an engine's load report.
 func (owner *Owner) Report(id dogwoodfleet.EndpointID, report LoadReport) {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
@@ -278,19 +288,19 @@
 		return
 	}
 	now := time.Now()
-	renewed := state.fleet.Instance != "" && report.Instance != "" && state.fleet.Instance != report.Instance
+	restarted := state.fleet.Instance != "" && report.Instance != "" && state.fleet.Instance != report.Instance
 	if state.report(now, report) {
-		owner.arrangeLanesLocked()
+		owner.assignLanesLocked()
 	}
-	if renewed {
+	if restarted {
 		owner.prefixes.Forget(id)
 	}
-	owner.pumpAllLocked(now)
+	owner.grantWaitingLocked(now)
 }
 
-// ToldCold takes an endpoint's word, given with the beginning of an answer, that it is
-// cold. The limit falls at once: by the end of that answer, or by the next report, it
-// would have been given more than it bears.
+// ToldCold records that an endpoint reported, at the beginning of an answer, that it is cold.
+// The limit is cut at once, since the endpoint would otherwise be sent more than it can handle
+// until the end of that answer or the next report.
 func (owner *Owner) ToldCold(id dogwoodfleet.EndpointID, instance dogwoodfleet.InstanceID) {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
@@ -299,9 +309,9 @@
 	}
 }
 
-// Reconcile compares the books of an engine's memory with its own list, and returns the
-// streams to cancel there. What the engine runs and no grant explains counts against its
-// limit; a lapsed grant that it no longer lists gives its memory back.
+// Reconcile compares the owner's account of an engine's memory with the engine's list of
+// streams, and returns the streams to cancel there. Streams that match no grant count against
+// the engine's limit; the memory of an expired grant whose stream is no longer listed is freed.
 func (owner *Owner) Reconcile(id dogwoodfleet.EndpointID, report dogwoodmemory.Report) (orphans []Orphan) {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
@@ -310,37 +320,38 @@
 		return nil
 	}
 	now := time.Now()
-	for _, orphan := range state.memory.Reconcile(report, now) {
-		found := Orphan{Endpoint: state.fleet, Request: orphan.Request}
-		if held := owner.byRequest[orphan.Request]; held != nil && held.endpoint == state {
-			found.Grant = held.ID
+	for _, unclaimed := range state.memory.Reconcile(report, now) {
+		orphan := Orphan{Endpoint: state.fleet, Request: unclaimed.Request}
+		if grant := owner.byRequest[unclaimed.Request]; grant != nil && grant.endpoint == state {
+			orphan.Grant = grant.ID
 		}
-		orphans = append(orphans, found)
+		orphans = append(orphans, orphan)
 	}
 	state.reconciled = now
-	state.foreign = 0
+	state.unknownStreams = 0
 	listed := make(map[dogwoodfleet.RequestID]bool, len(report.Listed))
 	for _, entry := range report.Listed {
 		listed[entry.Request] = true
 		unknown := owner.byRequest[entry.Request] == nil && !state.endedAfter(entry.Request, report.Asked)
 		if unknown && !entry.Reserved {
-			state.foreign++
+			state.unknownStreams++
 		}
 	}
-	for grantID, held := range owner.grants {
-		if held.endpoint == state && held.expired && report.Asked.After(held.expiredAt) && !listed[held.request.ID] {
-			owner.dropLocked(grantID, held, false)
+	for grantID, grant := range owner.grants {
+		if grant.endpoint == state && grant.expired && report.Asked.After(grant.expiredAt) && !listed[grant.request.ID] {
+			owner.removeGrantLocked(grantID, grant, false)
 		}
 	}
 	if report.Asked.After(state.settlingUntil.Add(-SettleTimeout)) {
-		state.heardEngine = true
-		state.heard(now)
+		state.engineReported = true
+		state.shortenSettling(now)
 	}
-	owner.pumpAllLocked(now)
+	owner.grantWaitingLocked(now)
 	return orphans
 }
 
-// CacheEvents takes an engine's cache events, late and with gaps as they come.
+// CacheEvents applies an engine's cache events. They may be late, and gap reports that some
+// are missing.
 func (owner *Owner) CacheEvents(id dogwoodfleet.EndpointID, instance dogwoodfleet.InstanceID, events []dogwoodprefix.Event, gap bool) {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
@@ -349,21 +360,21 @@
 	}
 }
 
-// Summary tells the owner's work by service.
+// Summary returns the owner's load by service.
 func (owner *Owner) Summary() Summary {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	now := time.Now()
 	summary := Summary{Owner: owner.options.Self}
 	index := map[dogwoodfleet.Service]int{}
-	for _, state := range owner.order {
-		at, ok := index[state.fleet.Service]
+	for _, state := range owner.endpointList {
+		i, ok := index[state.fleet.Service]
 		if !ok {
-			at = len(summary.Services)
-			index[state.fleet.Service] = at
+			i = len(summary.Services)
+			index[state.fleet.Service] = i
 			summary.Services = append(summary.Services, ServiceSummary{Service: state.fleet.Service})
 		}
-		service := &summary.Services[at]
+		service := &summary.Services[i]
 		summary.Settling = summary.Settling || now.Before(state.settlingUntil)
 		if !state.fleet.InForce {
 			continue
@@ -375,10 +386,10 @@
 		service.Running += state.running
 		service.LargestTokens = max(service.LargestTokens, state.usableTokens())
 	}
-	for _, lane := range owner.laneOrder {
-		if at, ok := index[lane.key.service]; ok {
-			summary.Services[at].Waiting += lane.waiting()
-			summary.Services[at].Wait = max(summary.Services[at].Wait, lane.queue.Backlog(lane.capacity(now)))
+	for _, lane := range owner.laneList {
+		if i, ok := index[lane.key.service]; ok {
+			summary.Services[i].Waiting += lane.waitingCount()
+			summary.Services[i].Wait = max(summary.Services[i].Wait, lane.queue.Backlog(lane.capacity(now)))
 		}
 	}
 	return summary
--- a/core/duty/dogwoodowner/owner_test.go
+++ b/core/duty/dogwoodowner/owner_test.go
@@ -15,20 +15,20 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-func textOf(cold, warm int) *dogwoodsettings.Text {
+func testText(cold, warm int) *dogwoodsettings.Text {
 	return &dogwoodsettings.Text{Services: []dogwoodsettings.Service{{
 		Name: pool, Kind: dogwoodfleet.EnginePool, ColdLimit: cold, WarmLimit: warm,
 	}}}
 }
 
-func oneEngine() []dogwoodfleet.Endpoint {
+func testEngines() []dogwoodfleet.Endpoint {
 	return []dogwoodfleet.Endpoint{{
 		ID: "engine-0", Service: pool, Kind: dogwoodfleet.EnginePool, Place: place, InForce: true, MemoryTokens: 100_000,
 		Models: []dogwoodfleet.Model{model},
 	}}
 }
 
-func askOf(number int, budget time.Duration) dogwoodowner.Ask {
+func testRequest(number int, budget time.Duration) dogwoodowner.Ask {
 	return dogwoodowner.Ask{
 		Request: dogwoodfleet.Request{
 			ID: dogwoodfleet.RequestID(fmt.Sprintf("ask-%d", number)), Customer: "one", Service: pool, Model: model,
@@ -38,14 +38,14 @@
 	}
 }
 
-// grants asks count times at once and returns what was granted within the budget.
-func grants(owner *dogwoodowner.Owner, count int, budget time.Duration) []dogwoodowner.Grant {
+// acquireAll sends count requests at once and returns what was granted within the budget.
+func acquireAll(owner *dogwoodowner.Owner, count int, budget time.Duration) []dogwoodowner.Grant {
 	var group sync.WaitGroup
 	var mutex sync.Mutex
 	var granted []dogwoodowner.Grant
 	for i := range count {
 		group.Go(func() {
-			grant, err := owner.Acquire(context.Background(), askOf(i, budget))
+			grant, err := owner.Acquire(context.Background(), testRequest(i, budget))
 			if err == nil {
 				mutex.Lock()
 				defer mutex.Unlock()
@@ -57,43 +57,44 @@
 	return granted
 }
 
-// A daemon dies and another becomes the owner of an engine that runs two streams and is
-// cold. If the new owner gave the cold limit at once, the engine would have twice what it
-// bears and fall over. It hears from the engine first, and counts what runs there.
+// Guards against a new owner overloading a cold engine. A daemon dies while the engine runs as
+// many streams as its cold limit. If the next owner granted the cold limit at once, the engine
+// would get twice as much and crash. It must wait for the engine's list and count its streams.
 func TestNewOwnerSettles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owner := dogwoodowner.New(dogwoodowner.Options{Self: "new", Seed: 1})
-		owner.SetEndpoints(oneEngine(), textOf(2, 16))
-		if got, want := len(grants(owner, 4, 100*time.Millisecond)), 0; got != want {
-			t.Errorf("granted before it heard from anyone: got %d, want %d", got, want)
+		owner.SetEndpoints(testEngines(), testText(2, 16))
+		if got, want := len(acquireAll(owner, 4, 100*time.Millisecond)), 0; got != want {
+			t.Errorf("granted before any report arrived: got %d, want %d", got, want)
 		}
 		owner.Reconcile("engine-0", dogwoodmemory.Report{
 			Asked: time.Now(), Instance: "i", MemoryTokens: 100_000,
 			Listed: []dogwoodmemory.Listed{{Request: "old-1", Tokens: 1000}, {Request: "old-2", Tokens: 1000}},
 		})
-		if got, want := len(grants(owner, 4, 100*time.Millisecond)), 0; got != want {
+		if got, want := len(acquireAll(owner, 4, 100*time.Millisecond)), 0; got != want {
 			t.Errorf("granted while the engine runs its cold limit: got %d, want %d", got, want)
 		}
 		held := dogwoodowner.Held{
-			Grant:  dogwoodowner.Grant{ID: dogwoodowner.GrantID{Owner: "old", Number: 1}, Endpoint: oneEngine()[0], ReservedTokens: 1000},
+			Grant:  dogwoodowner.Grant{ID: dogwoodowner.GrantID{Owner: "old", Number: 1}, Endpoint: testEngines()[0], ReservedTokens: 1000},
 			Holder: "entry", Request: "old-1", PromptTokens: 900, MaxTokens: 100,
 		}
 		owner.Announce([]dogwoodowner.Held{held})
 		owner.Release(dogwoodowner.Release{ID: held.Grant.ID, Result: dogwoodfleet.ResultDone, FirstToken: time.Millisecond, Took: time.Second})
-		if got, want := len(grants(owner, 4, 100*time.Millisecond)), 1; got != want {
+		if got, want := len(acquireAll(owner, 4, 100*time.Millisecond)), 1; got != want {
 			t.Errorf("granted after one of the old streams ended: got %d, want %d", got, want)
 		}
 	})
 }
 
-// An entry dies while its stream runs. Its grant lapses; until the engine is seen without
-// the stream its slot and memory stay taken, and then both come back.
-func TestDeadHolderLosesNoMemoryForGood(t *testing.T) {
+// Guards against leaked and overbooked memory when an entry daemon dies while its stream runs. The
+// grant expires, but its slot and memory must stay taken until the engine no longer lists the
+// stream, and must be free then.
+func TestMemoryOfDeadHolderIsReclaimed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owner := dogwoodowner.New(dogwoodowner.Options{Self: "owner", Seed: 1})
-		owner.SetEndpoints(oneEngine(), textOf(1, 1))
+		owner.SetEndpoints(testEngines(), testText(1, 1))
 		time.Sleep(time.Second)
-		grant := grants(owner, 1, time.Second)[0]
+		grant := acquireAll(owner, 1, time.Second)[0]
 		listed := []dogwoodmemory.Listed{{Request: "ask-0", Tokens: 1100}}
 		var orphans []dogwoodowner.Orphan
 		for range 20 {
@@ -103,19 +104,20 @@
 		if len(orphans) == 0 || orphans[0].Request != "ask-0" || orphans[0].Grant != grant.ID {
 			t.Fatalf("got orphans %v, want the stream ask-0", orphans)
 		}
-		if got, want := len(grants(owner, 1, 500*time.Millisecond)), 0; got != want {
+		if got, want := len(acquireAll(owner, 1, 500*time.Millisecond)), 0; got != want {
 			t.Errorf("granted while the engine still runs the orphan: got %d, want %d", got, want)
 		}
 		owner.Reconcile("engine-0", dogwoodmemory.Report{Asked: time.Now(), Instance: "i"})
-		if got, want := len(grants(owner, 1, time.Second)), 1; got != want {
-			t.Errorf("granted after the engine let go: got %d, want %d", got, want)
+		if got, want := len(acquireAll(owner, 1, time.Second)), 1; got != want {
+			t.Errorf("granted after the engine dropped the orphan: got %d, want %d", got, want)
 		}
 	})
 }
 
-// Four prompts, each of which needs three of four engines, come at the same moment at two
-// owners. If each held some engines while it waited for the others none would ever run.
-func TestGangsNeverWaitForEachOther(t *testing.T) {
+// Guards against a deadlock between gangs. Four prompts that need three of four engines each
+// arrive at two owners at the same moment. If each held some engines while it waited for others,
+// none would ever run.
+func TestGangsDoNotDeadlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		site := newSite(ctx, "", defaultSettings(), 4, 2, nil)
@@ -142,23 +144,22 @@
 			t.Errorf("grants after the end: got %d, want 0", got)
 		}
 		cancel()
-		site.duties.Wait()
+		site.background.Wait()
 	})
 }
 
-// A caller leaves while its request waits, and one leaves in the moment of its grant. No
-// slot may stay taken by either.
-func TestWithdrawnAskKeepsNoSlot(t *testing.T) {
+// Guards against a leaked slot when a caller leaves while its request waits.
+func TestWithdrawnRequestReleasesItsSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owner := dogwoodowner.New(dogwoodowner.Options{Self: "owner", Seed: 1})
-		owner.SetEndpoints(oneEngine(), textOf(1, 1))
+		owner.SetEndpoints(testEngines(), testText(1, 1))
 		time.Sleep(time.Second)
-		first := grants(owner, 1, time.Second)[0]
+		first := acquireAll(owner, 1, time.Second)[0]
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		var group sync.WaitGroup
 		group.Go(func() {
-			_, err := owner.Acquire(ctx, askOf(7, time.Minute))
+			_, err := owner.Acquire(ctx, testRequest(7, time.Minute))
 			done <- err
 		})
 		synctest.Wait()
@@ -169,13 +170,13 @@
 		}
 		group.Wait()
 		owner.Release(dogwoodowner.Release{ID: first.ID, Result: dogwoodfleet.ResultDone, Took: time.Second, FirstToken: time.Millisecond})
-		if got, want := len(grants(owner, 1, time.Second)), 1; got != want {
+		if got, want := len(acquireAll(owner, 1, time.Second)), 1; got != want {
 			t.Errorf("granted afterwards: got %d, want %d", got, want)
 		}
 	})
 }
 
-// TestOverloadGoodput compares what callers get in time at capacity and at twice that.
+// TestOverloadGoodput compares the goodput at twice the capacity with that at capacity.
 func TestOverloadGoodput(t *testing.T) {
 	capacity, overload := readTrace(t, "capacity"), readTrace(t, "overload")
 	atCapacity, atTwice := replay(t, capacity, ""), replay(t, overload, "")
--- a/core/duty/dogwoodowner/release.go
+++ b/core/duty/dogwoodowner/release.go
@@ -10,80 +10,81 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// grant is a live grant, or an expired one whose stream may still run.
+// grant is a live grant, or an expired one whose stream may still be running.
 type grant struct {
 	Grant
-	endpoint  *endpoint
-	lane      *lane
-	waiter    *waiter // only while it is being granted
-	holder    dogwoodfleet.InstanceID
-	request   dogwoodfleet.Request
-	tokens    int
-	long      bool
-	ahead     int  // prompt tokens that the endpoint had to read first
-	member    bool // one of a gang: it read its share of the prompt only
-	takenOver bool // another owner gave it, so what was ahead of it is unknown
-	backfill  *reservation
-	granted   time.Time
-	renewed   time.Time
-	expired   bool
-	expiredAt time.Time
+	endpoint    *endpoint
+	lane        *lane
+	waiter      *waiter // set only while the grant is being made
+	holder      dogwoodfleet.InstanceID
+	request     dogwoodfleet.Request
+	tokens      int
+	long        bool
+	aheadTokens int  // prompt tokens that the endpoint has to prefill first
+	member      bool // part of a gang: its engine prefills only a share of the prompt
+	takenOver   bool // made by another owner, so aheadTokens is unknown
+	backfilled  *reservation
+	grantedAt   time.Time
+	renewedAt   time.Time
+	expired     bool
+	expiredAt   time.Time
 }
 
-// Release ends a grant and learns how the request went. When the endpoint died it returns
-// only after the other owners know of the strike or had time to, so that the entry tells
-// its caller no sooner: a caller that sends again at once is then known everywhere.
+// Release ends a grant and records the result. If the endpoint died, it returns only after the
+// other owners have received the strike or a timeout has passed. The entry daemon reports
+// the failure to its caller after that, so that a request sent again at once is a known suspect
+// everywhere.
 func (owner *Owner) Release(release Release) {
-	after := owner.release(release)
-	if after != nil {
-		owner.tellPeers(context.Background(), *after)
+	update := owner.release(release)
+	if update != nil {
+		owner.notifyPeers(context.Background(), *update)
 	}
 }
 
-func (owner *Owner) release(release Release) *aftermath {
+func (owner *Owner) release(release Release) *peerUpdate {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
-	held := owner.grants[release.ID]
-	if held == nil {
+	grant := owner.grants[release.ID]
+	if grant == nil {
 		return nil
 	}
 	now := time.Now()
 	cut := release.Result == dogwoodfleet.ResultCancelled || release.Result == dogwoodfleet.ResultTimedOut
-	owner.dropLocked(release.ID, held, cut)
-	var after *aftermath
+	owner.removeGrantLocked(release.ID, grant, cut)
+	var update *peerUpdate
 	if !owner.baseline() {
-		owner.learnLocked(now, held, release)
-		after = owner.judgeLocked(now, held, release)
+		owner.observeLocked(now, grant, release)
+		update = owner.judgeReleaseLocked(now, grant, release)
 	}
-	owner.pumpAllLocked(now)
-	owner.wakeLocked(held.endpoint.limiter.Opens())
-	return after
+	owner.grantWaitingLocked(now)
+	owner.scheduleWakeLocked(grant.endpoint.limiter.Opens())
+	return update
 }
 
-// dropLocked takes the grant off the books. What was cut off may still run for a moment.
-func (owner *Owner) dropLocked(id GrantID, held *grant, cut bool) {
+// removeGrantLocked removes the grant. If its stream was cut off it may still run for a moment.
+func (owner *Owner) removeGrantLocked(id GrantID, grant *grant, cut bool) {
 	delete(owner.grants, id)
-	held.endpoint.give(time.Now(), held, cut)
-	owner.forgetRunLocked(held)
+	grant.endpoint.removeGrant(time.Now(), grant, cut)
+	owner.untrackRunLocked(grant)
 }
 
-// learnLocked teaches the rates and the endpoint's limiter.
-func (owner *Owner) learnLocked(now time.Time, held *grant, release Release) {
+// observeLocked updates the lane's rates and the endpoint's limiter by the result.
+func (owner *Owner) observeLocked(now time.Time, grant *grant, release Release) {
 	prompt := release.PromptTokens
-	if prompt == 0 || held.member {
-		prompt = held.request.PromptTokens
+	if prompt == 0 || grant.member {
+		prompt = grant.request.PromptTokens
 	}
-	if release.Result == dogwoodfleet.ResultDone && held.lane != nil {
-		held.lane.rates.Observe(dogwoodadmission.Sample{
-			PromptTokens: prompt, OutputTokens: release.OutputTokens, MaxTokens: held.maxTokens(),
+	if release.Result == dogwoodfleet.ResultDone && grant.lane != nil {
+		grant.lane.rates.Observe(dogwoodadmission.Sample{
+			PromptTokens: prompt, OutputTokens: release.OutputTokens, MaxTokens: grant.maxTokens(),
 			FirstToken: release.FirstToken, Took: release.Took,
 		})
 	}
-	state := held.endpoint
-	if held.member {
-		// The instance, the word cold and the times were told of the gang, whose first engine
-		// runs it, and not of this one. Taken for its own they would cut the limit of engines
-		// that are well. A death is only told of the engine that died.
+	state := grant.endpoint
+	if grant.member {
+		// The instance, the cold flag and the times are those of the gang, whose first engine
+		// runs it, and not of this member's engine. Applied here they would cut the limits of
+		// healthy engines. Only a death is reported for the very engine that died.
 		if release.Result != dogwoodfleet.ResultDied {
 			return
 		}
@@ -95,49 +96,49 @@
 		}
 		state.fleet.Instance = release.Instance
 	}
-	if held.takenOver && release.Result == dogwoodfleet.ResultDone {
+	if grant.takenOver && release.Result == dogwoodfleet.ResultDone {
 		return
 	}
 	state.limiter.Observe(now, dogwoodlimit.Answer{
-		PromptTokens: prompt, OutputTokens: release.OutputTokens, Ahead: held.ahead,
+		PromptTokens: prompt, OutputTokens: release.OutputTokens, Ahead: grant.aheadTokens,
 		FirstToken: release.FirstToken, Took: release.Took, Result: release.Result,
-		Instance: release.Instance, Cold: release.Cold, Sent: held.granted,
+		Instance: release.Instance, Cold: release.Cold, Sent: grant.grantedAt,
 	})
 	if release.Result == dogwoodfleet.ResultDied {
 		owner.prefixes.Forget(state.fleet.ID)
 	}
 }
 
-// maxTokens is the longest answer the request may have; a gang's members share its memory,
-// but each sees the whole answer.
-func (held *grant) maxTokens() int {
-	if held.member {
+// maxTokens returns the longest answer that the request may have, or 0 for a member of a gang:
+// the members share the answer's memory, but each release reports the whole answer.
+func (grant *grant) maxTokens() int {
+	if grant.member {
 		return 0
 	}
-	return held.request.MaxTokens
+	return grant.request.MaxTokens
 }
 
-// Renew keeps a holder's grants for another lease. It returns those that this owner does
-// not know: their endpoint has another owner now, or they lapsed. The holder announces a
-// lost grant to the endpoint's present owner; it need not end the stream.
+// Renew extends a holder's grants by another lease. It returns those that this owner doesn't
+// have: their endpoint moved to another owner, or they expired. The holder announces a lost
+// grant to the endpoint's current owner; it need not end the stream.
 func (owner *Owner) Renew(holder dogwoodfleet.InstanceID, grants []GrantID) (lost []GrantID) {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	now := time.Now()
 	for _, id := range grants {
-		held := owner.grants[id]
-		if held == nil || held.holder != holder || held.expired {
+		grant := owner.grants[id]
+		if grant == nil || grant.holder != holder || grant.expired {
 			lost = append(lost, id)
 			continue
 		}
-		held.renewed = now
-		held.endpoint.memory.Renew(held.request.ID, now.Add(GrantLease))
+		grant.renewedAt = now
+		grant.endpoint.memory.Renew(grant.request.ID, now.Add(GrantLease))
 	}
 	return lost
 }
 
-// Announce takes over live grants that another owner gave, after a change of owner. It
-// also takes back those that it let expire too soon.
+// Announce takes over live grants that another owner made before the endpoint moved here. It
+// also restores grants of this owner that expired although their holders are alive.
 func (owner *Owner) Announce(held []Held) {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
@@ -145,20 +146,21 @@
 	for i := range held {
 		owner.takeOverLocked(now, &held[i])
 	}
-	for _, state := range owner.order {
+	for _, state := range owner.endpointList {
 		if now.Before(state.settlingUntil) {
-			state.heardEntries = state.heardEntries || len(held) > 0
+			state.entriesReported = state.entriesReported || len(held) > 0
 		}
 	}
 }
 
+// takeOverLocked adds or restores an announced grant.
 func (owner *Owner) takeOverLocked(now time.Time, held *Held) {
 	state := owner.endpoints[held.Grant.Endpoint.ID]
 	if state == nil {
 		return
 	}
 	if known := owner.grants[held.Grant.ID]; known != nil {
-		known.renewed, known.expired = now, false
+		known.renewedAt, known.expired = now, false
 		state.memory.Renew(held.Request, now.Add(GrantLease))
 		return
 	}
@@ -169,48 +171,48 @@
 	taken := &grant{
 		Grant: held.Grant, endpoint: state, holder: held.Holder, request: request,
 		tokens: held.Grant.ReservedTokens, long: dogwoodadmission.ClassOf(held.PromptTokens).Long(),
-		granted: now.Add(-held.Age), renewed: now, takenOver: true,
+		grantedAt: now.Add(-held.Age), renewedAt: now, takenOver: true,
 	}
-	state.take(now, taken, held.PromptTokens)
+	state.addGrant(now, taken, held.PromptTokens)
 	owner.grants[held.Grant.ID] = taken
 	owner.byRequest[held.Request] = taken
-	owner.noteRunLocked(taken)
-	if state.foreign > 0 {
-		state.foreign-- // the engine's list told of it before its holder did
+	owner.trackRunLocked(taken)
+	if state.unknownStreams > 0 {
+		state.unknownStreams-- // the engine's list included it before its holder announced it
 	}
 }
 
-// Expire marks the grants whose holder stopped renewing them and returns their streams,
-// again at each call until Cancelled or the engine's list says that they are gone. Their
-// slot and memory stay taken until then: an engine that still runs them would be given
-// more than it holds. A holder that comes back within the grace takes its grant up again
-// by announcing it. It is to be called about once a second.
+// Expire marks the grants whose holders stopped renewing them and, after a grace period,
+// returns their streams. It returns them at each call until Cancelled is called or the engine
+// no longer lists them. Their slots and memory stay taken until then; an engine that still
+// runs them would otherwise be overfilled. A holder that returns within the grace period
+// restores its grant by announcing it. Expire must be called about once a second.
 func (owner *Owner) Expire(now time.Time) (orphans []Orphan) {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
-	for id, held := range owner.grants {
-		if !held.expired && now.Sub(held.renewed) > GrantLease {
-			held.expired, held.expiredAt = true, now
+	for id, grant := range owner.grants {
+		if !grant.expired && now.Sub(grant.renewedAt) > GrantLease {
+			grant.expired, grant.expiredAt = true, now
 		}
-		if held.expired && now.Sub(held.expiredAt) >= dogwoodmemory.LapseGrace {
-			orphans = append(orphans, Orphan{Grant: id, Endpoint: held.Endpoint, Gang: held.Gang, Request: held.request.ID})
+		if grant.expired && now.Sub(grant.expiredAt) >= dogwoodmemory.LapseGrace {
+			orphans = append(orphans, Orphan{Grant: id, Endpoint: grant.Endpoint, Gang: grant.Gang, Request: grant.request.ID})
 		}
 	}
-	for _, lane := range owner.laneOrder {
+	for _, lane := range owner.laneList {
 		lane.queue.Forget()
 	}
-	owner.pumpAllLocked(now)
+	owner.grantWaitingLocked(now)
 	return orphans
 }
 
-// Cancelled gives back the memory of an orphan that the engine confirmed to be cancelled.
+// Cancelled frees the slot and memory of an orphan whose cancellation the engine confirmed.
 func (owner *Owner) Cancelled(id GrantID) {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
-	held := owner.grants[id]
-	if held == nil || !held.expired {
+	grant := owner.grants[id]
+	if grant == nil || !grant.expired {
 		return
 	}
-	owner.dropLocked(id, held, true)
-	owner.pumpAllLocked(time.Now())
+	owner.removeGrantLocked(id, grant, true)
+	owner.grantWaitingLocked(time.Now())
 }
--- a/core/duty/dogwoodowner/site_test.go
+++ b/core/duty/dogwoodowner/site_test.go
@@ -24,18 +24,18 @@
 
 var place = dogwoodfleet.Place{Region: "kyushu", DataCentre: "fukuoka-a"}
 
-// site is a few owners before a few fake engines, without any network.
+// site connects owners and fake engines without a network.
 type site struct {
-	settings  engineSettings
-	engines   []*engine
-	owners    []*dogwoodowner.Owner
-	instances []dogwoodfleet.InstanceID
-	text      *dogwoodsettings.Text
-	budget    *dogwoodretry.Budget
-	random    *rand.Rand
-	duties    sync.WaitGroup
-	mutex     sync.Mutex
-	tries     int
+	settings   engineSettings
+	engines    []*engine
+	owners     []*dogwoodowner.Owner
+	instances  []dogwoodfleet.InstanceID
+	text       *dogwoodsettings.Text
+	budget     *dogwoodretry.Budget
+	random     *rand.Rand
+	background sync.WaitGroup
+	mutex      sync.Mutex
+	tries      int
 }
 
 func defaultSettings() engineSettings {
@@ -45,8 +45,8 @@
 	}
 }
 
-// newSite starts a site whose engines are split evenly over the owners. It ends with the
-// context; site.duties waits for that.
+// newSite starts a site whose engines are split evenly among the owners. Its goroutines end with
+// the context; site.background waits for them.
 func newSite(ctx context.Context, policy string, settings engineSettings, engines, owners int, customers []dogwoodsettings.Customer) *site {
 	site := &site{settings: settings, budget: dogwoodretry.NewBudget(), random: rand.New(rand.NewPCG(1, 2))}
 	site.text = &dogwoodsettings.Text{
@@ -69,12 +69,12 @@
 		owner.SetEndpoints(site.endpointsOf(i), site.text)
 	}
 	for _, engine := range site.engines {
-		engine.tell = func(id dogwoodfleet.EndpointID, instance dogwoodfleet.InstanceID) {
+		engine.reportCold = func(id dogwoodfleet.EndpointID, instance dogwoodfleet.InstanceID) {
 			site.ownerOf(id).ToldCold(id, instance)
 		}
 	}
 	for i := range site.owners {
-		site.duties.Go(func() { site.watch(ctx, i) })
+		site.background.Go(func() { site.runOwnerTasks(ctx, i) })
 	}
 	return site
 }
@@ -109,11 +109,11 @@
 	return site.owners[index%len(site.owners)]
 }
 
-// reportLag is how old a report is when it comes.
+// reportLag is the age of a report on arrival.
 const reportLag = 250 * time.Millisecond
 
-// watch carries lagging reports to an owner and expires grants.
-func (site *site) watch(ctx context.Context, index int) {
+// runOwnerTasks passes lagging reports to an owner and expires its grants.
+func (site *site) runOwnerTasks(ctx context.Context, index int) {
 	owner := site.owners[index]
 	ticker := time.NewTicker(500 * time.Millisecond)
 	defer ticker.Stop()
@@ -141,6 +141,7 @@
 	}
 }
 
+// load returns the engine's load report, or false if the engine is down.
 func (engine *engine) load() (dogwoodowner.LoadReport, bool) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -153,7 +154,7 @@
 	}, true
 }
 
-// list is the engine's answer to what it runs.
+// list returns the engine's list of its streams.
 func (engine *engine) list() dogwoodmemory.Report {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -164,21 +165,22 @@
 	return report
 }
 
-// peers joins the owners of a site.
+// peers connects an owner to the other owners of its site.
 type peers struct {
 	site *site
 	self int
 }
 
-const peerDelay = time.Millisecond
+// peerLatency is how long a call between owners takes.
+const peerLatency = time.Millisecond
 
 func (peers *peers) Trial(_ context.Context, trial dogwoodsuspect.Trial) (dogwoodsuspect.TrialAnswer, error) {
-	time.Sleep(peerDelay)
+	time.Sleep(peerLatency)
 	return peers.site.owners[dogwoodsuspect.Home(trial.Digest, peers.site.instances)].Judge(trial), nil
 }
 
 func (peers *peers) Spread(_ context.Context, notices []dogwoodsuspect.Notice) {
-	time.Sleep(peerDelay)
+	time.Sleep(peerLatency)
 	for i, owner := range peers.site.owners {
 		if i != peers.self {
 			owner.Learn(notices)
@@ -202,7 +204,7 @@
 	peers.site.ownerOf(endpoint.ID).Release(release)
 }
 
-// call is one caller's request.
+// call is a request as its caller sends it.
 type call struct {
 	Customer dogwoodfleet.Customer
 	Prompt   int
@@ -212,30 +214,31 @@
 	Blocks   []uint64
 }
 
-// received is what the caller got.
-type received struct {
+// callResult is the result of a call as its caller sees it.
+type callResult struct {
 	call
 	state      dogwoodfleet.RunState
 	reason     dogwoodfleet.Reason
 	answered   bool
-	firstToken time.Duration // from the caller's sending
+	firstToken time.Duration // since the caller sent the call
 	took       time.Duration
 	tries      int
 }
 
-func (received *received) late() bool {
-	return received.took > received.Deadline+time.Millisecond
+func (callResult *callResult) late() bool {
+	return callResult.took > callResult.Deadline+time.Millisecond
 }
 
-// send carries a call as an entry does: ask the owner, run, release, retry.
-func (site *site) send(ctx context.Context, owner int, sent call) received {
+// send handles a call as an entry daemon does: it acquires a grant, runs the request, releases
+// the grant, and tries again if the retry budget allows it.
+func (site *site) send(ctx context.Context, owner int, sent call) callResult {
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, sent.Deadline)
 	defer cancel()
 	site.mutex.Lock()
 	site.budget.First(started, sent.Customer, pool)
 	site.mutex.Unlock()
-	got := received{call: sent, state: dogwoodfleet.NotRun}
+	got := callResult{call: sent, state: dogwoodfleet.NotRun}
 	var avoid []dogwoodfleet.EndpointID
 	for try := 1; ; try++ {
 		got.tries = try
@@ -265,7 +268,8 @@
 	}
 }
 
-func (site *site) try(ctx context.Context, owner int, got *received, started time.Time, try int, avoid []dogwoodfleet.EndpointID) (dogwoodfleet.EndpointID, error) {
+// try handles one try of a call. It returns the endpoint that the try was sent to.
+func (site *site) try(ctx context.Context, owner int, got *callResult, started time.Time, try int, avoid []dogwoodfleet.EndpointID) (dogwoodfleet.EndpointID, error) {
 	site.mutex.Lock()
 	site.tries++
 	id := dogwoodfleet.RequestID(fmt.Sprintf("request-%d", site.tries))
@@ -282,22 +286,22 @@
 	}
 	sent := time.Now()
 	stop := site.renew(ctx, grant)
-	ran := site.runOn(ctx, grant, request, got.Output)
+	run := site.runOn(ctx, grant, request, got.Output)
 	stop()
 	for i, part := range grant.Parts() {
-		result := ran.result
+		result := run.result
 		if i > 0 && result == dogwoodfleet.ResultDied {
 			result = dogwoodfleet.ResultCancelled
 		}
 		site.ownerOf(part.Endpoint.ID).Release(dogwoodowner.Release{
-			ID: part.ID, Result: result, FirstToken: ran.firstToken, Took: ran.took,
-			PromptTokens: got.Prompt, OutputTokens: got.Output, Instance: ran.instance, Cold: ran.cold,
+			ID: part.ID, Result: result, FirstToken: run.firstToken, Took: run.took,
+			PromptTokens: got.Prompt, OutputTokens: got.Output, Instance: run.instance, Cold: run.cold,
 		})
 	}
-	switch ran.result {
+	switch run.result {
 	case dogwoodfleet.ResultDone:
 		got.answered, got.state = true, dogwoodfleet.WasRun
-		got.firstToken = sent.Sub(started) + ran.firstToken
+		got.firstToken = sent.Sub(started) + run.firstToken
 	case dogwoodfleet.ResultRefused:
 		got.reason = dogwoodfleet.ReasonNoEndpoint
 	case dogwoodfleet.ResultDied:
@@ -310,10 +314,10 @@
 	return grant.Endpoint.ID, nil
 }
 
-// runOn runs the request on the grant's engine, or its share on each engine of the gang.
-func (site *site) runOn(ctx context.Context, grant dogwoodowner.Grant, request dogwoodfleet.Request, output int) ran {
+// runOn runs the request on the grant's engine, or a share of it on each engine of the gang.
+func (site *site) runOn(ctx context.Context, grant dogwoodowner.Grant, request dogwoodfleet.Request, output int) runResult {
 	parts := grant.Parts()
-	results := make([]ran, len(parts))
+	results := make([]runResult, len(parts))
 	var group sync.WaitGroup
 	for i, part := range parts {
 		group.Go(func() {
@@ -321,17 +325,17 @@
 		})
 	}
 	group.Wait()
-	worst := results[0]
+	combined := results[0]
 	for _, result := range results {
 		if result.result != dogwoodfleet.ResultDone {
 			return result
 		}
-		worst.firstToken, worst.took = max(worst.firstToken, result.firstToken), max(worst.took, result.took)
+		combined.firstToken, combined.took = max(combined.firstToken, result.firstToken), max(combined.took, result.took)
 	}
-	return worst
+	return combined
 }
 
-// renew keeps the grant alive until stopped.
+// renew renews the grant until stop is called.
 func (site *site) renew(ctx context.Context, grant dogwoodowner.Grant) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var group sync.WaitGroup
@@ -350,7 +354,7 @@
 	return func() { cancel(); group.Wait() }
 }
 
-// running is what all owners count as running.
+// running returns the number of grants that the owners count as running.
 func (site *site) running() int {
 	sum := 0
 	for _, owner := range site.owners {
--- a/core/duty/dogwoodowner/suspect.go
+++ b/core/duty/dogwoodowner/suspect.go
@@ -10,140 +10,142 @@
 )
 
 const (
-	// spreadTimeout bounds how long a failure is held back from its caller while the other
-	// owners are told: some hundred round trips within a region.
-	spreadTimeout = 300 * time.Millisecond
-	// trialRetry is when a home that can't be reached is asked again.
-	trialRetry = 200 * time.Millisecond
+	// notifyTimeout bounds how long a failure is withheld from its caller while the other owners
+	// are notified: about a hundred round trips within a region.
+	notifyTimeout = 300 * time.Millisecond
+	// permitRetryInterval is the delay before another request to a home that can't be reached.
+	permitRetryInterval = 200 * time.Millisecond
 )
 
-// unprovenRun counts the live grants of a digest that never finished yet.
+// unprovenRun counts the live grants of a digest that hasn't finished once yet.
 type unprovenRun struct {
 	endpoint *endpoint
 	count    int
 }
 
-// aftermath is what the other owners are told once the lock is free.
-type aftermath struct {
-	notices []dogwoodsuspect.Notice
-	ended   *dogwoodsuspect.Trial
+// peerUpdate is what the other owners are notified of once the lock is released.
+type peerUpdate struct {
+	notices        []dogwoodsuspect.Notice
+	returnedPermit *dogwoodsuspect.Trial
 }
 
-// noteRunLocked remembers where an unproven digest runs.
-func (owner *Owner) noteRunLocked(held *grant) {
-	digest := held.request.Digest
+// trackRunLocked records on which endpoint an unproven digest runs.
+func (owner *Owner) trackRunLocked(grant *grant) {
+	digest := grant.request.Digest
 	if digest == (dogwoodfleet.Digest{}) || owner.baseline() || owner.suspects.Proven(digest) {
 		return
 	}
-	run := owner.unproven[digest]
-	owner.unproven[digest] = unprovenRun{endpoint: held.endpoint, count: run.count + 1}
+	run := owner.unprovenRuns[digest]
+	owner.unprovenRuns[digest] = unprovenRun{endpoint: grant.endpoint, count: run.count + 1}
 }
 
-func (owner *Owner) forgetRunLocked(held *grant) {
-	if owner.byRequest[held.request.ID] == held {
-		delete(owner.byRequest, held.request.ID)
+// untrackRunLocked removes a grant from the records of its request and its digest.
+func (owner *Owner) untrackRunLocked(grant *grant) {
+	if owner.byRequest[grant.request.ID] == grant {
+		delete(owner.byRequest, grant.request.ID)
 	}
-	run, ok := owner.unproven[held.request.Digest]
+	run, ok := owner.unprovenRuns[grant.request.Digest]
 	if !ok {
 		return
 	}
 	run.count--
 	if run.count <= 0 {
-		delete(owner.unproven, held.request.Digest)
+		delete(owner.unprovenRuns, grant.request.Digest)
 		return
 	}
-	owner.unproven[held.request.Digest] = run
+	owner.unprovenRuns[grant.request.Digest] = run
 }
 
-// onlyEndpointLocked returns the endpoint that an equal request runs on which never
-// finished yet: copies of it go there and nowhere else. A request that kills endpoints,
-// sent several times at the same moment, kills that one and not one for each copy.
-func (owner *Owner) onlyEndpointLocked(waiter *waiter) *endpoint {
+// requiredEndpointLocked returns the endpoint on which an identical request runs that hasn't
+// finished once yet, or nil. Copies are granted only that endpoint: a crashing request that is
+// sent several times at the same moment then takes down one endpoint and not one for each copy.
+func (owner *Owner) requiredEndpointLocked(waiter *waiter) *endpoint {
 	if waiter.ask.Pin != "" {
 		return nil
 	}
-	run, ok := owner.unproven[waiter.ask.Request.Digest]
+	run, ok := owner.unprovenRuns[waiter.ask.Request.Digest]
 	if !ok || owner.suspects.Proven(waiter.ask.Request.Digest) || !run.endpoint.fleet.InForce {
 		return nil
 	}
 	return run.endpoint
 }
 
-// judgeLocked takes the release's news of suspects and returns what the peers must know.
-func (owner *Owner) judgeLocked(now time.Time, held *grant, release Release) *aftermath {
-	if held.request.Digest == (dogwoodfleet.Digest{}) {
+// judgeReleaseLocked records what a release shows about suspects and returns the update for
+// the peers, or nil.
+func (owner *Owner) judgeReleaseLocked(now time.Time, grant *grant, release Release) *peerUpdate {
+	if grant.request.Digest == (dogwoodfleet.Digest{}) {
 		return nil
 	}
-	run := dogwoodsuspect.Run{Digest: held.request.Digest, Request: held.request.ID, Alone: held.Alone}
+	run := dogwoodsuspect.Run{Digest: grant.request.Digest, Request: grant.request.ID, Alone: grant.Alone}
 	var notices []dogwoodsuspect.Notice
 	switch release.Result {
 	case dogwoodfleet.ResultDied:
-		notices = owner.suspects.Died(now, held.endpoint.fleet.ID, []dogwoodsuspect.Run{run})
-		owner.recheckLocked(now, held.request.Digest)
+		notices = owner.suspects.Died(now, grant.endpoint.fleet.ID, []dogwoodsuspect.Run{run})
+		owner.evictSuspectsLocked(now, grant.request.Digest)
 	case dogwoodfleet.ResultDone:
 		notices = owner.suspects.Finished(now, run)
 	case dogwoodfleet.ResultCancelled, dogwoodfleet.ResultRefused, dogwoodfleet.ResultTimedOut, dogwoodfleet.ResultFailed:
 	}
-	after := &aftermath{notices: notices}
-	if held.Alone {
-		after.ended = &dogwoodsuspect.Trial{Digest: run.Digest, Request: run.Request, Ended: true}
+	update := &peerUpdate{notices: notices}
+	if grant.Alone {
+		update.returnedPermit = &dogwoodsuspect.Trial{Digest: run.Digest, Request: run.Request, Ended: true}
 	}
-	if len(notices) == 0 && after.ended == nil {
+	if len(notices) == 0 && update.returnedPermit == nil {
 		return nil
 	}
-	return after
+	return update
 }
 
-// recheckLocked takes copies of a digest that just earned a strike out of the queues:
-// they asked when it was clear. Their calls ask again, as suspects.
-func (owner *Owner) recheckLocked(now time.Time, digest dogwoodfleet.Digest) {
+// evictSuspectsLocked removes the copies of a digest that just got a strike from the queues,
+// which they entered while the digest was clear. Their calls are queued anew as suspects, or
+// rejected if the digest is convicted.
+func (owner *Owner) evictSuspectsLocked(now time.Time, digest dogwoodfleet.Digest) {
 	standing, until := owner.suspects.Standing(now, digest)
 	if standing == dogwoodsuspect.Clear {
 		return
 	}
-	for _, lane := range owner.laneOrder {
+	for _, lane := range owner.laneList {
 		for _, work := range lane.queue.All() {
-			copied := work.Value.(*waiter)
-			if copied.ask.Request.Digest != digest {
+			waiter := work.Value.(*waiter)
+			if waiter.ask.Request.Digest != digest {
 				continue
 			}
 			lane.queue.Remove(work)
 			if standing == dogwoodsuspect.Convicted {
-				copied.refuse(refusalSuspect(now, until))
+				waiter.reject(refusalSuspect(now, until))
 				continue
 			}
-			copied.refuse(askAgain)
+			waiter.reject(acquireAgain)
 		}
 	}
 }
 
-// askAgain tells a waiting call that its request became a suspect, or that other endpoints
-// serve it, meanwhile. It doesn't
-// leave the package: Acquire asks again.
-var askAgain = &Refusal{Reason: dogwoodfleet.ReasonSuspect, NotRun: true, Detail: "what serves it changed while it waited"}
+// acquireAgain makes a waiting Acquire call start over: its request became a suspect, or other
+// endpoints serve it now. Acquire never returns it.
+var acquireAgain = &Refusal{Reason: dogwoodfleet.ReasonSuspect, NotRun: true, Detail: "its endpoints or its standing changed while it waited"}
 
-// tellPeers spreads the news. What can't be told in time is told by the next strike, and
-// by Notices to daemons that start.
-func (owner *Owner) tellPeers(ctx context.Context, after aftermath) {
+// notifyPeers sends the update. Notices that don't arrive in time are covered by the next
+// strike, and a daemon that starts gets them from Notices.
+func (owner *Owner) notifyPeers(ctx context.Context, update peerUpdate) {
 	peers := owner.options.Suspects
 	if peers == nil {
-		if after.ended != nil {
-			owner.Judge(*after.ended)
+		if update.returnedPermit != nil {
+			owner.Judge(*update.returnedPermit)
 		}
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), spreadTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), notifyTimeout)
 	defer cancel()
-	if len(after.notices) > 0 {
-		peers.Spread(ctx, after.notices)
+	if len(update.notices) > 0 {
+		peers.Spread(ctx, update.notices)
 	}
-	if after.ended != nil {
-		_, _ = peers.Trial(ctx, *after.ended) // an end that isn't heard lapses with its lease
+	if update.returnedPermit != nil {
+		_, _ = peers.Trial(ctx, *update.returnedPermit) // a permit whose return is lost expires with its lease
 	}
 }
 
-// awaitTrial waits until the digest's home lets this run of a suspect go.
-func (owner *Owner) awaitTrial(ctx context.Context, waiter *waiter) *Refusal {
+// awaitPermit waits until the digest's home grants the permit to run the suspect.
+func (owner *Owner) awaitPermit(ctx context.Context, waiter *waiter) *Refusal {
 	request := &waiter.ask.Request
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -155,13 +157,13 @@
 		}
 		now := time.Now()
 		if !now.Before(request.Deadline) {
-			return refusalLate()
+			return refusalDeadline()
 		}
 		trial := dogwoodsuspect.Trial{Digest: request.Digest, Request: request.ID, Lease: request.Deadline.Sub(now) + GrantLease}
-		answer, err := owner.askTrial(ctx, trial)
+		answer, err := owner.requestPermit(ctx, trial)
 		switch {
 		case err != nil:
-			timer.Reset(trialRetry)
+			timer.Reset(permitRetryInterval)
 		case answer.Standing == dogwoodsuspect.Convicted:
 			return refusalSuspect(now, now.Add(dogwoodsuspect.ConvictionKept))
 		case answer.Allowed:
@@ -172,7 +174,8 @@
 	}
 }
 
-func (owner *Owner) askTrial(ctx context.Context, trial dogwoodsuspect.Trial) (dogwoodsuspect.TrialAnswer, error) {
+// requestPermit requests a permit from the digest's home.
+func (owner *Owner) requestPermit(ctx context.Context, trial dogwoodsuspect.Trial) (dogwoodsuspect.TrialAnswer, error) {
 	if owner.options.Suspects == nil {
 		return owner.Judge(trial), nil
 	}
@@ -180,114 +183,116 @@
 	return answer, Error.Wrap(err)
 }
 
-// endTrial gives back the leave of a suspect that was not run after all.
-func (owner *Owner) endTrial(ctx context.Context, waiter *waiter) {
+// returnPermit returns the permit of a suspect that didn't run.
+func (owner *Owner) returnPermit(ctx context.Context, waiter *waiter) {
 	if !waiter.suspect {
 		return
 	}
 	request := &waiter.ask.Request
-	owner.tellPeers(ctx, aftermath{ended: &dogwoodsuspect.Trial{Digest: request.Digest, Request: request.ID, Ended: true}})
+	owner.notifyPeers(ctx, peerUpdate{returnedPermit: &dogwoodsuspect.Trial{Digest: request.Digest, Request: request.ID, Ended: true}})
 }
 
-// Judge answers a trial as the digest's home.
+// Judge decides, as the digest's home, on a request for a permit or its return.
 func (owner *Owner) Judge(trial dogwoodsuspect.Trial) dogwoodsuspect.TrialAnswer {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	return owner.suspects.Judge(time.Now(), trial)
 }
 
-// Learn takes other owners' notices.
+// Learn applies the notices of other owners.
 func (owner *Owner) Learn(notices []dogwoodsuspect.Notice) {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	now := time.Now()
 	owner.suspects.Learn(now, notices)
 	for i := range notices {
-		owner.recheckLocked(now, notices[i].Digest)
+		owner.evictSuspectsLocked(now, notices[i].Digest)
 	}
 }
 
-// Notices returns all that a daemon that just started needs to know of suspects.
+// Notices returns the notices on all current suspects, for a daemon that just started.
 func (owner *Owner) Notices() []dogwoodsuspect.Notice {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	return owner.suspects.Notices(time.Now())
 }
 
-// Convictions lists the digests that are refused now.
+// Convictions lists the digests whose requests are rejected now.
 func (owner *Owner) Convictions() []dogwoodsuspect.Convict {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	return owner.suspects.Convictions(time.Now())
 }
 
-// LiftConviction clears a digest by an operator's word here and at all other owners.
+// LiftConviction clears a digest on an operator's request, here and at all other owners.
 func (owner *Owner) LiftConviction(ctx context.Context, digest dogwoodfleet.Digest) {
 	owner.mutex.Lock()
 	notices := owner.suspects.Lift(time.Now(), digest)
 	owner.mutex.Unlock()
-	owner.tellPeers(ctx, aftermath{notices: notices})
+	owner.notifyPeers(ctx, peerUpdate{notices: notices})
 }
 
-// maxAlone bounds how many of a lane's endpoints suspects take at once: one of four, so
-// that a rack's worth of innocent suspects leaves the rest to ordinary work.
-const maxAlone = 4
+// suspectEndpointsDivisor limits suspects to one of this many of a lane's endpoints at once, but
+// at least one endpoint. The harmless suspects of a whole failed rack then leave the rest to
+// ordinary work.
+const suspectEndpointsDivisor = 4
 
-// pumpSuspects gives waiting suspects empty endpoints, and begins to clear one for the
-// next if none is empty.
-func (lane *lane) pumpSuspects(now time.Time) {
+// grantSuspects grants empty endpoints to waiting suspects, and reserves one for the next
+// suspect if none is empty.
+func (lane *lane) grantSuspects(now time.Time) {
 	for len(lane.suspects) > 0 {
-		next := lane.suspects[0]
-		state := lane.emptyEndpoint(now, next)
+		suspect := lane.suspects[0]
+		state := lane.emptyEndpoint(now, suspect)
 		if state == nil {
 			return
 		}
 		lane.suspects = slices.Delete(lane.suspects, 0, 1)
-		lane.grant(now, next, state, 0, true)
+		lane.grant(now, suspect, state, 0, true)
 	}
 }
 
-// emptyEndpoint returns an endpoint on which nothing runs, or nil. If there is none it
-// begins to clear the one that will be empty soonest: without long prompts, then with few.
-func (lane *lane) emptyEndpoint(now time.Time, next *waiter) *endpoint {
-	if lane.takenBySuspects(next) >= max(1, lane.inForce()/maxAlone) {
+// emptyEndpoint returns an endpoint on which nothing runs, or nil. If there is none it reserves
+// the one that will probably be empty soonest: with the fewest long prompts, then with the
+// fewest grants.
+func (lane *lane) emptyEndpoint(now time.Time, suspect *waiter) *endpoint {
+	if lane.suspectEndpointCount(suspect) >= max(1, lane.inForceCount()/suspectEndpointsDivisor) {
 		return nil
 	}
 	var clearing *endpoint
 	for _, state := range lane.endpoints {
-		if !state.fitsAlone(now, next) {
+		if !state.fitsSuspect(now, suspect) {
 			continue
 		}
-		if state.running+state.foreign == 0 {
+		if state.running+state.unknownStreams == 0 {
 			return state
 		}
-		if clearing == nil || state.long < clearing.long || state.long == clearing.long && state.running < clearing.running {
+		if clearing == nil || state.runningLong < clearing.runningLong || state.runningLong == clearing.runningLong && state.running < clearing.running {
 			clearing = state
 		}
 	}
-	if next.keeps == nil && clearing != nil {
-		clearing.kept = &reservation{waiter: next, tokens: next.tokens}
-		next.keeps = clearing
+	if suspect.reserved == nil && clearing != nil {
+		clearing.reservation = &reservation{waiter: suspect, tokens: suspect.tokens}
+		suspect.reserved = clearing
 	}
 	return nil
 }
 
-// takenBySuspects counts the endpoints that suspects run on or that are cleared for
-// others than the next.
-func (lane *lane) takenBySuspects(next *waiter) int {
+// suspectEndpointCount counts the endpoints on which suspects run or that are reserved for
+// suspects other than the given one.
+func (lane *lane) suspectEndpointCount(suspect *waiter) int {
 	taken := 0
 	for _, state := range lane.endpoints {
-		cleared := state.kept != nil && state.kept.waiter.suspect && state.kept.waiter != next
-		if state.alone || cleared {
+		reserved := state.reservation != nil && state.reservation.waiter.suspect && state.reservation.waiter != suspect
+		if state.alone || reserved {
 			taken++
 		}
 	}
 	return taken
 }
 
-// fitsAlone tells whether the endpoint will do for a suspect once it is empty.
-func (endpoint *endpoint) fitsAlone(now time.Time, next *waiter) bool {
-	unkept := endpoint.kept == nil || endpoint.kept.waiter == next
-	roomy := endpoint.fleet.MemoryTokens == 0 || next.tokens <= endpoint.fleet.MemoryTokens
-	return endpoint.ready(now) && unkept && roomy && next.accepts(endpoint)
+// fitsSuspect reports whether the endpoint can run the suspect once it is empty.
+func (endpoint *endpoint) fitsSuspect(now time.Time, suspect *waiter) bool {
+	unreserved := endpoint.reservation == nil || endpoint.reservation.waiter == suspect
+	largeEnough := endpoint.fleet.MemoryTokens == 0 || suspect.tokens <= endpoint.fleet.MemoryTokens
+	return endpoint.ready(now) && unreserved && largeEnough && suspect.accepts(endpoint)
 }
--- a/core/duty/dogwoodowner/suspect_test.go
+++ b/core/duty/dogwoodowner/suspect_test.go
@@ -10,7 +10,7 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// poisonSite is three owners before six warm engines that all die of one digest.
+// poisonSite returns a site of three owners and six warm engines that crash on one digest.
 func poisonSite(ctx context.Context, poison dogwoodfleet.Digest) *site {
 	site := newSite(ctx, "", defaultSettings(), 6, 3, nil)
 	for _, engine := range site.engines {
@@ -21,14 +21,14 @@
 	return site
 }
 
-// warm ends the engine's cold time.
+// warm makes the engine warm.
 func (engine *engine) warm() {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	engine.coldUntil = time.Time{}
 }
 
-// poisonWith makes the engine die of the digest.
+// poisonWith makes the engine crash on requests with the digest.
 func (engine *engine) poisonWith(poison dogwoodfleet.Digest) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -43,9 +43,10 @@
 	return sum
 }
 
-// A caller's request crashes each engine that runs it. As soon as it fails the caller
-// sends it again through three entries at the same moment, for a minute, while others
-// keep sending. Without the suspects' trial each copy would take down one engine more.
+// Guards against a crashing request taking down the fleet. After its first failure the caller
+// sends it again through three entry daemons at the same moment, once a second for twenty seconds,
+// while others keep sending. If suspects could run without a permit, each copy would take down
+// another engine.
 func TestPoisonResentThroughManyEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -53,7 +54,7 @@
 		site := poisonSite(ctx, poison)
 		var group sync.WaitGroup
 		var mutex sync.Mutex
-		refused, innocentLost := 0, 0
+		refused, harmlessLost := 0, 0
 		group.Go(func() {
 			site.send(ctx, 0, call{Customer: "bad", Prompt: 900, Output: 50, Deadline: 20 * time.Second, Digest: poison})
 		})
@@ -64,8 +65,8 @@
 				mutex.Lock()
 				defer mutex.Unlock()
 				if !got.answered {
-					t.Logf("innocent %d: %s %s after %v, %d tries", i, got.state, got.reason, got.took, got.tries)
-					innocentLost++
+					t.Logf("harmless %d: %s %s after %v, %d tries", i, got.state, got.reason, got.took, got.tries)
+					harmlessLost++
 				}
 			})
 		}
@@ -87,21 +88,21 @@
 		if got, want := site.crashes(), 2; got > want {
 			t.Errorf("engines killed: got %d, want at most %d", got, want)
 		}
-		if innocentLost != 0 {
-			t.Errorf("innocent requests not answered: got %d, want 0", innocentLost)
+		if harmlessLost != 0 {
+			t.Errorf("harmless requests not answered: got %d, want 0", harmlessLost)
 		}
 		if refused == 0 {
 			t.Error("got no refusal as a suspect, want some")
 		}
 		cancel()
-		site.duties.Wait()
+		site.background.Wait()
 	})
 }
 
-// Eight requests share an engine with one that crashes it. All nine fail together and
-// their callers send again. Only the guilty one must stay refused; the other eight are
-// answered, each having run alone once.
-func TestBatchMatesOfPoisonGetThrough(t *testing.T) {
+// Guards against rejecting harmless requests. Eight requests share an engine with one that
+// crashes it. All nine fail together and are tried again. Only the crashing one may stay
+// rejected; the other eight must be answered.
+func TestHarmlessRequestsOfCrashedBatchAreAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		poison := digestOf(999_999)
@@ -130,6 +131,6 @@
 			t.Errorf("engines killed: got %d, want at most %d", got, want)
 		}
 		cancel()
-		site.duties.Wait()
+		site.background.Wait()
 	})
 }
--- a/core/duty/dogwoodowner/toolarge_test.go
+++ b/core/duty/dogwoodowner/toolarge_test.go
@@ -7,9 +7,9 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// A caller sends a review that no engines together can hold. Told only that it is too
-// large, it would try smaller and smaller ones.
-func TestTooLargeTellsWhatFits(t *testing.T) {
+// Guards against a refusal without the maximum size. A caller that sends a prompt that no gang
+// can hold would otherwise send smaller and smaller ones to find out what fits.
+func TestTooLargeReportsMaxTokens(t *testing.T) {
 	engine := func(memory int, inForce bool) GangEngine {
 		return GangEngine{Endpoint: dogwoodfleet.Endpoint{MemoryTokens: memory, InForce: inForce}}
 	}
@@ -24,7 +24,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			got := refusalTooLarge(1_000_000, mostTokens(test.engines))
+			got := refusalTooLarge(1_000_000, maxRequestTokens(test.engines))
 			if !strings.Contains(got.Detail, test.want) || !got.NotRun {
 				t.Errorf("got %+v, want not run and %q", got, test.want)
 			}
--- a/core/duty/dogwoodowner/trace_test.go
+++ b/core/duty/dogwoodowner/trace_test.go
@@ -20,23 +20,24 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-var record = flag.Bool("record", false, "write the traces of testdata/traces anew from their seeds")
+var record = flag.Bool("record", false, "regenerate the traces of testdata/traces from their seeds")
 
-// trace is a recorded load with the outcomes that it must have.
+// trace is a recorded load with the outcome that it must have.
 type trace struct {
-	// About tells the load pattern and what goes wrong without the decisions.
+	// About describes the load pattern and what fails without the decisions.
 	About   string
 	Seed    uint64
 	Engines int
 	Engine  engineSettings
-	// Faults happen to engines at their time.
+	// Faults are injected into engines at their times.
 	Faults []fault `json:",omitempty"`
-	// Weights by customer; 1 if not given.
+	// Weights holds the customers' weights; 1 if missing.
 	Weights  map[dogwoodfleet.Customer]float64 `json:",omitempty"`
-	Outcome  stated
+	Outcome  expectations
 	Arrivals []arrival
 }
 
+// fault is an event that makes an engine fail or slow down.
 type fault struct {
 	At     dogwoodsettings.Duration
 	Engine int // -1 for all
@@ -45,32 +46,33 @@
 	Factor float64                  `json:",omitempty"`
 }
 
-// stated bounds what callers receive; zero values aren't checked, but for MaxLate and
-// MaxCrashes, which are always.
-type stated struct {
+// expectations bounds what callers receive. Zero values aren't checked, except for MaxLate and
+// MaxCrashes.
+type expectations struct {
 	MinInTime      float64                                            `json:",omitempty"` // share of all sent
 	MinInTimeOf    map[dogwoodfleet.Customer]float64                  `json:",omitempty"`
 	MinLongInTime  float64                                            `json:",omitempty"` // share of the prompts over 64,000 tokens
 	ShortFirstP99  dogwoodsettings.Duration                           `json:",omitzero"`
-	BetterGoodput  float64                                            `json:",omitempty"` // answered in time over the baseline's
-	BetterSlowdown float64                                            `json:",omitempty"` // baseline's p99 slowdown of short requests over ours
-	MaxPrefilled   float64                                            `json:",omitempty"` // tokens read, as a part of all prompts' tokens
-	MaxRetries     float64                                            `json:",omitempty"` // retries as a part of first tries
-	MaxFailed      float64                                            `json:",omitempty"` // failed, as a part of all sent
-	MaxSlowRefused float64                                            `json:",omitempty"` // refused after 100 ms or more, as a part of all sent
+	BetterGoodput  float64                                            `json:",omitempty"` // ratio of answers in time to the baseline's
+	BetterSlowdown float64                                            `json:",omitempty"` // ratio of the baseline's p99 slowdown of short requests to ours
+	MaxPrefilled   float64                                            `json:",omitempty"` // prefilled tokens as a share of all prompts' tokens
+	MaxRetries     float64                                            `json:",omitempty"` // further tries as a share of first tries
+	MaxFailed      float64                                            `json:",omitempty"` // failed calls as a share of all sent
+	MaxSlowRefused float64                                            `json:",omitempty"` // calls refused after 100 ms or more as a share of all sent
 	MaxLate        int                                                `json:",omitempty"`
 	MaxCrashes     int                                                `json:",omitempty"`
-	MaxShareOfOne  float64                                            `json:",omitempty"` // the busiest engine's part of all runs
+	MaxShareOfOne  float64                                            `json:",omitempty"` // the busiest engine's share of all runs
 	MaxWaitOf      map[dogwoodfleet.Customer]dogwoodsettings.Duration `json:",omitempty"`
 }
 
+// arrival is a call of a trace.
 type arrival struct {
 	At       dogwoodsettings.Duration
 	Customer dogwoodfleet.Customer
 	Prompt   int
 	Output   int
 	Deadline dogwoodsettings.Duration
-	// Prefix is how many leading blocks it shares with all that have the same Family.
+	// Prefix is the number of leading blocks shared with all arrivals of the same Family.
 	Prefix int `json:",omitempty"`
 	Family int `json:",omitempty"`
 }
@@ -81,7 +83,7 @@
 	inWindow                            int // answered in time before the last arrival
 	longSent, longInTime                int
 	sentOf, inTimeOf                    map[dogwoodfleet.Customer]int
-	shortFirst, shortSlowdown           []time.Duration // slowdowns in units of a second for 1
+	shortFirst, shortSlowdown           []time.Duration // a slowdown of 1 is stored as a second
 	waits                               map[dogwoodfleet.Customer]time.Duration
 	retries, overruns, crashes          int
 	prefilled, prompts                  float64
@@ -90,10 +92,12 @@
 	leaked                              int
 }
 
+// slowdown returns the p99 slowdown of short requests.
 func (outcome *outcome) slowdown() float64 {
 	return percentile(outcome.shortSlowdown, 0.99).Seconds()
 }
 
+// replay runs a trace under a policy on the fake clock and returns the outcome.
 func replay(t *testing.T, trace *trace, policy string) outcome {
 	t.Helper()
 	result := outcome{
@@ -109,7 +113,7 @@
 		site.warm(ctx)
 		begin := time.Now()
 		for _, fault := range trace.Faults {
-			site.duties.Go(func() { site.inflict(ctx, begin, fault) })
+			site.background.Go(func() { site.injectFault(ctx, begin, fault) })
 		}
 		var group sync.WaitGroup
 		var mutex sync.Mutex
@@ -130,12 +134,12 @@
 		result.leaked = site.running()
 		result.addEngines(site, trace)
 		cancel()
-		site.duties.Wait()
+		site.background.Wait()
 	})
 	return result
 }
 
-// warm starts with warm engines and lets the limits rise.
+// warm makes the engines warm and sends requests until the owners have raised the limits.
 func (site *site) warm(ctx context.Context) {
 	for _, engine := range site.engines {
 		engine.warm()
@@ -151,12 +155,12 @@
 		time.Sleep(time.Second)
 	}
 	for _, engine := range site.engines {
-		engine.ran, engine.prefilled, engine.overruns, engine.crashes = 0, 0, 0, 0
+		engine.runs, engine.prefilled, engine.overruns, engine.crashes = 0, 0, 0, 0
 	}
 	site.tries = 0
 }
 
-func (site *site) inflict(ctx context.Context, begin time.Time, fault fault) {
+func (site *site) injectFault(ctx context.Context, begin time.Time, fault fault) {
 	time.Sleep(time.Until(begin.Add(time.Duration(fault.At))))
 	if ctx.Err() != nil {
 		return
@@ -171,7 +175,7 @@
 		case "Cold":
 			engine.turnCold()
 		case "Slow":
-			engine.setSlow(fault.Factor)
+			engine.setSlowFactor(fault.Factor)
 		}
 	}
 }
@@ -189,7 +193,7 @@
 
 const shortTokens = 4000
 
-func (outcome *outcome) add(settings *engineSettings, got *received) {
+func (outcome *outcome) add(settings *engineSettings, got *callResult) {
 	long := got.Prompt > 64_000
 	outcome.sent++
 	outcome.sentOf[got.Customer]++
@@ -211,7 +215,7 @@
 		outcome.waits[got.Customer] = max(outcome.waits[got.Customer], got.firstToken)
 		if got.Prompt <= shortTokens {
 			outcome.shortFirst = append(outcome.shortFirst, got.firstToken)
-			slowdown := got.took.Seconds() / settings.idle(got.Prompt, got.Output).Seconds()
+			slowdown := got.took.Seconds() / settings.idleDuration(got.Prompt, got.Output).Seconds()
 			outcome.shortSlowdown = append(outcome.shortSlowdown, time.Duration(slowdown*float64(time.Second)))
 		}
 	case got.state == dogwoodfleet.NotRun:
@@ -225,10 +229,10 @@
 }
 
 func (outcome *outcome) addEngines(site *site, trace *trace) {
-	total, most := 0, 0
+	total, busiest := 0, 0
 	for _, engine := range site.engines {
-		total += engine.ran
-		most = max(most, engine.ran)
+		total += engine.runs
+		busiest = max(busiest, engine.runs)
 		outcome.overruns += engine.overruns
 		outcome.crashes += engine.crashes
 		outcome.prefilled += float64(engine.prefilled)
@@ -240,7 +244,7 @@
 			outcome.crashes--
 		}
 	}
-	outcome.busiest = float64(most) / float64(max(total, 1))
+	outcome.busiest = float64(busiest) / float64(max(total, 1))
 	outcome.prefilled /= max(outcome.prompts, 1)
 }
 
@@ -266,30 +270,30 @@
 	}
 }
 
-func (stated *stated) check(t *testing.T, got, baseline *outcome) {
+func (expectations *expectations) check(t *testing.T, got, baseline *outcome) {
 	t.Helper()
-	atLeast(t, "in time", float64(got.inTime)/float64(got.sent), stated.MinInTime)
-	atLeast(t, "long in time", float64(got.longInTime)/math.Max(float64(got.longSent), 1), stated.MinLongInTime)
-	for customer, least := range stated.MinInTimeOf {
-		atLeast(t, "in time of "+string(customer), float64(got.inTimeOf[customer])/float64(got.sentOf[customer]), least)
+	atLeast(t, "in time", float64(got.inTime)/float64(got.sent), expectations.MinInTime)
+	atLeast(t, "long in time", float64(got.longInTime)/math.Max(float64(got.longSent), 1), expectations.MinLongInTime)
+	for customer, minimum := range expectations.MinInTimeOf {
+		atLeast(t, "in time of "+string(customer), float64(got.inTimeOf[customer])/float64(got.sentOf[customer]), minimum)
 	}
-	for customer, most := range stated.MaxWaitOf {
-		atMost(t, "longest first token of "+string(customer), got.waits[customer].Seconds(), time.Duration(most).Seconds())
+	for customer, maximum := range expectations.MaxWaitOf {
+		atMost(t, "longest first token of "+string(customer), got.waits[customer].Seconds(), time.Duration(maximum).Seconds())
 	}
-	atMost(t, "short first token p99", percentile(got.shortFirst, 0.99).Seconds(), time.Duration(stated.ShortFirstP99).Seconds())
-	atMost(t, "refused late", float64(got.slowRefused)/float64(got.sent), stated.MaxSlowRefused)
-	atLeast(t, "goodput over baseline", float64(got.inTime)/math.Max(float64(baseline.inTime), 1), stated.BetterGoodput)
-	atLeast(t, "baseline's slowdown over ours", baseline.slowdown()/got.slowdown(), stated.BetterSlowdown)
-	atMost(t, "prefilled", got.prefilled, stated.MaxPrefilled)
-	atMost(t, "retries", float64(got.retries)/float64(got.sent), stated.MaxRetries)
-	atMost(t, "busiest engine", got.busiest, stated.MaxShareOfOne)
-	if got.late > stated.MaxLate {
-		t.Errorf("late: got %d, want at most %d", got.late, stated.MaxLate)
+	atMost(t, "short first token p99", percentile(got.shortFirst, 0.99).Seconds(), time.Duration(expectations.ShortFirstP99).Seconds())
+	atMost(t, "refused after 100 ms or more", float64(got.slowRefused)/float64(got.sent), expectations.MaxSlowRefused)
+	atLeast(t, "goodput over baseline", float64(got.inTime)/math.Max(float64(baseline.inTime), 1), expectations.BetterGoodput)
+	atLeast(t, "baseline's slowdown over ours", baseline.slowdown()/got.slowdown(), expectations.BetterSlowdown)
+	atMost(t, "prefilled", got.prefilled, expectations.MaxPrefilled)
+	atMost(t, "retries", float64(got.retries)/float64(got.sent), expectations.MaxRetries)
+	atMost(t, "busiest engine", got.busiest, expectations.MaxShareOfOne)
+	if got.late > expectations.MaxLate {
+		t.Errorf("late: got %d, want at most %d", got.late, expectations.MaxLate)
 	}
-	if got.crashes > stated.MaxCrashes {
-		t.Errorf("engines that fell over: got %d, want at most %d", got.crashes, stated.MaxCrashes)
+	if got.crashes > expectations.MaxCrashes {
+		t.Errorf("engine crashes: got %d, want at most %d", got.crashes, expectations.MaxCrashes)
 	}
-	atMost(t, "failed", float64(got.failed)/float64(got.sent), stated.MaxFailed)
+	atMost(t, "failed", float64(got.failed)/float64(got.sent), expectations.MaxFailed)
 	if got.leaked != 0 {
 		t.Errorf("grants after the end: got %d, want 0", got.leaked)
 	}
@@ -312,7 +316,7 @@
 	return &read
 }
 
-// writeTrace keeps one arrival a line, so that a change shows as such in a diff.
+// writeTrace writes a trace with one arrival per line, so that diffs stay readable.
 func writeTrace(t *testing.T, name string, written trace) {
 	t.Helper()
 	arrivals := written.Arrivals
@@ -340,12 +344,12 @@
 	}
 }
 
-// TestTraces replays each recorded trace under the product's decisions and under the
-// baseline, on paused time, and holds the first to the trace's stated outcome.
+// TestTraces replays each recorded trace on a fake clock, under the product's policy and under
+// the baseline, and checks the product's outcome against the trace's expectations.
 func TestTraces(t *testing.T) {
 	if *record {
-		for _, made := range makeTraces() {
-			writeTrace(t, made.name, made.trace)
+		for _, named := range makeTraces() {
+			writeTrace(t, named.name, named.trace)
 		}
 	}
 	names, err := filepath.Glob(filepath.Join("testdata", "traces", "*.json"))
@@ -366,15 +370,15 @@
 	}
 }
 
-// poisson adds arrivals at a rate from one time to another.
+// poisson adds arrivals of a Poisson process with the given rate.
 func (trace *trace) poisson(random *rand.Rand, from, to time.Duration, perSecond float64, draw func(*rand.Rand) arrival) {
 	for at := from; ; {
 		at += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
 		if at >= to {
 			return
 		}
-		made := draw(random)
-		made.At = dogwoodsettings.Duration(at.Round(time.Millisecond))
-		trace.Arrivals = append(trace.Arrivals, made)
+		arrival := draw(random)
+		arrival.At = dogwoodsettings.Duration(at.Round(time.Millisecond))
+		trace.Arrivals = append(trace.Arrivals, arrival)
 	}
 }
