--- a/core/duty/dogwoodrelay/alive.go
+++ b/core/duty/dogwoodrelay/alive.go
@@ -7,40 +7,40 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// alive notes when each endpoint was last heard, by any of this daemon's streams. An engine
-// that is busy keeps one stream waiting while it goes on with others; one that is gone is
-// silent to all. Without it a burst has streams moved from busy engines, which read their
-// prompts again for nothing.
-type alive struct {
-	mutex sync.Mutex
-	heard map[dogwoodfleet.EndpointID]time.Time
+// liveness tracks when each endpoint last sent an event on any of this daemon's streams. A busy
+// engine may delay one stream while it serves others; a dead one is silent on all. Without this
+// distinction a burst moves streams away from busy engines, and their prompts are prefilled again
+// for nothing.
+type liveness struct {
+	mutex    sync.Mutex
+	lastSeen map[dogwoodfleet.EndpointID]time.Time
 }
 
-// heardLately is how recent a sign of life must be: several passes of a busy engine.
-const heardLately = 700 * time.Millisecond
+// livenessWindow is how recent the last event must be: it covers several passes of a busy engine.
+const livenessWindow = 700 * time.Millisecond
 
-// forgetHeard is when an endpoint's last sign is of no use any more.
-const forgetHeard = time.Minute
+// livenessTTL is the age at which the time of an endpoint's last event is dropped.
+const livenessTTL = time.Minute
 
-func (alive *alive) note(now time.Time, endpoint dogwoodfleet.EndpointID) {
-	alive.mutex.Lock()
-	defer alive.mutex.Unlock()
-	if alive.heard == nil {
-		alive.heard = map[dogwoodfleet.EndpointID]time.Time{}
+func (liveness *liveness) record(now time.Time, endpoint dogwoodfleet.EndpointID) {
+	liveness.mutex.Lock()
+	defer liveness.mutex.Unlock()
+	if liveness.lastSeen == nil {
+		liveness.lastSeen = map[dogwoodfleet.EndpointID]time.Time{}
 	}
-	if _, known := alive.heard[endpoint]; !known {
-		for id, at := range alive.heard {
-			if now.Sub(at) > forgetHeard {
-				delete(alive.heard, id)
+	if _, known := liveness.lastSeen[endpoint]; !known {
+		for id, at := range liveness.lastSeen {
+			if now.Sub(at) > livenessTTL {
+				delete(liveness.lastSeen, id)
 			}
 		}
 	}
-	alive.heard[endpoint] = now
+	liveness.lastSeen[endpoint] = now
 }
 
-func (alive *alive) lately(now time.Time, endpoint dogwoodfleet.EndpointID) bool {
-	alive.mutex.Lock()
-	defer alive.mutex.Unlock()
-	at, known := alive.heard[endpoint]
-	return known && now.Sub(at) < heardLately
+func (liveness *liveness) seenRecently(now time.Time, endpoint dogwoodfleet.EndpointID) bool {
+	liveness.mutex.Lock()
+	defer liveness.mutex.Unlock()
+	at, known := liveness.lastSeen[endpoint]
+	return known && now.Sub(at) < livenessWindow
 }
--- a/core/duty/dogwoodrelay/counters.go
+++ b/core/duty/dogwoodrelay/counters.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// counters are published under "Relay": Answered, Cut, CallerGone, a reason for each kind
-// of failure, Retries, RetriesForbidden, NotBegun, Silent.
+// counters are published under "Relay": Answered, Cut, CallerGone, Failed, one for each
+// Failure reason, Retries, RetriesForbidden, NotBegun, Silent.
 var counters = expvar.NewMap("Relay")
 
-// The names of latencies.
+// Names of the latency metrics.
 const (
-	// metricWait is the wait for a place.
-	metricWait = "PlaceWait"
-	// metricFirst is the time from sending to the first event, by prompt length.
-	metricFirst = "FirstToken"
-	// metricRequest is the whole time of an attempt, by its outcome.
+	// metricPlaceWait is the time that a try waits for a placement.
+	metricPlaceWait = "PlaceWait"
+	// metricFirstEvent is the time from sending to the first event, by prompt length.
+	metricFirstEvent = "FirstToken"
+	// metricRequest is the total time of an attempt, by outcome.
 	metricRequest = "Request"
 )
 
-// count counts an attempt's outcome and how long it took.
-func (relay *Relay) count(request *Request, err error) {
+// countOutcome records an attempt's outcome and duration.
+func (relay *Relay) countOutcome(request *Request, err error) {
 	outcome := "Answered"
 	var failure *Failure
 	switch {
@@ -38,7 +38,7 @@
 	relay.options.Metrics.Observe(metricRequest, outcome, time.Since(request.Arrived))
 }
 
-// lengthLabel names a class of prompt lengths.
+// lengthLabel returns the label of a prompt's length class.
 func lengthLabel(prompt int) string {
 	switch {
 	case prompt <= 8_000:
--- a/core/duty/dogwoodrelay/events.go
+++ b/core/duty/dogwoodrelay/events.go
@@ -7,59 +7,59 @@
 	"io"
 )
 
-// event is one event of a stream as the endpoint wrote it, with its empty last line.
+// event is one event of a stream exactly as the endpoint sent it, including the final empty line.
 type event struct {
 	raw []byte
 	id  string
 }
 
-// events splits a stream into whole events without changing a byte.
-type events struct {
+// eventReader splits a stream into whole events without changing a byte.
+type eventReader struct {
 	reader *bufio.Reader
 	raw    []byte
 }
 
-// eventsBuffer holds some events of a few hundred bytes.
-const eventsBuffer = 2 << 10
+// eventBufferSize is enough for several events of a few hundred bytes.
+const eventBufferSize = 2 << 10
 
-func newEvents(body io.Reader) *events {
-	return &events{reader: bufio.NewReaderSize(body, eventsBuffer)}
+func newEventReader(body io.Reader) *eventReader {
+	return &eventReader{reader: bufio.NewReaderSize(body, eventBufferSize)}
 }
 
-// next returns the next whole event, io.EOF after the last. A stream that ends within an
-// event has broken off.
-func (events *events) next() (event, error) {
-	found := event{raw: events.raw[:0]}
+// next returns the next whole event, or io.EOF after the last one. If the stream ends within
+// an event, it returns io.ErrUnexpectedEOF.
+func (eventReader *eventReader) next() (event, error) {
+	current := event{raw: eventReader.raw[:0]}
 	for {
-		line, err := events.line()
+		line, err := eventReader.readLine()
 		if err != nil {
-			if errors.Is(err, io.EOF) && (len(found.raw) > 0 || len(line) > 0) {
+			if errors.Is(err, io.EOF) && (len(current.raw) > 0 || len(line) > 0) {
 				return event{}, io.ErrUnexpectedEOF
 			}
 			return event{}, err
 		}
-		found.raw = append(found.raw, line...)
+		current.raw = append(current.raw, line...)
 		content := bytes.TrimRight(line, "\r\n")
 		if len(content) == 0 {
-			events.raw = found.raw
-			return found, nil
+			eventReader.raw = current.raw
+			return current, nil
 		}
 		if id, ok := bytes.CutPrefix(content, []byte("id:")); ok {
-			found.id = string(bytes.TrimPrefix(id, []byte(" ")))
+			current.id = string(bytes.TrimPrefix(id, []byte(" ")))
 		}
 	}
 }
 
-// line returns a line with its end. It is only valid until the next one.
-func (events *events) line() ([]byte, error) {
-	line, err := events.reader.ReadSlice('\n')
+// readLine returns a line including its line ending. The line is valid until the next call.
+func (eventReader *eventReader) readLine() ([]byte, error) {
+	line, err := eventReader.reader.ReadSlice('\n')
 	if !errors.Is(err, bufio.ErrBufferFull) {
 		return line, err
 	}
-	whole := append([]byte(nil), line...)
-	for errors.Is(err, bufio.ErrBufferFull) && len(whole) < wholeBytes {
-		line, err = events.reader.ReadSlice('\n')
-		whole = append(whole, line...)
+	long := append([]byte(nil), line...)
+	for errors.Is(err, bufio.ErrBufferFull) && len(long) < maxHeldBytes {
+		line, err = eventReader.reader.ReadSlice('\n')
+		long = append(long, line...)
 	}
-	return whole, err
+	return long, err
 }
--- a/core/duty/dogwoodrelay/fakes_test.go
+++ b/core/duty/dogwoodrelay/fakes_test.go
@@ -24,27 +24,27 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// sent is an order as an endpoint got it.
-type sent struct {
+// sentOrder is an order as received by an endpoint.
+type sentOrder struct {
 	endpoint  dogwoodfleet.EndpointID
 	lastEvent string
 	helpers   []Helper
 	left      time.Duration
 }
 
-// fakeEndpoints answers each send by a script, one step a send; the last one repeats.
+// fakeEndpoints answers each send with the next step of a script; the last step repeats.
 type fakeEndpoints struct {
-	script []func(ctx context.Context) (*Response, error)
-	refuse map[dogwoodfleet.EndpointID]bool // memory is not free there
+	script       []func(ctx context.Context) (*Response, error)
+	noFreeMemory map[dogwoodfleet.EndpointID]bool // endpoints that refuse reservations
 
-	mutex sync.Mutex
-	sends []sent
-	held  map[string]int
+	mutex        sync.Mutex
+	sends        []sentOrder
+	reservations map[string]int
 }
 
 func (fake *fakeEndpoints) Send(ctx context.Context, order *Order) (*Response, error) {
 	fake.mutex.Lock()
-	fake.sends = append(fake.sends, sent{
+	fake.sends = append(fake.sends, sentOrder{
 		endpoint: order.Endpoint.ID, lastEvent: order.LastEvent, helpers: order.Helpers, left: order.Left,
 	})
 	step := fake.script[min(len(fake.sends), len(fake.script))-1]
@@ -55,21 +55,21 @@
 func (fake *fakeEndpoints) Reserve(_ context.Context, endpoint dogwoodfleet.Endpoint, ticket string, tokens int, _ time.Duration) error {
 	fake.mutex.Lock()
 	defer fake.mutex.Unlock()
-	if fake.refuse[endpoint.ID] {
+	if fake.noFreeMemory[endpoint.ID] {
 		return errors.New("not free")
 	}
-	fake.held[string(endpoint.ID)+"/"+ticket] = tokens
+	fake.reservations[string(endpoint.ID)+"/"+ticket] = tokens
 	return nil
 }
 
 func (fake *fakeEndpoints) Release(_ context.Context, endpoint dogwoodfleet.Endpoint, ticket string) error {
 	fake.mutex.Lock()
 	defer fake.mutex.Unlock()
-	delete(fake.held, string(endpoint.ID)+"/"+ticket)
+	delete(fake.reservations, string(endpoint.ID)+"/"+ticket)
 	return nil
 }
 
-// recorder is a caller that takes all.
+// recorder is a caller that records the whole answer.
 type recorder struct {
 	status int
 	header http.Header
@@ -89,7 +89,7 @@
 	return err
 }
 
-// places is a board as dogwoodboard offers it, of one daemon alone.
+// places adapts the board of a single daemon to Places, as dogwoodboard does.
 type places struct {
 	*dogwoodpacking.Board
 }
@@ -118,7 +118,7 @@
 func newFixture(ctx context.Context, group *sync.WaitGroup, engine *dogwoodenginetime.Engine, script ...func(ctx context.Context) (*Response, error)) *fixture {
 	fixture := &fixture{
 		board: dogwoodpacking.NewBoard("me"), answer: &recorder{},
-		endpoints: &fakeEndpoints{script: script, held: map[string]int{}, refuse: map[dogwoodfleet.EndpointID]bool{}},
+		endpoints: &fakeEndpoints{script: script, reservations: map[string]int{}, noFreeMemory: map[dogwoodfleet.EndpointID]bool{}},
 	}
 	fixture.setEndpoints(3, engine)
 	fixture.relay = New(Options{
@@ -132,7 +132,7 @@
 	return fixture
 }
 
-// setEndpoints gives the pool a number of endpoints named a, b, c and so on.
+// setEndpoints sets the pool to a number of endpoints named a, b, c and so on.
 func (fixture *fixture) setEndpoints(count int, engine *dogwoodenginetime.Engine) {
 	var endpoints []dogwoodpacking.Endpoint
 	for i := range count {
@@ -145,8 +145,8 @@
 	fixture.board.SetEndpoints(endpoints)
 }
 
-// take takes a number of places.
-func (fixture *fixture) take(t *testing.T, count int) {
+// takeSlots occupies a number of slots.
+func (fixture *fixture) takeSlots(t *testing.T, count int) {
 	t.Helper()
 	for slot := range count {
 		ask := &dogwoodpacking.Ask{ID: dogwoodpacking.WorkID(fmt.Sprint(slot)), Service: "s", Prompt: 10, Until: time.Now().Add(time.Second)}
@@ -156,8 +156,8 @@
 	}
 }
 
-// story runs a test on paused time with a relay whose work ends with it.
-func story(t *testing.T, engine *dogwoodenginetime.Engine, script []func(ctx context.Context) (*Response, error), body func(t *testing.T, fixture *fixture)) {
+// runRelayTest runs a test with fake time and a relay that is stopped at the end.
+func runRelayTest(t *testing.T, engine *dogwoodenginetime.Engine, script []func(ctx context.Context) (*Response, error), body func(t *testing.T, fixture *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -194,12 +194,12 @@
 	}
 }
 
-// delayed takes a step after a pause, unless its request ends before.
-func delayed(pause time.Duration, next step) step {
+// delayed runs a step after a pause, unless the request ends first.
+func delayed(pause time.Duration, then step) step {
 	return func(ctx context.Context) (*Response, error) {
 		select {
 		case <-time.After(pause):
-			return next(ctx)
+			return then(ctx)
 		case <-ctx.Done():
 			return nil, &Broken{Cause: ctx.Err()}
 		}
@@ -216,7 +216,7 @@
 	}
 }
 
-// brokenBody gives some bytes and then an error.
+// brokenBody returns some bytes and then an error.
 type brokenBody struct {
 	io.Reader
 	err error
@@ -241,7 +241,7 @@
 	}
 }
 
-// silentBody gives some bytes and then nothing until its context ends.
+// silentBody returns some bytes and then blocks until its context ends.
 type silentBody struct {
 	reader io.Reader
 	ctx    context.Context //nolint:containedctx // a connection in a test ends with its request
--- a/core/duty/dogwoodrelay/follow.go
+++ b/core/duty/dogwoodrelay/follow.go
@@ -5,51 +5,52 @@
 	"errors"
 )
 
-// follow passes on what a run brings until it ends, or until another run goes on with the request.
-func (attempt *attempt) follow(ctx context.Context, run *run) (verdict, *run) {
+// forwardRun forwards a run's events until it ends or another run takes over. It returns that run, or nil
+// and the result of the try.
+func (attempt *attempt) forwardRun(ctx context.Context, run *run) (tryResult, *run) {
 	hedge := attempt.newHedge(ctx, run)
 	defer hedge.stop()
 	for {
-		hedge.await()
+		hedge.beginWait()
 		event, err := run.next()
-		if other := hedge.settle(run.goesOn(err)); other != nil {
-			attempt.moved(ctx, run, err)
-			return verdict{}, other
+		if replacement := hedge.settle(run.continues(err)); replacement != nil {
+			attempt.recordReplaced(ctx, run, err)
+			return tryResult{}, replacement
 		}
 		if err != nil {
 			return attempt.runEnded(ctx, run, err), nil
 		}
-		if attempt.request.plain() {
-			return attempt.passAnswer(run, event.raw), nil
+		if attempt.request.isPlain() {
+			return attempt.forwardAnswer(run, event.raw), nil
 		}
-		attempt.noteEvent(run)
-		if err := attempt.passEvent(run.response, event); err != nil {
-			return verdict{err: err}, nil
+		attempt.recordEvent(run)
+		if err := attempt.forwardEvent(run.response, event); err != nil {
+			return tryResult{err: err}, nil
 		}
 	}
 }
 
-// runEnded is the verdict on a run that brings nothing further.
-func (attempt *attempt) runEnded(ctx context.Context, run *run, err error) verdict {
+// runEnded returns the result of a run that returns no further events.
+func (attempt *attempt) runEnded(ctx context.Context, run *run, err error) tryResult {
 	switch {
-	case errors.Is(err, errEnded):
-		return attempt.streamEnded(run.response)
+	case errors.Is(err, errStreamEnded):
+		return attempt.finishStream(run.response)
 	case run.rejected(err) && !attempt.stream.begun:
 		event, err := run.readWhole()
 		if err != nil {
-			return attempt.sendFailed(ctx, run.placement, run.explain(&Broken{Cause: err}))
+			return attempt.sendFailed(ctx, run.placement, run.withCause(&Broken{Cause: err}))
 		}
-		return attempt.passAnswer(run, event.raw)
+		return attempt.forwardAnswer(run, event.raw)
 	}
-	return attempt.judge(ctx, run, err)
+	return attempt.classify(ctx, run, err)
 }
 
-// moved notes what came of a run when another one goes on with the request.
-func (attempt *attempt) moved(ctx context.Context, run *run, err error) {
+// recordReplaced records the result of a run when another one takes over the request.
+func (attempt *attempt) recordReplaced(ctx context.Context, run *run, err error) {
 	if err == nil {
 		err = &Broken{Cause: errSilent}
 	}
-	if verdict := attempt.judge(ctx, run, err); !verdict.arrived {
+	if tryResult := attempt.classify(ctx, run, err); !tryResult.reached {
 		attempt.unsentTries++
 	}
 }
--- a/core/duty/dogwoodrelay/hedge.go
+++ b/core/duty/dogwoodrelay/hedge.go
@@ -11,192 +11,195 @@
 )
 
 const (
-	// firstSilence is how many times the predicted time, and firstLeast at least, a first
-	// event may be late before another endpoint is tried: engines that are slowed or busy are
-	// a few times slower than predicted, those that are gone never answer.
-	firstSilence = 4
-	firstLeast   = 1500 * time.Millisecond
-	// pauseSilence is how many of its longest good pauses a stream may be silent, and
-	// pauseLeast at least.
-	pauseSilence = 4
-	pauseLeast   = time.Second
-	// hangAims is how many times its aim an idempotent call may hang at an endpoint before
-	// another one is tried; an endpoint that ran it answers well within.
-	hangAims = 3
-	// leastHang bounds that from below, for aims that are shorter than a slow network.
-	leastHang = 500 * time.Millisecond
-	// aliveAgain is when a silent stream is looked at again whose endpoint writes others, or for
-	// which no other endpoint could be tried.
-	aliveAgain = 250 * time.Millisecond
-	// never is a time that no request lasts.
-	never = time.Hour
-	// resumeNeeds is the least time left for which a stream is moved.
-	resumeNeeds = 300 * time.Millisecond
+	// firstEventFactor is how many times the predicted time, but at least minFirstEventLimit,
+	// a run may take to its first event before another endpoint is tried. Slow or busy engines
+	// take a few times the predicted time; dead ones never answer.
+	firstEventFactor   = 4
+	minFirstEventLimit = 1500 * time.Millisecond
+	// pauseFactor is how many times its longest acceptable pause, but at least minPauseLimit, a
+	// stream may be silent.
+	pauseFactor   = 4
+	minPauseLimit = time.Second
+	// hangFactor is how many times its aim an idempotent call may hang at an endpoint before
+	// another one is tried. A working endpoint answers well within that time.
+	hangFactor = 3
+	// minHangLimit is the lower bound of that time, for aims shorter than the delays of a slow
+	// network.
+	minHangLimit = 500 * time.Millisecond
+	// silenceRecheck is the delay before a silent run is checked again if its endpoint still
+	// sends events of other streams, or if no other endpoint may be tried.
+	silenceRecheck = 250 * time.Millisecond
+	// unarmed is the initial delay of a timer that is stopped or reset before use. It is longer
+	// than any request.
+	unarmed = time.Hour
+	// minResumeTime is the least time left until the deadline for which a second run is started.
+	minResumeTime = 300 * time.Millisecond
 )
 
-// hedge has a second run go on with a request whose endpoint is silent: a connection that lost its
-// other end shows nothing else. The first run is given up only when the second one brings an event.
-// An endpoint that only paused goes on by itself, and the request may have no other place to go.
+// hedge starts a second run of a request whose endpoint is silent, since silence is the only sign of a
+// connection that lost its peer. The first run continues until the second one has returned an event: its
+// endpoint may only have paused, and no other endpoint may be able to serve the request.
 type hedge struct {
 	attempt *attempt
-	run     *run
-	// limit is the silence that is borne next.
+	first   *run
+	// limit is the silence that is allowed before the next event.
 	limit time.Duration
-	// timer fires when it is over; nil if the request can't be moved.
+	// timer fires when limit has passed; nil if the request can't have a second run.
 	timer *time.Timer
+	// due is the time for which timer is set.
 	due   time.Time
 	group errgroup.Group
 
 	mutex sync.Mutex
-	// waits is true while the run's next event is waited for. Only then may the second run change the
-	// attempt.
-	waits bool
-	// told is true if this silence was logged.
-	told   bool
-	second *second
+	// waiting is true while the attempt waits for the first run's next event. Only then may the second
+	// run change the attempt.
+	waiting bool
+	// logged is true if the current silence was logged.
+	logged    bool
+	secondRun *secondRun
 }
 
-// second is a second run, from the wait for its place to its first event.
-type second struct {
+// secondRun is a second run from the wait for its placement to its first event.
+type secondRun struct {
 	cancel context.CancelFunc
 	done   chan struct{}
-	// won is the run once it has brought an event.
-	won *run
-	// dropped is true once it is of no use.
+	// winner is the run once it has returned an event.
+	winner *run
+	// dropped is true once the second run is no longer needed.
 	dropped bool
 }
 
 func (attempt *attempt) newHedge(ctx context.Context, run *run) *hedge {
-	hedge := &hedge{attempt: attempt, run: run, limit: run.firstSilence()}
-	// A stream without a prompt is read whole, and may take any time.
-	anyTime := attempt.request.plain() && attempt.request.Route.Repeat != dogwoodroute.Idempotent
-	if attempt.maySendMore() && !anyTime {
-		hedge.timer = time.AfterFunc(never, func() { hedge.onSilence(ctx) })
-		hedge.timer.Stop() // until the run is waited for
+	hedge := &hedge{attempt: attempt, first: run, limit: run.firstEventLimit()}
+	// A plain call that is not idempotent is read whole and may take any time.
+	unbounded := attempt.request.isPlain() && attempt.request.Route.Repeat != dogwoodroute.Idempotent
+	if attempt.mayHedge() && !unbounded {
+		hedge.timer = time.AfterFunc(unarmed, func() { hedge.onSilence(ctx) })
+		hedge.timer.Stop() // beginWait resets it
 	}
 	return hedge
 }
 
-// pause is the silence that is borne after an event, and after a second run that failed.
-func (hedge *hedge) pause() time.Duration {
-	if hedge.attempt.request.plain() {
-		return hedge.run.firstSilence()
+// pauseLimit returns the silence that is allowed after an event, and after a failed second run.
+func (hedge *hedge) pauseLimit() time.Duration {
+	if hedge.attempt.request.isPlain() {
+		return hedge.first.firstEventLimit()
 	}
-	return max(pauseSilence*hedge.attempt.request.Route.Pause, pauseLeast)
+	return max(pauseFactor*hedge.attempt.request.Route.Pause, minPauseLimit)
 }
 
-// maySendMore tells whether the request may be sent once more while it is at an endpoint.
-func (attempt *attempt) maySendMore() bool {
+// mayHedge reports whether the request may have another run while the current one is in progress.
+func (attempt *attempt) mayHedge() bool {
 	request := attempt.request
-	return request.repeatable() && attempt.sent+1 < request.Route.Attempts && attempt.reached+1 < mostTries &&
-		time.Until(request.Deadline) >= resumeNeeds
+	return request.repeatable() && attempt.possibleRuns+1 < request.Route.Attempts && attempt.reachedTries+1 < maxTries &&
+		time.Until(request.Deadline) >= minResumeTime
 }
 
-// await begins the wait for the run's next event.
-func (hedge *hedge) await() {
+// beginWait begins the wait for the first run's next event.
+func (hedge *hedge) beginWait() {
 	if hedge.timer == nil {
 		return
 	}
 	hedge.mutex.Lock()
 	defer hedge.mutex.Unlock()
-	hedge.waits = true
+	hedge.waiting = true
 	hedge.reset(hedge.limit)
 }
 
-// settle ends that wait, and waits for the end of a second run. It returns that run if the request goes
-// on there. A run that goes on by itself drops a second one that has brought nothing.
-func (hedge *hedge) settle(goesOn bool) *run {
+// settle ends the wait and waits for a second run to win or end. It returns the second run if that takes
+// over. If the first run continues, a second run without an event is dropped.
+func (hedge *hedge) settle(continues bool) *run {
 	if hedge.timer == nil {
 		return nil
 	}
-	second := hedge.endWait(goesOn)
-	if second == nil {
+	secondRun := hedge.endWait(continues)
+	if secondRun == nil {
 		return nil
 	}
-	<-second.done
-	return second.won
+	<-secondRun.done
+	return secondRun.winner
 }
 
-func (hedge *hedge) endWait(goesOn bool) *second {
+func (hedge *hedge) endWait(continues bool) *secondRun {
 	hedge.mutex.Lock()
 	defer hedge.mutex.Unlock()
 	hedge.timer.Stop()
-	hedge.limit = hedge.pause()
-	hedge.waits, hedge.told = false, false
-	second := hedge.second
-	hedge.second = nil
-	if second == nil {
+	hedge.limit = hedge.pauseLimit()
+	hedge.waiting, hedge.logged = false, false
+	secondRun := hedge.secondRun
+	hedge.secondRun = nil
+	if secondRun == nil {
 		return nil
 	}
-	if goesOn && second.won == nil {
-		second.dropped = true
-		second.cancel()
+	if continues && secondRun.winner == nil {
+		secondRun.dropped = true
+		secondRun.cancel()
 	}
-	return second
+	return secondRun
 }
 
-// stop ends what is still under way.
+// stop ends a second run that is still in progress.
 func (hedge *hedge) stop() {
-	if other := hedge.settle(true); other != nil {
-		other.close()
+	if run := hedge.settle(true); run != nil {
+		run.close()
 	}
 	_ = hedge.group.Wait() // a second run returns no error
 }
 
-// reset has the timer fire after a time. The caller holds the mutex.
+// reset sets the timer. The caller holds the mutex.
 func (hedge *hedge) reset(after time.Duration) {
 	hedge.due = time.Now().Add(after)
 	hedge.timer.Reset(after)
 }
 
-// onSilence begins a second run if the endpoint is silent to all and another one may be tried.
+// onSilence starts a second run if the endpoint is silent on all streams and another one may be tried.
 func (hedge *hedge) onSilence(ctx context.Context) {
 	hedge.mutex.Lock()
 	defer hedge.mutex.Unlock()
-	// A timer that fired as an event came finds the wait for the next one.
-	if !hedge.waits || hedge.second != nil || time.Now().Before(hedge.due) {
+	// The timer may have fired as an event arrived; the attempt may then wait for the next event.
+	if !hedge.waiting || hedge.secondRun != nil || time.Now().Before(hedge.due) {
 		return
 	}
-	endpoint := hedge.run.placement.Endpoint.ID
-	if hedge.attempt.relay.alive.lately(time.Now(), endpoint) {
-		hedge.reset(aliveAgain)
+	endpoint := hedge.first.placement.Endpoint.ID
+	if hedge.attempt.relay.liveness.seenRecently(time.Now(), endpoint) {
+		hedge.reset(silenceRecheck)
 		return
 	}
-	if !hedge.told {
-		hedge.told = true
-		hedge.attempt.noteSilence(endpoint, time.Since(hedge.due))
+	if !hedge.logged {
+		hedge.logged = true
+		hedge.attempt.recordSilence(endpoint, time.Since(hedge.due))
 	}
-	if !hedge.attempt.maySendMore() || !hedge.attempt.fresh() || !hedge.attempt.pay() {
-		hedge.reset(aliveAgain)
+	if !hedge.attempt.mayHedge() || !hedge.attempt.keysFresh() || !hedge.attempt.takeRetry() {
+		hedge.reset(silenceRecheck)
 		return
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	second := &second{cancel: cancel, done: make(chan struct{})}
-	hedge.second = second
+	secondRun := &secondRun{cancel: cancel, done: make(chan struct{})}
+	hedge.secondRun = secondRun
 	hedge.group.Go(func() error {
-		hedge.race(ctx, second)
+		hedge.race(ctx, secondRun)
 		return nil
 	})
 }
 
-// race makes the second run, and takes the request over with its first event.
-func (hedge *hedge) race(ctx context.Context, second *second) {
-	defer close(second.done)
+// race starts the second run. Its first event cancels the first run.
+func (hedge *hedge) race(ctx context.Context, secondRun *secondRun) {
+	defer close(secondRun.done)
 	run := hedge.attempt.openSecond(ctx)
 	hedge.mutex.Lock()
 	defer hedge.mutex.Unlock()
-	if run != nil && !second.dropped {
-		second.won = run
-		hedge.run.cancel(errSilent)
+	if run != nil && !secondRun.dropped {
+		secondRun.winner = run
+		hedge.first.cancel(errSilent)
 		return
 	}
 	if run != nil {
-		hedge.attempt.dropped()
+		hedge.attempt.recordDropped()
 		run.close()
 	}
-	second.cancel()
-	if hedge.waits {
-		hedge.second = nil
-		hedge.reset(hedge.pause())
+	secondRun.cancel()
+	if hedge.waiting {
+		hedge.secondRun = nil
+		hedge.reset(hedge.pauseLimit())
 	}
 }
--- a/core/duty/dogwoodrelay/line.go
+++ b/core/duty/dogwoodrelay/line.go
@@ -12,95 +12,95 @@
 	"dogwoodmux.example/core/dogwoodkernel"
 )
 
-// placeAgain is the mean time between two looks for places without a sign of one: other
-// daemons and limits of a second free places without one.
-const placeAgain = 20 * time.Millisecond
+// placementInterval is the mean interval at which waiting tries are placed without a
+// notification of a change. Other daemons and limits per second free slots without one.
+const placementInterval = 20 * time.Millisecond
 
-// line holds the attempts that wait for a place.
-type line struct {
+// queue holds the tries that wait for a slot.
+type queue struct {
 	places Places
 
 	mutex   sync.Mutex
 	waiters []*waiter
 }
 
-// waiter is an attempt that waits. It is told once.
+// waiter is a try that waits. Its result is sent once.
 type waiter struct {
 	request dogwoodwaiting.Request
 	ask     *dogwoodpacking.Ask
-	told    chan told
-	// last is why it had no place when it was last looked at.
-	last dogwoodpacking.Refusal
+	result  chan placementResult
+	// lastRefusal is the outcome of its latest placement.
+	lastRefusal dogwoodpacking.Refusal
 }
 
-type told struct {
+type placementResult struct {
 	placement dogwoodpacking.Placement
 	refusal   dogwoodpacking.Refusal
 }
 
-// join adds a waiter behind or before the others and looks for places.
-func (line *line) join(waiter *waiter) {
-	line.mutex.Lock()
-	defer line.mutex.Unlock()
-	line.waiters = append(line.waiters, waiter)
-	line.look(time.Now())
+// add adds a waiter and places the waiters that it can.
+func (queue *queue) add(waiter *waiter) {
+	queue.mutex.Lock()
+	defer queue.mutex.Unlock()
+	queue.waiters = append(queue.waiters, waiter)
+	queue.placeWaiters(time.Now())
 }
 
-// leave removes a waiter. It returns false if the waiter was told already.
-func (line *line) leave(waiter *waiter) bool {
-	line.mutex.Lock()
-	defer line.mutex.Unlock()
-	at := slices.Index(line.waiters, waiter)
-	if at < 0 {
+// remove removes a waiter. It returns false if the waiter already has its result.
+func (queue *queue) remove(waiter *waiter) bool {
+	queue.mutex.Lock()
+	defer queue.mutex.Unlock()
+	i := slices.Index(queue.waiters, waiter)
+	if i < 0 {
 		return false
 	}
-	line.waiters = slices.Delete(line.waiters, at, at+1)
+	queue.waiters = slices.Delete(queue.waiters, i, i+1)
 	return true
 }
 
-// look gives places to those who wait, in their order. The caller holds the mutex.
-func (line *line) look(now time.Time) {
-	slices.SortStableFunc(line.waiters, func(one, other *waiter) int {
-		return dogwoodwaiting.Compare(now, &one.request, &other.request)
+// placeWaiters places waiters in order of urgency. The caller holds the mutex.
+func (queue *queue) placeWaiters(now time.Time) {
+	slices.SortStableFunc(queue.waiters, func(a, b *waiter) int {
+		return dogwoodwaiting.Compare(now, &a.request, &b.request)
 	})
 	full := map[dogwoodfleet.Service]bool{}
-	line.waiters = slices.DeleteFunc(line.waiters, func(waiter *waiter) bool {
+	queue.waiters = slices.DeleteFunc(queue.waiters, func(waiter *waiter) bool {
 		if full[waiter.ask.Service] {
 			return false
 		}
-		placement, refusal := line.places.Place(now, waiter.ask)
-		waiter.last = refusal
+		placement, refusal := queue.places.Place(now, waiter.ask)
+		waiter.lastRefusal = refusal
 		switch refusal {
 		case dogwoodpacking.Full:
-			// A prompt that needs the memory of several engines may find none where others do.
+			// A prompt that needs the memory of several engines may not fit although others do.
 			full[waiter.ask.Service] = waiter.ask.Prompt == 0
 			return false
 		case dogwoodpacking.NoEndpoint:
 			return false
 		case dogwoodpacking.Placed, dogwoodpacking.TooLarge:
 		}
-		waiter.told <- told{placement: placement, refusal: refusal}
+		waiter.result <- placementResult{placement: placement, refusal: refusal}
 		return true
 	})
 }
 
-// run looks for places whenever one may have come free, until the context ends.
-func (line *line) run(ctx context.Context) error {
-	timer := time.NewTimer(dogwoodkernel.Jittered(placeAgain))
+// run places waiters whenever a slot may have become free, until the context ends.
+func (queue *queue) run(ctx context.Context) error {
+	timer := time.NewTimer(dogwoodkernel.Jittered(placementInterval))
 	defer timer.Stop()
 	for {
-		changed := line.places.Changed()
-		line.mutex.Lock()
-		if len(line.waiters) > 0 {
-			line.look(time.Now())
+		changed := queue.places.Changed()
+		queue.mutex.Lock()
+		if len(queue.waiters) > 0 {
+			queue.placeWaiters(time.Now())
 		}
-		line.mutex.Unlock()
+		queue.mutex.Unlock()
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-changed:
 		case <-timer.C:
-			timer.Reset(dogwoodkernel.Jittered(placeAgain))
+			timer.Reset(dogwoodkernel.Jittered(placementInterval))
 		}
 	}
 }
--- a/core/duty/dogwoodrelay/pace.go
+++ b/core/duty/dogwoodrelay/pace.go
@@ -6,31 +6,32 @@
 )
 
 const (
-	// paceEvents is how many pauses make one observation: about half a second of a stream.
-	paceEvents = 8
-	// paceRank is which of these, the shortest first, is taken: a few events of a stream may
-	// come together over the network, and most pauses hold some reading of other prompts.
+	// paceSamples is the number of pauses per observation: about half a second of a stream.
+	paceSamples = 8
+	// paceRank is the index of the pause that is used, in ascending order. The shortest ones are
+	// skipped since the network may deliver several events together; most of the longer ones
+	// include prefilling of other prompts.
 	paceRank = 2
 )
 
-// pace finds how fast an engine writes when it reads nothing, from the pauses between the
-// events of one stream.
+// pace estimates an engine's decode pace while it prefills no prompts, from the pauses between
+// the events of one stream.
 type pace struct {
 	last   time.Time
 	pauses []time.Duration
 }
 
-// event takes in an event, and returns an observation after every few.
-func (pace *pace) event(now time.Time) (time.Duration, bool) {
+// record records an event's time. It returns an observation after every paceSamples pauses.
+func (pace *pace) record(now time.Time) (time.Duration, bool) {
 	if !pace.last.IsZero() {
 		pace.pauses = append(pace.pauses, now.Sub(pace.last))
 	}
 	pace.last = now
-	if len(pace.pauses) < paceEvents {
+	if len(pace.pauses) < paceSamples {
 		return 0, false
 	}
 	slices.Sort(pace.pauses)
-	found := pace.pauses[paceRank]
+	observed := pace.pauses[paceRank]
 	pace.pauses = pace.pauses[:0]
-	return found, true
+	return observed, true
 }
--- a/core/duty/dogwoodrelay/plain.go
+++ b/core/duty/dogwoodrelay/plain.go
@@ -5,23 +5,24 @@
 	"io"
 )
 
-// wholeBytes is the largest answer that is held until it is whole, so that one that
-// breaks off can be asked for again. Larger ones are passed on as they come.
-const wholeBytes = 1 << 20
+// maxHeldBytes is the size of the largest answer that is held until it is complete, so that the
+// request can be retried if the answer is interrupted. Larger answers are forwarded as they arrive.
+const maxHeldBytes = 1 << 20
 
-// passAnswer passes on a whole answer, or the begun one that is too large to be held.
-func (attempt *attempt) passAnswer(run *run, data []byte) verdict {
-	if len(data) > wholeBytes {
-		return attempt.passOn(run.response, data)
+// forwardAnswer forwards a complete answer, or one that is too large to be held together with
+// the rest of its body.
+func (attempt *attempt) forwardAnswer(run *run, data []byte) tryResult {
+	if len(data) > maxHeldBytes {
+		return attempt.forwardLarge(run.response, data)
 	}
-	if err := attempt.deliver(run.response, data); err != nil {
-		return verdict{err: err}
+	if err := attempt.sendAnswer(run.response, data); err != nil {
+		return tryResult{err: err}
 	}
-	return verdict{done: true}
+	return tryResult{done: true}
 }
 
-// deliver passes on a whole answer.
-func (attempt *attempt) deliver(response *Response, data []byte) error {
+// sendAnswer sends the status, the headers and the data of an answer to the caller.
+func (attempt *attempt) sendAnswer(response *Response, data []byte) error {
 	if err := attempt.answer.Begin(response.Status, response.Header); err != nil {
 		return errors.Join(ErrCallerGone, err)
 	}
@@ -31,33 +32,33 @@
 	return nil
 }
 
-// passOn passes on an answer that is too large to be held, as it comes.
-func (attempt *attempt) passOn(response *Response, begun []byte) verdict {
-	if err := attempt.deliver(response, begun); err != nil {
-		return verdict{err: err}
+// forwardLarge forwards an answer that is too large to be held as it arrives.
+func (attempt *attempt) forwardLarge(response *Response, start []byte) tryResult {
+	if err := attempt.sendAnswer(response, start); err != nil {
+		return tryResult{err: err}
 	}
 	attempt.stream.begun = true
-	buffer := make([]byte, copyBytes)
+	buffer := make([]byte, copyBufferSize)
 	for {
 		count, err := response.Body.Read(buffer)
 		if count > 0 {
 			if err := attempt.answer.Write(buffer[:count]); err != nil {
-				return verdict{err: errors.Join(ErrCallerGone, err)}
+				return tryResult{err: errors.Join(ErrCallerGone, err)}
 			}
 		}
 		if errors.Is(err, io.EOF) {
-			return verdict{done: true}
+			return tryResult{done: true}
 		}
 		if err != nil {
-			return verdict{err: Error.Wrap(err)}
+			return tryResult{err: Error.Wrap(err)}
 		}
 	}
 }
 
-// copyBytes is the size of the pieces of a large answer.
-const copyBytes = 32 << 10
+// copyBufferSize is the size of the buffer for large answers.
+const copyBufferSize = 32 << 10
 
-// closeBody ends an answer. What is left of it is of no use, and neither is an error.
+// closeBody closes a response body. The rest of the body and any error are ignored.
 func closeBody(response *Response) {
 	_ = response.Body.Close()
 }
--- a/core/duty/dogwoodrelay/random_test.go
+++ b/core/duty/dogwoodrelay/random_test.go
@@ -21,50 +21,51 @@
 	"dogwoodmux.example/core/dogwoodkernel"
 )
 
-// The ways in which an endpoint of a random play ends a request.
+// The ways in which a random endpoint ends a request.
 const (
-	sound = iota
-	breaksAt
-	dark
+	healthy = iota
+	breaksOffAt
+	silentFrom
 	declines
 	unsent
-	failsAt
+	returnsFailure
 	rejects
 	closes
 )
 
 const (
-	playedEvents = 6
-	rejected     = "rejected"
-	failed       = "failed"
+	scriptedEvents = 6
+	rejectedBody   = "rejected"
+	failedBody     = "failed"
 )
 
-// play is what an endpoint does with one request.
-type play struct {
-	kind  int
-	begun time.Time
-	// opens is the time until it answers, pauses those before its events.
-	opens  time.Duration
-	pauses [playedEvents]time.Duration
-	// at is the event before which it breaks off or goes dark.
-	at int
-	// wrote is true once a part of an answer was written.
+// behavior determines what an endpoint does with one request.
+type behavior struct {
+	kind      int
+	startedAt time.Time
+	// responseDelay is the delay before the response, pauses those before the events.
+	responseDelay time.Duration
+	pauses        [scriptedEvents]time.Duration
+	// faultAt is the event before which the endpoint breaks off or falls silent.
+	faultAt int
+	// wrote is true once an event was written.
 	wrote bool
-	// ended is true once the endpoint has ended, left tells whether its caller has left.
-	ended bool
-	left  func() bool
+	// ended is true once the endpoint is done; callerLeft reports whether the relay has cancelled the run.
+	ended      bool
+	callerLeft func() bool
 }
 
-func randomPlay(random *rand.Rand) *play {
-	kinds := []int{sound, sound, sound, breaksAt, breaksAt, breaksAt, dark, dark, declines, unsent, failsAt, rejects, closes}
-	made := &play{kind: kinds[random.IntN(len(kinds))], opens: randomPause(random), at: random.IntN(playedEvents)}
-	for i := range made.pauses {
-		made.pauses[i] = randomPause(random)
+func randomBehavior(random *rand.Rand) *behavior {
+	kinds := []int{healthy, healthy, healthy, breaksOffAt, breaksOffAt, breaksOffAt, silentFrom, silentFrom, declines, unsent, returnsFailure, rejects, closes}
+	behavior := &behavior{kind: kinds[random.IntN(len(kinds))], responseDelay: randomPause(random), faultAt: random.IntN(scriptedEvents)}
+	for i := range behavior.pauses {
+		behavior.pauses[i] = randomPause(random)
 	}
-	return made
+	return behavior
 }
 
-// randomPause is short in most cases. Its steps let events of two endpoints come at the same moment.
+// randomPause returns a pause that is short in most cases. The pauses are multiples of a step so that events
+// of two endpoints may arrive at the same moment.
 func randomPause(random *rand.Rand) time.Duration {
 	const step = 100 * time.Millisecond
 	if random.IntN(5) == 0 {
@@ -73,74 +74,74 @@
 	return time.Duration(random.IntN(2)) * step
 }
 
-// takes is how long a sound endpoint takes for the whole answer.
-func (play *play) takes() time.Duration {
-	whole := play.opens
-	for _, pause := range play.pauses {
-		whole += pause
+// duration returns how long a healthy endpoint takes for the whole answer.
+func (behavior *behavior) duration() time.Duration {
+	total := behavior.responseDelay
+	for _, pause := range behavior.pauses {
+		total += pause
 	}
-	return whole
+	return total
 }
 
-// playedEndpoints draws a play for each request from its seed.
-type playedEndpoints struct {
+// randomEndpoints draws a behavior for each request from its seed.
+type randomEndpoints struct {
 	*fakeEndpoints
 	seed uint64
 
-	mutex sync.Mutex
-	plays []*play
-	// ran counts the requests that may have run, arrived those that reached an endpoint.
-	ran, arrived int
-	// most is how many were under way at once.
-	most int
+	mutex     sync.Mutex
+	behaviors []*behavior
+	// possibleRuns counts the requests that may have run, arrived those that reached an endpoint.
+	possibleRuns, arrived int
+	// maxConcurrent is the largest number of requests in progress at once.
+	maxConcurrent int
 }
 
-func (played *playedEndpoints) begin(ctx context.Context) *play {
-	played.mutex.Lock()
-	defer played.mutex.Unlock()
-	made := randomPlay(rand.New(rand.NewPCG(played.seed, uint64(len(played.plays)+1))))
-	made.begun, made.left = time.Now(), func() bool { return ctx.Err() != nil }
-	played.plays = append(played.plays, made)
-	if made.kind != unsent {
-		played.arrived++
-	}
-	if made.kind != unsent && made.kind != declines {
-		played.ran++
-	}
-	played.most = max(played.most, len(played.underWay()))
-	return made
+func (endpoints *randomEndpoints) begin(ctx context.Context) *behavior {
+	endpoints.mutex.Lock()
+	defer endpoints.mutex.Unlock()
+	behavior := randomBehavior(rand.New(rand.NewPCG(endpoints.seed, uint64(len(endpoints.behaviors)+1))))
+	behavior.startedAt, behavior.callerLeft = time.Now(), func() bool { return ctx.Err() != nil }
+	endpoints.behaviors = append(endpoints.behaviors, behavior)
+	if behavior.kind != unsent {
+		endpoints.arrived++
+	}
+	if behavior.kind != unsent && behavior.kind != declines {
+		endpoints.possibleRuns++
+	}
+	endpoints.maxConcurrent = max(endpoints.maxConcurrent, len(endpoints.active()))
+	return behavior
 }
 
-// underWay lists the plays that have not ended and whose callers have not left. The caller holds the mutex.
-func (played *playedEndpoints) underWay() []*play {
-	return slices.DeleteFunc(slices.Clone(played.plays), func(play *play) bool { return play.ended || play.left() })
+// active returns the behaviors of requests that are neither done nor cancelled. The caller holds the mutex.
+func (endpoints *randomEndpoints) active() []*behavior {
+	return slices.DeleteFunc(slices.Clone(endpoints.behaviors), func(behavior *behavior) bool { return behavior.ended || behavior.callerLeft() })
 }
 
-func (played *playedEndpoints) end(play *play) {
-	played.mutex.Lock()
-	defer played.mutex.Unlock()
-	play.ended = true
+func (endpoints *randomEndpoints) end(behavior *behavior) {
+	endpoints.mutex.Lock()
+	defer endpoints.mutex.Unlock()
+	behavior.ended = true
 }
 
-func (played *playedEndpoints) Send(ctx context.Context, order *Order) (*Response, error) {
-	play := played.begin(ctx)
-	if play.kind == unsent {
-		played.end(play)
+func (endpoints *randomEndpoints) Send(ctx context.Context, order *Order) (*Response, error) {
+	behavior := endpoints.begin(ctx)
+	if behavior.kind == unsent {
+		endpoints.end(behavior)
 		return nil, &NotSent{Cause: errors.New("refused")}
 	}
-	if !dogwoodkernel.Sleep(ctx, play.opens) {
-		played.end(play)
+	if !dogwoodkernel.Sleep(ctx, behavior.responseDelay) {
+		endpoints.end(behavior)
 		return nil, &Broken{Cause: ctx.Err()}
 	}
-	if play.kind == closes {
-		played.end(play)
+	if behavior.kind == closes {
+		endpoints.end(behavior)
 		return nil, &Broken{Cause: io.EOF}
 	}
 	response := &Response{Status: http.StatusOK, Header: http.Header{}, Genuine: true}
-	switch play.kind {
+	switch behavior.kind {
 	case declines:
 		response.Status, response.NotRun = http.StatusServiceUnavailable, true
-	case failsAt:
+	case returnsFailure:
 		response.Status = http.StatusInternalServerError
 	case rejects:
 		response.Status = http.StatusBadRequest
@@ -149,151 +150,151 @@
 	response.Body = reader
 	var group sync.WaitGroup
 	group.Go(func() {
-		err := played.write(ctx, play, order, writer)
-		played.end(play)
+		err := endpoints.write(ctx, behavior, order, writer)
+		endpoints.end(behavior)
 		_ = writer.CloseWithError(err) // it returns no error
 	})
 	return response, nil
 }
 
-// write writes the answer, and returns how it ends.
-func (played *playedEndpoints) write(ctx context.Context, play *play, order *Order, writer io.Writer) error {
-	if play.kind == failsAt || play.kind == rejects || play.kind == declines {
-		_, err := io.WriteString(writer, bodyOf(play.kind))
+// write writes the answer and returns the error that it ends with.
+func (endpoints *randomEndpoints) write(ctx context.Context, behavior *behavior, order *Order, writer io.Writer) error {
+	if behavior.kind == returnsFailure || behavior.kind == rejects || behavior.kind == declines {
+		_, err := io.WriteString(writer, bodyOf(behavior.kind))
 		return err
 	}
 	last, _ := strconv.Atoi(order.LastEvent) // none is 0
-	for i := last; i < playedEvents; i++ {
-		if !dogwoodkernel.Sleep(ctx, play.pauses[i]) {
+	for i := last; i < scriptedEvents; i++ {
+		if !dogwoodkernel.Sleep(ctx, behavior.pauses[i]) {
 			return ctx.Err()
 		}
-		whole := playedEvent(i + 1)
-		if i >= play.at && play.kind == dark {
+		event := scriptedEvent(i + 1)
+		if i >= behavior.faultAt && behavior.kind == silentFrom {
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		if i >= play.at && play.kind == breaksAt {
-			_, _ = io.WriteString(writer, whole[:len(whole)/2]) // the reader may have left
+		if i >= behavior.faultAt && behavior.kind == breaksOffAt {
+			_, _ = io.WriteString(writer, event[:len(event)/2]) // the reader may have left
 			return errors.New("reset")
 		}
-		if _, err := io.WriteString(writer, whole); err != nil {
+		if _, err := io.WriteString(writer, event); err != nil {
 			return err
 		}
-		played.mutex.Lock()
-		play.wrote = true
-		played.mutex.Unlock()
+		endpoints.mutex.Lock()
+		behavior.wrote = true
+		endpoints.mutex.Unlock()
 	}
 	return nil
 }
 
 func bodyOf(kind int) string {
-	return map[int]string{failsAt: failed, rejects: rejected}[kind]
+	return map[int]string{returnsFailure: failedBody, rejects: rejectedBody}[kind]
 }
 
-func playedEvent(id int) string { return fmt.Sprintf("id: %d\ndata: x\n\n", id) }
+func scriptedEvent(id int) string { return fmt.Sprintf("id: %d\ndata: x\n\n", id) }
 
-// eventsUpTo is what a caller has after a number of events.
+// eventsUpTo returns the body of a stream after a number of events.
 func eventsUpTo(count int) string {
-	var whole strings.Builder
+	var body strings.Builder
 	for id := range count {
-		whole.WriteString(playedEvent(id + 1))
+		body.WriteString(scriptedEvent(id + 1))
 	}
-	return whole.String()
+	return body.String()
 }
 
-// randomCase is one request of a random play.
+// randomCase is a random request with its caller and conditions.
 type randomCase struct {
 	request *Request
-	// leaves is when the caller leaves, takes how long it takes each event.
-	leaves, takes time.Duration
-	stale         time.Duration
-	taken         int
-	allowance     float64
-	unused        time.Duration
+	// leaveAfter is when the caller leaves, writeDelay how long it takes to read each event.
+	leaveAfter, writeDelay time.Duration
+	staleAfter             time.Duration
+	takenSlots             int
+	allowance              float64
+	maxUnused              time.Duration
 }
 
 func newRandomCase(random *rand.Rand) *randomCase {
-	made := &randomCase{request: streamRequest(), leaves: time.Hour, stale: time.Hour}
-	request, route := made.request, made.request.Route
+	randomCase := &randomCase{request: streamRequest(), leaveAfter: time.Hour, staleAfter: time.Hour}
+	request, route := randomCase.request, randomCase.request.Route
 	switch random.IntN(6) {
 	case 0:
-		made.request = plainRequest(dogwoodroute.Idempotent)
-		request, route = made.request, made.request.Route
+		randomCase.request = plainRequest(dogwoodroute.Idempotent)
+		request, route = randomCase.request, randomCase.request.Route
 	case 1:
-		made.request = plainRequest(dogwoodroute.Once)
-		request, route = made.request, made.request.Route
+		randomCase.request = plainRequest(dogwoodroute.Once)
+		request, route = randomCase.request, randomCase.request.Route
 	case 2:
 		route.Resumable = false
 	case 3:
 		request.Prompt, route.Aim = 150_000, 10*time.Second
-		made.unused = time.Duration(random.IntN(2)) * 9 * time.Second
+		randomCase.maxUnused = time.Duration(random.IntN(2)) * 9 * time.Second
 	}
 	route.Attempts = 1 + random.IntN(4)
 	request.Deadline = time.Now().Add(time.Second + time.Duration(random.Int64N(int64(15*time.Second))))
-	made.allowance = float64(random.IntN(5))
-	made.taken = random.IntN(2 * testEngine.Slots)
+	randomCase.allowance = float64(random.IntN(5))
+	randomCase.takenSlots = random.IntN(2 * testEngine.Slots)
 	switch random.IntN(6) {
 	case 0:
-		made.leaves = time.Duration(random.Int64N(int64(8 * time.Second)))
+		randomCase.leaveAfter = time.Duration(random.Int64N(int64(8 * time.Second)))
 	case 1:
-		made.takes = time.Duration(random.Int64N(int64(500 * time.Millisecond)))
+		randomCase.writeDelay = time.Duration(random.Int64N(int64(500 * time.Millisecond)))
 	case 2:
-		made.stale = time.Duration(random.Int64N(int64(4 * time.Second)))
+		randomCase.staleAfter = time.Duration(random.Int64N(int64(4 * time.Second)))
 	}
-	return made
+	return randomCase
 }
 
-// Guards against a run, a place, memory or a part of an answer that is lost, comes twice or stays when
-// endpoints pause, break off, refuse and go dark in any order.
-func TestRandomPlays(t *testing.T) {
+// Guards against runs, slots, memory and parts of answers that are lost, duplicated or left behind when
+// endpoints pause, break off, decline and fall silent in any order.
+func TestRandomEndpoints(t *testing.T) {
 	const seeds = 2000
 	for seed := range uint64(seeds) {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { randomStory(t, seed) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runRandomCase(t, seed) })
 	}
 }
 
-func randomStory(t *testing.T, seed uint64) {
-	story(t, testEngine, nil, func(t *testing.T, fixture *fixture) {
-		played := &playedEndpoints{fakeEndpoints: fixture.endpoints, seed: seed}
-		randomly := newRandomCase(rand.New(rand.NewPCG(seed, 0)))
+func runRandomCase(t *testing.T, seed uint64) {
+	runRelayTest(t, testEngine, nil, func(t *testing.T, fixture *fixture) {
+		endpoints := &randomEndpoints{fakeEndpoints: fixture.endpoints, seed: seed}
+		randomCase := newRandomCase(rand.New(rand.NewPCG(seed, 0)))
 		options := &fixture.relay.options
-		options.Endpoints, options.UnusedMemory = played, randomly.unused
-		options.Retries = &dogwoodretry.Shared{Allowance: randomly.allowance, Window: time.Minute}
+		options.Endpoints, options.UnusedMemory = endpoints, randomCase.maxUnused
+		options.Retries = &dogwoodretry.Shared{Allowance: randomCase.allowance, Window: time.Minute}
 		fixture.setEndpoints(6, testEngine)
-		fixture.take(t, randomly.taken)
+		fixture.takeSlots(t, randomCase.takenSlots)
 		ctx, leave := context.WithCancel(t.Context())
 		defer leave()
-		defer time.AfterFunc(randomly.leaves, leave).Stop()
-		defer time.AfterFunc(randomly.stale, func() { fixture.stale.Store(true) }).Stop()
-		caller := &slowCaller{recorder: fixture.answer, takes: randomly.takes}
-		err := fixture.relay.Serve(ctx, randomly.request, caller)
-		late := time.Since(randomly.request.Arrived)
+		defer time.AfterFunc(randomCase.leaveAfter, leave).Stop()
+		defer time.AfterFunc(randomCase.staleAfter, func() { fixture.stale.Store(true) }).Stop()
+		caller := &slowCaller{recorder: fixture.answer, delay: randomCase.writeDelay}
+		err := fixture.relay.Serve(ctx, randomCase.request, caller)
+		elapsed := time.Since(randomCase.request.Arrived)
 		fixture.relay.Wait()
-		checkEnd(t, randomly, played, fixture.answer, err)
-		checkTime(t, randomly, late)
-		checkSends(t, randomly, played)
-		checkLeft(t, fixture, played)
+		checkOutcome(t, randomCase, endpoints, fixture.answer, err)
+		checkEndTime(t, randomCase, elapsed)
+		checkSends(t, randomCase, endpoints)
+		checkReleased(t, fixture, endpoints)
 		if t.Failed() {
-			t.Logf("attempts %d, ended with %v after %s", randomly.request.Route.Attempts, err, late)
-			for _, play := range played.plays {
-				t.Logf("kind %d, begun %s, opens %s, pauses %s, at %d", play.kind, play.begun, play.opens, play.pauses, play.at)
+			t.Logf("route allows %d runs, ended with %v after %s", randomCase.request.Route.Attempts, err, elapsed)
+			for _, behavior := range endpoints.behaviors {
+				t.Logf("kind %d, begun %s, response delay %s, pauses %s, fault at %d", behavior.kind, behavior.startedAt, behavior.responseDelay, behavior.pauses, behavior.faultAt)
 			}
 		}
 	})
 }
 
-// checkEnd tells whether the caller has the whole answer, or was told truly that it has not.
-func checkEnd(t *testing.T, randomly *randomCase, played *playedEndpoints, answer *recorder, err error) {
+// checkOutcome checks that the caller has the whole answer, or an accurate error.
+func checkOutcome(t *testing.T, randomCase *randomCase, endpoints *randomEndpoints, answer *recorder, err error) {
 	t.Helper()
 	body := answer.body.String()
 	switch answer.status {
 	case http.StatusInternalServerError, http.StatusBadRequest:
-		if err != nil || body != failed && body != rejected {
-			t.Errorf("got %d, %q and %v, want an endpoint's own failure", answer.status, body, err)
+		if err != nil || body != failedBody && body != rejectedBody {
+			t.Errorf("got %d, %q and %v, want an endpoint's failure", answer.status, body, err)
 		}
 		return
 	}
-	if whole := eventsUpTo(playedEvents); !strings.HasPrefix(whole, body) || len(body)%len(playedEvent(1)) != 0 {
+	if whole := eventsUpTo(scriptedEvents); !strings.HasPrefix(whole, body) || len(body)%len(scriptedEvent(1)) != 0 {
 		t.Errorf("got %q, want events in order", body)
 	} else if (err == nil) != (body == whole) && (err == nil || !errors.Is(err, ErrCallerGone)) {
 		t.Errorf("got %v with %q", err, body)
@@ -302,18 +303,18 @@
 		return
 	}
 	if errors.Is(err, ErrCallerGone) {
-		if randomly.leaves == time.Hour {
-			t.Errorf("got %v, want that the caller is there", err)
+		if randomCase.leaveAfter == time.Hour {
+			t.Errorf("got %v, want no error for a caller that stayed", err)
 		}
 		return
 	}
 	if got, want := errors.Is(err, ErrCut), answer.status != 0; got != want {
 		t.Errorf("got cut %t, want %t", got, want)
 	}
-	if failure := failureIn(err); failure != nil && failure.Run == dogwoodfleet.NotRun && played.ran > 0 {
-		t.Errorf("got %v after %d runs, want no promise", failure, played.ran)
+	if failure := failureIn(err); failure != nil && failure.Run == dogwoodfleet.NotRun && endpoints.possibleRuns > 0 {
+		t.Errorf("got %v after %d possible runs, want no claim that it did not run", failure, endpoints.possibleRuns)
 	}
-	if played.firstSuffices(randomly) {
+	if endpoints.firstWouldSuffice(randomCase) {
 		t.Errorf("got %v, want the answer of the first endpoint", err)
 	}
 }
@@ -324,63 +325,63 @@
 	return failure
 }
 
-// firstSuffices tells whether the first endpoint had the whole answer in time and no other one wrote.
-func (played *playedEndpoints) firstSuffices(randomly *randomCase) bool {
-	if len(played.plays) == 0 || randomly.unused > 0 || randomly.takes > 0 {
+// firstWouldSuffice reports whether the first endpoint had the whole answer in time and no other one wrote.
+func (endpoints *randomEndpoints) firstWouldSuffice(randomCase *randomCase) bool {
+	if len(endpoints.behaviors) == 0 || randomCase.maxUnused > 0 || randomCase.writeDelay > 0 {
 		return false
 	}
-	for _, other := range played.plays[1:] {
+	for _, other := range endpoints.behaviors[1:] {
 		if other.wrote {
 			return false
 		}
 	}
-	first := played.plays[0]
-	return first.kind == sound && first.begun.Add(first.takes()).Before(randomly.request.Deadline)
+	first := endpoints.behaviors[0]
+	return first.kind == healthy && first.startedAt.Add(first.duration()).Before(randomCase.request.Deadline)
 }
 
-// checkTime tells whether the request ended when its time was over or its caller left.
-func checkTime(t *testing.T, randomly *randomCase, late time.Duration) {
+// checkEndTime checks that the request ended by its deadline or when its caller left.
+func checkEndTime(t *testing.T, randomCase *randomCase, elapsed time.Duration) {
 	t.Helper()
-	limit := randomly.request.Deadline.Sub(randomly.request.Arrived)
-	if most := min(limit, randomly.leaves) + playedEvents*randomly.takes; late > most {
-		t.Errorf("got the end after %s, want it within %s", late, most)
+	limit := randomCase.request.Deadline.Sub(randomCase.request.Arrived)
+	if most := min(limit, randomCase.leaveAfter) + scriptedEvents*randomCase.writeDelay; elapsed > most {
+		t.Errorf("got the end after %s, want it within %s", elapsed, most)
 	}
 }
 
-// checkSends tells whether the request was sent as often as it may be.
-func checkSends(t *testing.T, randomly *randomCase, played *playedEndpoints) {
+// checkSends checks that the request was not sent more often than allowed.
+func checkSends(t *testing.T, randomCase *randomCase, endpoints *randomEndpoints) {
 	t.Helper()
-	request := randomly.request
+	request := randomCase.request
 	most := request.Route.Attempts
 	if !request.repeatable() {
 		most = 1
 	}
-	if played.ran > most {
-		t.Errorf("got %d runs, want at most %d", played.ran, most)
+	if endpoints.possibleRuns > most {
+		t.Errorf("got %d runs, want at most %d", endpoints.possibleRuns, most)
 	}
-	if played.most > 2 {
-		t.Errorf("got %d runs at once, want at most two", played.most)
+	if endpoints.maxConcurrent > 2 {
+		t.Errorf("got %d runs at once, want at most two", endpoints.maxConcurrent)
 	}
-	if repeats := played.arrived - 1; float64(repeats) > randomly.allowance {
-		t.Errorf("got %d repeats, want at most %g", repeats, randomly.allowance)
+	if retries := endpoints.arrived - 1; float64(retries) > randomCase.allowance {
+		t.Errorf("got %d retries, want at most %g", retries, randomCase.allowance)
 	}
 }
 
-// checkLeft tells whether anything is left of a request that ended.
-func checkLeft(t *testing.T, fixture *fixture, played *playedEndpoints) {
+// checkReleased checks that nothing is left of a request that ended.
+func checkReleased(t *testing.T, fixture *fixture, endpoints *randomEndpoints) {
 	t.Helper()
 	synctest.Wait()
-	for _, play := range played.plays {
-		if !play.ended {
-			t.Errorf("got the run of %s left, want that it has ended", play.begun)
+	for _, behavior := range endpoints.behaviors {
+		if !behavior.ended {
+			t.Errorf("got the run begun at %s still active, want it ended", behavior.startedAt)
 		}
 	}
-	if got := len(fixture.endpoints.held); got != 0 {
+	if got := len(fixture.endpoints.reservations); got != 0 {
 		t.Errorf("got %d reservations left, want none", got)
 	}
 	for _, work := range fixture.board.Works("") {
 		if strings.HasPrefix(string(work.ID), "r1.") {
-			t.Errorf("got the place of %s left, want it free", work.ID)
+			t.Errorf("got the slot of %s still taken, want it free", work.ID)
 		}
 	}
 }
--- a/core/duty/dogwoodrelay/relay.go
+++ b/core/duty/dogwoodrelay/relay.go
@@ -1,12 +1,12 @@
-// Package dogwoodrelay carries one attempt of a caller to an endpoint and its answer back,
-// byte for byte. It is for callers whose every attempt enters the system through one daemon
-// and one connection, with an ID of its own: that daemon alone decides how often it is
-// sent, so at most once needs no claim in a store. A resend under the same promise, over
-// other daemons, is what dogwooddispatch and dogwoodclaim are for.
+// Package dogwoodrelay forwards a caller's attempt to an endpoint and returns the answer
+// byte for byte. It serves callers that send each attempt through one daemon and one
+// connection under a unique ID. That daemon alone decides how often the attempt is sent, so
+// at-most-once execution needs no claim in a store. dogwooddispatch and dogwoodclaim handle
+// requests that are resent under the same guarantee through other daemons.
 //
-// Its rule is one truthful outcome for each attempt. A refusal says "not run" only if no
-// try of it can have begun at an endpoint; a request that may run once is sent on once, but
-// for tries that certainly did not begin.
+// Each attempt gets one accurate outcome. A failure reports "not run" only if no try of the
+// attempt can have begun at an endpoint. A request that may run only once is tried again
+// only after tries that certainly did not begin.
 package dogwoodrelay
 
 import (
@@ -31,31 +31,32 @@
 
 // Request is one attempt of a caller.
 type Request struct {
-	// ID is the caller's own for this attempt.
+	// ID is unique to this attempt.
 	ID       string
 	Customer dogwoodfleet.Customer
 	Service  dogwoodfleet.Service
 	Route    *dogwoodroute.Route
 	Method   string
-	// Target is the path and query as the caller wrote them.
+	// Target is the path and query exactly as received.
 	Target string
 	Host   string
-	// Header holds the headers to pass on.
+	// Header holds the headers to forward.
 	Header http.Header
 	Body   []byte
-	// Arrived and Deadline are on this daemon's clock. The deadline is the caller's or the
-	// route's, whichever comes first.
+	// Arrived and Deadline are times of this daemon's clock. Deadline is the earlier of the
+	// caller's and the route's.
 	Arrived, Deadline time.Time
-	// Prompt and Answer are the tokens of the prompt and the most of the answer; 0 for plain
-	// calls.
+	// Prompt is the number of prompt tokens and Answer the maximum number of answer tokens;
+	// both are 0 for plain calls.
 	Prompt, Answer int
-	// LastEvent is the event after which the caller wants a stream to go on; empty for all.
+	// LastEvent is the ID of the event after which a stream resumes; empty for the whole stream.
 	LastEvent string
-	// Keyed requests were accepted by a key and are refused while it may have been withdrawn.
+	// Keyed is true if the request was authorized by a key. It is rejected while that key may
+	// have been withdrawn.
 	Keyed bool
 }
 
-// repeatable reports whether running the request twice does no harm.
+// repeatable reports whether the request can safely run more than once.
 func (request *Request) repeatable() bool {
 	switch request.Route.Repeat {
 	case dogwoodroute.Idempotent:
@@ -67,108 +68,108 @@
 	}
 }
 
-// plain tells a call that is answered as a whole from a prompt.
-func (request *Request) plain() bool { return request.Prompt == 0 }
+// isPlain reports whether the request is a call with a single whole answer, not a prompt.
+func (request *Request) isPlain() bool { return request.Prompt == 0 }
 
-// Answer takes what goes to the caller.
+// Answer receives the response to the caller.
 type Answer interface {
 	// Begin sends the status and headers.
 	Begin(status int, header http.Header) error
-	// Write sends bytes of the body at once. An error means that the caller is gone.
+	// Write sends body bytes without buffering. An error means that the caller is gone.
 	Write(data []byte) error
 }
 
-// Helper is an engine that helps with a prompt.
+// Helper is an engine that processes a part of a prompt for the primary engine.
 type Helper struct {
 	Address netip.AddrPort
-	// Ticket names the memory that was reserved there; empty if it only reads.
+	// Ticket identifies the memory reserved there; empty if the helper only prefills.
 	Ticket string
 }
 
-// Order is a request for an endpoint.
+// Order is one try: a request with the endpoint that it is sent to.
 type Order struct {
 	Request  *Request
 	Endpoint dogwoodfleet.Endpoint
-	// Left is the time after which the endpoint may stop.
+	// Left is the time left until the deadline, after which the endpoint may stop.
 	Left time.Duration
-	// LastEvent has a stream go on after that event.
+	// LastEvent is the ID of the event after which the endpoint resumes the stream.
 	LastEvent string
 	Helpers   []Helper
 }
 
-// Response is what an endpoint answered.
+// Response is an endpoint's response to an order.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.ReadCloser
-	// NotRun is the endpoint's own word that it did not begin and never will.
+	// NotRun is true if the endpoint reported that it did not begin the request and never will.
 	NotRun bool
-	// OtherInstance means that the address belongs to another endpoint now.
+	// OtherInstance is true if the address now belongs to another endpoint.
 	OtherInstance bool
-	// Genuine is false for a success that lacks the endpoint's mark: its bytes are not the
-	// answer.
+	// Genuine is false for a success without the endpoint's seal. Its body is not the answer.
 	Genuine bool
-	// Fault is the endpoint that a joint request failed at, if another one.
+	// Fault is the helper at which a joint request failed, if one did.
 	Fault netip.AddrPort
 }
 
 // Endpoints sends requests to endpoints. Its errors are *NotSent and *Broken.
 type Endpoints interface {
 	Send(ctx context.Context, order *Order) (*Response, error)
-	// Reserve keeps or renews memory for a prompt under a ticket.
+	// Reserve reserves memory for a prompt under a ticket, or renews the reservation.
 	Reserve(ctx context.Context, endpoint dogwoodfleet.Endpoint, ticket string, tokens int, lease time.Duration) error
-	// Release gives the memory back.
+	// Release releases the memory reserved under a ticket.
 	Release(ctx context.Context, endpoint dogwoodfleet.Endpoint, ticket string) error
 }
 
-// Places gives requests their place and learns how they fared.
+// Places assigns requests to endpoints and records their results.
 type Places interface {
 	Place(now time.Time, ask *dogwoodpacking.Ask) (dogwoodpacking.Placement, dogwoodpacking.Refusal)
 	Writes(id dogwoodpacking.WorkID, predicted, seen time.Duration)
 	Paced(endpoint dogwoodfleet.EndpointID, pause time.Duration)
 	End(id dogwoodpacking.WorkID)
 	Failed(now time.Time, endpoint dogwoodfleet.EndpointID)
-	Avoid(now time.Time, endpoint dogwoodfleet.EndpointID, how time.Duration)
+	Avoid(now time.Time, endpoint dogwoodfleet.EndpointID, duration time.Duration)
 	Changed() <-chan struct{}
-	// Other reports whether the service has an endpoint that the ask does not avoid.
+	// Other reports whether the service has an endpoint that the request doesn't avoid.
 	Other(ask *dogwoodpacking.Ask) bool
 }
 
-// Metrics takes latencies by name and label.
+// Metrics records latencies by name and label.
 type Metrics interface {
 	Observe(name, label string, duration time.Duration)
 }
 
-// noMetrics takes latencies and forgets them.
+// noMetrics discards latencies.
 type noMetrics struct{}
 
-// Observe forgets a latency.
+// Observe does nothing.
 func (noMetrics) Observe(string, string, time.Duration) {}
 
-// Options are what a relay is made from.
+// Options configures a Relay.
 type Options struct {
 	Places    Places
 	Endpoints Endpoints
 	// Retries is this daemon's share of the retry budget.
 	Retries *dogwoodretry.Shared
-	// Daemons is how many share it.
+	// Daemons returns the number of daemons that share the budget.
 	Daemons func() int
-	// Fresh reports whether no key can have been withdrawn unseen for too long.
+	// Fresh reports whether the keys were confirmed recently enough that none can have been
+	// withdrawn unnoticed for too long.
 	Fresh func() bool
 	Place dogwoodfleet.Place
-	// UnusedMemory is how long memory may stay set aside without being used; 0 for any time.
+	// UnusedMemory is how long reserved memory may stay unused; 0 for no limit.
 	UnusedMemory time.Duration
-	// Metrics takes latencies; nil for none.
+	// Metrics records latencies; nil for none.
 	Metrics Metrics
-	// Logger takes one line for each decision.
+	// Logger receives one line for each decision.
 	Logger hclog.Logger
 }
 
 // Relay serves attempts. It is safe for concurrent use.
 type Relay struct {
 	options    Options
-	line       line
-	alive      alive
+	queue      queue
+	liveness   liveness
 	background errgroup.Group
 }
 
@@ -177,28 +178,28 @@
 	if options.Metrics == nil {
 		options.Metrics = noMetrics{}
 	}
-	return &Relay{options: options, line: line{places: options.Places}}
+	return &Relay{options: options, queue: queue{places: options.Places}}
 }
 
-// Run finds places for those who wait, until the context ends.
+// Run places waiting tries until the context ends.
 func (relay *Relay) Run(ctx context.Context) error {
-	return relay.line.run(ctx)
+	return relay.queue.run(ctx)
 }
 
-// RetriesLeft is how many repeats this daemon may still make of requests to the service that
-// has the fewest left.
+// RetriesLeft returns how many retries this daemon may still make for the service that has
+// the fewest left.
 func (relay *Relay) RetriesLeft() float64 {
 	return relay.options.Retries.Left(time.Now(), relay.options.Daemons())
 }
 
-// Waiting is how many tries wait for a place.
+// Waiting returns the number of tries that wait for a slot.
 func (relay *Relay) Waiting() int {
-	relay.line.mutex.Lock()
-	defer relay.line.mutex.Unlock()
-	return len(relay.line.waiters)
+	relay.queue.mutex.Lock()
+	defer relay.queue.mutex.Unlock()
+	return len(relay.queue.waiters)
 }
 
-// Wait waits until the memory of all requests that ended is given back.
+// Wait waits until the memory of all ended requests is released.
 func (relay *Relay) Wait() {
 	_ = relay.background.Wait() // releases log their failures
 }
--- a/core/duty/dogwoodrelay/relay_test.go
+++ b/core/duty/dogwoodrelay/relay_test.go
@@ -23,10 +23,10 @@
 	return failure
 }
 
-// A buyer reserves a car and the server's connection breaks before the answer. Whether the
-// reservation holds is not known; a second send could hold the car twice.
+// The connection to the server breaks before a reservation is answered. Whether it ran is unknown,
+// and a second send could make the reservation twice.
 func TestACallThatMayHaveRunIsNotSentAgain(t *testing.T) {
-	story(t, nil, []step{fails(&Broken{Cause: errors.New("reset")}), responds(200, "second")}, func(t *testing.T, fixture *fixture) {
+	runRelayTest(t, nil, []step{fails(&Broken{Cause: errors.New("reset")}), responds(200, "second")}, func(t *testing.T, fixture *fixture) {
 		err := fixture.relay.Serve(t.Context(), plainRequest(dogwoodroute.Once), fixture.answer)
 		if got, want := failureOf(t, err).Run, dogwoodfleet.RunUnknown; got != want {
 			t.Errorf("got %s, want %s", got, want)
@@ -37,8 +37,8 @@
 	})
 }
 
-// The server that a reservation goes to is gone, or says that it did not begin. It did not
-// run, so another server gets it, and the caller sees nothing of it.
+// The server of a call is gone or reports that it did not begin. The call did not run, so another
+// server gets it and the caller doesn't notice.
 func TestACallThatDidNotRunIsSentElsewhere(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -50,7 +50,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			story(t, nil, []step{test.first, responds(200, "held")}, func(t *testing.T, fixture *fixture) {
+			runRelayTest(t, nil, []step{test.first, responds(200, "held")}, func(t *testing.T, fixture *fixture) {
 				if err := fixture.relay.Serve(t.Context(), plainRequest(dogwoodroute.Once), fixture.answer); err != nil {
 					t.Fatal(err)
 				}
@@ -65,16 +65,16 @@
 	}
 }
 
-// A whole data centre has just died, and its idle endpoints look like the best ones. Each
-// refuses the connection at once, which costs a millisecond; the request must get through to
-// the one endpoint that lives.
-func TestEndpointsThatRefuseConnectionsAreAllPassedOver(t *testing.T) {
+// All endpoints of a data centre have just died, and since they are idle they are preferred. Each
+// refuses the connection at once, which costs a millisecond. The request must reach the one
+// endpoint that is alive.
+func TestRequestSkipsEndpointsThatRefuseConnections(t *testing.T) {
 	const dead = 9
 	var script []step
 	for range dead {
 		script = append(script, fails(&NotSent{Cause: errors.New("refused")}))
 	}
-	story(t, nil, append(script, responds(200, "held")), func(t *testing.T, fixture *fixture) {
+	runRelayTest(t, nil, append(script, responds(200, "held")), func(t *testing.T, fixture *fixture) {
 		fixture.setEndpoints(dead+1, nil)
 		if err := fixture.relay.Serve(t.Context(), plainRequest(dogwoodroute.Once), fixture.answer); err != nil {
 			t.Fatal(err)
@@ -85,14 +85,14 @@
 	})
 }
 
-// A server takes connections and never answers. Calls that must not be repeated wait there
-// until their time limit; the next ones must not all be sent there too.
-func TestAServerThatNeverAnswersGetsLess(t *testing.T) {
+// A server accepts connections and never answers. Calls that must not be repeated wait there
+// until their deadline; the next calls must not be sent there too.
+func TestServerThatNeverAnswersIsAvoided(t *testing.T) {
 	hangs := func(ctx context.Context) (*Response, error) {
 		<-ctx.Done()
 		return nil, &Broken{Cause: ctx.Err()}
 	}
-	story(t, nil, []step{hangs, responds(200, "held")}, func(t *testing.T, fixture *fixture) {
+	runRelayTest(t, nil, []step{hangs, responds(200, "held")}, func(t *testing.T, fixture *fixture) {
 		_ = fixture.relay.Serve(t.Context(), plainRequest(dogwoodroute.Once), fixture.answer) // it hangs
 		silent := fixture.endpoints.sends[0].endpoint
 		for range 6 {
@@ -102,22 +102,22 @@
 		}
 		for _, sent := range fixture.endpoints.sends[1:] {
 			if sent.endpoint == silent {
-				t.Error("a call went to the server that never answers")
+				t.Error("a call was sent to the server that never answers")
 			}
 		}
 	})
 }
 
-// All servers say that they did not begin. The refusal may say so, since it is true, and
-// tells when to come back.
-func TestARefusalSaysNotRunOnlyIfThatIsTrue(t *testing.T) {
-	story(t, nil, []step{notRun(http.StatusServiceUnavailable)}, func(t *testing.T, fixture *fixture) {
+// All servers report that they did not begin. The failure then reports "not run" and when to
+// retry. After a try that may have run, it must not report "not run".
+func TestFailureReportsNotRunOnlyIfTrue(t *testing.T) {
+	runRelayTest(t, nil, []step{notRun(http.StatusServiceUnavailable)}, func(t *testing.T, fixture *fixture) {
 		failure := failureOf(t, fixture.relay.Serve(t.Context(), plainRequest(dogwoodroute.Once), fixture.answer))
 		if failure.Run != dogwoodfleet.NotRun || failure.RetryAfter <= 0 {
 			t.Errorf("got %s and a wait of %s, want %s and some", failure.Run, failure.RetryAfter, dogwoodfleet.NotRun)
 		}
 	})
-	story(t, nil, []step{fails(&Broken{Cause: errors.New("reset")}), notRun(http.StatusServiceUnavailable)}, func(t *testing.T, fixture *fixture) {
+	runRelayTest(t, nil, []step{fails(&Broken{Cause: errors.New("reset")}), notRun(http.StatusServiceUnavailable)}, func(t *testing.T, fixture *fixture) {
 		failure := failureOf(t, fixture.relay.Serve(t.Context(), plainRequest(dogwoodroute.Idempotent), fixture.answer))
 		if got, want := failure.Run, dogwoodfleet.RunUnknown; got != want {
 			t.Errorf("after a try that may have run: got %s, want %s", got, want)
@@ -125,14 +125,14 @@
 	})
 }
 
-// A daemon has heard nothing from the store for too long, and a key may have been
-// withdrawn. Nothing that needs a key may be sent, not even once.
-func TestStaleStateSendsNothing(t *testing.T) {
-	story(t, nil, []step{responds(200, "x")}, func(t *testing.T, fixture *fixture) {
+// A daemon has had no confirmation from the store for too long, so a key may have been withdrawn.
+// No request that needs a key may be sent, not even once.
+func TestStaleKeysBlockSends(t *testing.T) {
+	runRelayTest(t, nil, []step{responds(200, "x")}, func(t *testing.T, fixture *fixture) {
 		fixture.stale.Store(true)
 		failure := failureOf(t, fixture.relay.Serve(t.Context(), plainRequest(dogwoodroute.Idempotent), fixture.answer))
 		if failure.Reason != dogwoodfleet.ReasonStore || failure.Run != dogwoodfleet.NotRun {
-			t.Errorf("got %v, want a refusal for the store's silence", failure)
+			t.Errorf("got %v, want a failure because of the store", failure)
 		}
 		public := plainRequest(dogwoodroute.Idempotent)
 		public.Keyed = false
@@ -145,16 +145,16 @@
 	})
 }
 
-// A success without the server's mark, or a body that breaks off, is no answer. A look-up
-// is asked again; its caller gets the whole answer of the second server.
-func TestAnswersThatAreNoneAreAskedForAgain(t *testing.T) {
+// A success without the server's seal, a body that breaks off and a server error are not answers. An
+// idempotent call is retried, and its caller gets the whole answer of the second server.
+func TestInvalidAnswersAreRetried(t *testing.T) {
 	forged := func(context.Context) (*Response, error) {
 		response, err := responds(200, "forged")(t.Context())
 		response.Genuine = false
 		return response, err
 	}
 	for _, first := range []step{forged, breaksOff("half"), responds(500, "failed")} {
-		story(t, nil, []step{first, responds(200, "whole")}, func(t *testing.T, fixture *fixture) {
+		runRelayTest(t, nil, []step{first, responds(200, "whole")}, func(t *testing.T, fixture *fixture) {
 			if err := fixture.relay.Serve(t.Context(), plainRequest(dogwoodroute.Idempotent), fixture.answer); err != nil {
 				t.Fatal(err)
 			}
@@ -165,9 +165,9 @@
 	}
 }
 
-// Both servers fail a look-up by themselves: their own answer is passed on as it is.
-func TestAServersOwnFailureIsPassedOn(t *testing.T) {
-	story(t, nil, []step{responds(500, "failed")}, func(t *testing.T, fixture *fixture) {
+// Both servers answer an idempotent call with a failure, which is forwarded unchanged.
+func TestServerFailureIsForwarded(t *testing.T) {
+	runRelayTest(t, nil, []step{responds(500, "failed")}, func(t *testing.T, fixture *fixture) {
 		if err := fixture.relay.Serve(t.Context(), plainRequest(dogwoodroute.Idempotent), fixture.answer); err != nil {
 			t.Fatal(err)
 		}
@@ -180,10 +180,10 @@
 	})
 }
 
-// Guards against a failure that is too large to be held and passed on in part.
-func TestALargeFailureIsPassedOnWhole(t *testing.T) {
-	large := strings.Repeat("x", 2*wholeBytes)
-	story(t, nil, []step{responds(500, large)}, func(t *testing.T, fixture *fixture) {
+// Guards against a failure that is forwarded only in part because it is too large to be held.
+func TestLargeFailureIsForwardedWhole(t *testing.T) {
+	large := strings.Repeat("x", 2*maxHeldBytes)
+	runRelayTest(t, nil, []step{responds(500, large)}, func(t *testing.T, fixture *fixture) {
 		if err := fixture.relay.Serve(t.Context(), plainRequest(dogwoodroute.Idempotent), fixture.answer); err != nil {
 			t.Fatal(err)
 		}
@@ -198,11 +198,11 @@
 	lastEvents  = "id: 3\ndata: c\n\n"
 )
 
-// A stream breaks off in the middle of an event. It goes on at another engine after the
-// last whole one, and its reader sees one answer with the first engine's headers.
-func TestABrokenStreamGoesOnWithoutASeam(t *testing.T) {
+// A stream breaks off in the middle of an event. It resumes at another engine after the last whole
+// event, and the caller gets one answer with the first engine's headers.
+func TestBrokenStreamResumesWithoutGap(t *testing.T) {
 	script := []step{breaksOff(firstEvents + "id: 3\nda"), responds(200, "id: 2\ndata: b\n\n"+lastEvents)}
-	story(t, testEngine, script, func(t *testing.T, fixture *fixture) {
+	runRelayTest(t, testEngine, script, func(t *testing.T, fixture *fixture) {
 		if err := fixture.relay.Serve(t.Context(), streamRequest(), fixture.answer); err != nil {
 			t.Fatal(err)
 		}
@@ -218,37 +218,36 @@
 	})
 }
 
-// The engine of a stream is gone without a word: its connection is open and silent. Only
-// the silence shows it, and the reader must not wait for longer than it bears.
-func TestASilentStreamMoves(t *testing.T) {
+// The engine of a stream is gone, but its connection stays open. Silence is the only sign of it, and
+// the caller must not wait longer than it tolerates.
+func TestSilentStreamMovesToAnotherEngine(t *testing.T) {
 	for _, silent := range []step{fallsSilent(""), fallsSilent(firstEvents)} {
-		story(t, testEngine, []step{silent, responds(200, firstEvents+lastEvents)}, func(t *testing.T, fixture *fixture) {
-			begun := time.Now()
+		runRelayTest(t, testEngine, []step{silent, responds(200, firstEvents+lastEvents)}, func(t *testing.T, fixture *fixture) {
+			start := time.Now()
 			if err := fixture.relay.Serve(t.Context(), streamRequest(), fixture.answer); err != nil {
 				t.Fatal(err)
 			}
 			if got, want := fixture.answer.body.String(), firstEvents+lastEvents; got != want {
 				t.Errorf("got %q, want %q", got, want)
 			}
-			if got := time.Since(begun); got > 2*time.Second {
+			if got := time.Since(start); got > 2*time.Second {
 				t.Errorf("got the rest after %s, want it within 2 s", got)
 			}
 		})
 	}
 }
 
-// An event comes in the very moment in which the silence was too long, and its caller takes
-// it slowly. The silence is then too long a second time before the stream moves, which must
-// not end the daemon.
-func TestSilenceThatIsOverTwice(t *testing.T) {
-	script := []step{pauses("", firstLeast, firstEvents+lastEvents)}
-	story(t, testEngine, script, func(t *testing.T, fixture *fixture) {
-		slow := &slowCaller{recorder: fixture.answer, takes: 2 * time.Second}
+// An event arrives at the moment at which the silence limit passes, and the caller reads it slowly. The
+// limit then passes a second time before the stream moves, which must not crash the daemon.
+func TestSilenceLimitPassesTwice(t *testing.T) {
+	script := []step{pauses("", minFirstEventLimit, firstEvents+lastEvents)}
+	runRelayTest(t, testEngine, script, func(t *testing.T, fixture *fixture) {
+		slow := &slowCaller{recorder: fixture.answer, delay: 2 * time.Second}
 		var group sync.WaitGroup
 		var err error
 		group.Go(func() { err = fixture.relay.Serve(t.Context(), streamRequest(), slow) })
 		synctest.Wait()
-		fixture.take(t, 3*testEngine.Slots-1)
+		fixture.takeSlots(t, 3*testEngine.Slots-1)
 		group.Wait()
 		if got, want := fixture.answer.body.String(), firstEvents+lastEvents; err != nil || got != want {
 			t.Errorf("got %q and %v, want %q", got, err, want)
@@ -259,28 +258,28 @@
 	})
 }
 
-// slowCaller takes each event slowly.
+// slowCaller delays each write.
 type slowCaller struct {
 	*recorder
-	takes time.Duration
+	delay time.Duration
 }
 
 func (slow *slowCaller) Write(data []byte) error {
-	time.Sleep(slow.takes)
+	time.Sleep(slow.delay)
 	return slow.recorder.Write(data)
 }
 
-// An engine is busy with others and keeps one stream waiting. Moving it would have its
-// prompt read again at an engine that is as busy.
+// An engine is busy with other streams and delays one. Moving that stream would prefill its prompt
+// again at an engine that is just as busy.
 func TestAStreamStaysAtABusyEngine(t *testing.T) {
 	slow := delayed(3*time.Second, responds(200, firstEvents))
-	story(t, testEngine, []step{slow}, func(t *testing.T, fixture *fixture) {
+	runRelayTest(t, testEngine, []step{slow}, func(t *testing.T, fixture *fixture) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var others sync.WaitGroup
 		others.Go(func() {
 			for ctx.Err() == nil {
 				for _, id := range []dogwoodfleet.EndpointID{"a", "b", "c"} {
-					fixture.relay.alive.note(time.Now(), id)
+					fixture.relay.liveness.record(time.Now(), id)
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -296,10 +295,10 @@
 	})
 }
 
-// A stream has begun and no engine is left to go on. It must end so that its reader sees
-// that it is not whole.
-func TestAStreamThatCantGoOnIsCut(t *testing.T) {
-	story(t, testEngine, []step{breaksOff(firstEvents)}, func(t *testing.T, fixture *fixture) {
+// A stream has begun and no engine is left to resume it. It must end in such a way that the caller
+// sees that it is incomplete.
+func TestStreamThatCannotResumeIsCut(t *testing.T) {
+	runRelayTest(t, testEngine, []step{breaksOff(firstEvents)}, func(t *testing.T, fixture *fixture) {
 		err := fixture.relay.Serve(t.Context(), streamRequest(), fixture.answer)
 		if !errors.Is(err, ErrCut) {
 			t.Errorf("got %v, want ErrCut", err)
@@ -310,10 +309,10 @@
 	})
 }
 
-// A caller leaves while its answer is written: the engine is told at once by the end of
-// the connection, and its slot is free for others.
+// A caller leaves while its answer is sent. The engine's connection is closed at once, and its
+// slot is free for other requests.
 func TestACallerThatLeavesFreesItsSlot(t *testing.T) {
-	story(t, testEngine, []step{fallsSilent(firstEvents)}, func(t *testing.T, fixture *fixture) {
+	runRelayTest(t, testEngine, []step{fallsSilent(firstEvents)}, func(t *testing.T, fixture *fixture) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
 		var err error
@@ -324,18 +323,18 @@
 		if !errors.Is(err, ErrCallerGone) {
 			t.Errorf("got %v, want ErrCallerGone", err)
 		}
-		fixture.take(t, 3*testEngine.Slots)
+		fixture.takeSlots(t, 3*testEngine.Slots)
 	})
 }
 
-// An engine does not answer in the time that the route allows. The caller gets its final
-// answer at that moment and not at the end of its own, longer time.
+// A server does not answer in the time that the route allows. The caller gets the failure at that
+// time and not at its own, later deadline.
 func TestTheTimeLimitEndsTheAttempt(t *testing.T) {
 	hangs := func(ctx context.Context) (*Response, error) {
 		<-ctx.Done()
 		return nil, &Broken{Cause: ctx.Err()}
 	}
-	story(t, nil, []step{hangs}, func(t *testing.T, fixture *fixture) {
+	runRelayTest(t, nil, []step{hangs}, func(t *testing.T, fixture *fixture) {
 		request := plainRequest(dogwoodroute.Once)
 		failure := failureOf(t, fixture.relay.Serve(t.Context(), request, fixture.answer))
 		if failure.Reason != dogwoodfleet.ReasonDeadline || failure.Run != dogwoodfleet.RunUnknown {
@@ -347,9 +346,9 @@
 	})
 }
 
-// A prompt of two and a half times an engine's memory is kept on three engines. The memory
-// is given back whatever comes of it, and none is kept if one engine has none free.
-func TestMemoryIsGivenBack(t *testing.T) {
+// A prompt of two and a half times an engine's memory needs three engines. The memory is released
+// whatever the outcome, and none stays reserved if one engine has none free.
+func TestMemoryIsReleased(t *testing.T) {
 	tests := []struct {
 		name   string
 		script []step
@@ -361,15 +360,15 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			story(t, testEngine, test.script, func(t *testing.T, fixture *fixture) {
+			runRelayTest(t, testEngine, test.script, func(t *testing.T, fixture *fixture) {
 				if test.refuse != "" {
-					fixture.endpoints.refuse[test.refuse] = true
+					fixture.endpoints.noFreeMemory[test.refuse] = true
 				}
 				request := streamRequest()
 				request.Prompt, request.Route.Aim = 250_000, 10*time.Second
 				_ = fixture.relay.Serve(t.Context(), request, fixture.answer) // the memory is what counts here
 				fixture.relay.Wait()
-				if got := len(fixture.endpoints.held); got != 0 {
+				if got := len(fixture.endpoints.reservations); got != 0 {
 					t.Errorf("got %d reservations left, want none", got)
 				}
 			})
@@ -378,7 +377,7 @@
 }
 
 func TestHelpersGetTheirTickets(t *testing.T) {
-	story(t, testEngine, []step{responds(200, firstEvents)}, func(t *testing.T, fixture *fixture) {
+	runRelayTest(t, testEngine, []step{responds(200, firstEvents)}, func(t *testing.T, fixture *fixture) {
 		request := streamRequest()
 		request.Prompt, request.Route.Aim = 150_000, 10*time.Second
 		if err := fixture.relay.Serve(t.Context(), request, fixture.answer); err != nil {
@@ -391,8 +390,8 @@
 	})
 }
 
-func TestWhatCanNeverFitIsRefusedAtOnce(t *testing.T) {
-	story(t, testEngine, []step{responds(200, firstEvents)}, func(t *testing.T, fixture *fixture) {
+func TestOversizedPromptIsRejectedAtOnce(t *testing.T) {
+	runRelayTest(t, testEngine, []step{responds(200, firstEvents)}, func(t *testing.T, fixture *fixture) {
 		request := streamRequest()
 		request.Prompt = 100_000_000
 		failure := failureOf(t, fixture.relay.Serve(t.Context(), request, fixture.answer))
@@ -402,10 +401,10 @@
 	})
 }
 
-// The retry budget of a service is used up while its servers fail. Further failures go to
-// the callers instead of making the load twice as large.
-func TestTheBudgetEndsRetries(t *testing.T) {
-	story(t, nil, []step{fails(&Broken{Cause: errors.New("reset")})}, func(t *testing.T, fixture *fixture) {
+// The retry budget of a service is used up while its servers fail. Further failures are returned to
+// the callers instead of doubling the load.
+func TestRetryBudgetLimitsRetries(t *testing.T) {
+	runRelayTest(t, nil, []step{fails(&Broken{Cause: errors.New("reset")})}, func(t *testing.T, fixture *fixture) {
 		const calls = 100
 		for range calls {
 			_ = fixture.relay.Serve(t.Context(), plainRequest(dogwoodroute.Idempotent), &recorder{}) // all fail
--- a/core/duty/dogwoodrelay/run.go
+++ b/core/duty/dogwoodrelay/run.go
@@ -12,75 +12,77 @@
 	"dogwoodmux.example/core/decision/dogwoodpacking"
 )
 
-// readsFor is how many times the predicted time a prompt may take to be read whatever memory its
-// helpers have set aside: an engine that reads uses that memory, and writes nothing meanwhile.
-const readsFor = 2
+// prefillFactor is how many times the predicted time a run may take before its helpers' memory can
+// count as unused. An engine that prefills uses that memory but sends no event in the meantime.
+const prefillFactor = 2
 
 var (
 	errSilent = errors.New("the endpoint fell silent")
-	// errEnded means that a stream has ended as a whole one does.
-	errEnded = errors.New("the stream has ended")
+	// errStreamEnded means that a stream has ended normally.
+	errStreamEnded = errors.New("the stream has ended")
 	// errUnusable means that the endpoint answered, but did not begin or failed.
 	errUnusable = errors.New("the endpoint did not begin or failed")
 )
 
-// run is a request at one endpoint. A plain call brings its whole answer as one event.
+// run is a request at one endpoint. The whole answer of a plain call is returned as one event.
 type run struct {
-	*prepared
-	// send sends the request; it is called once. Like cause, which is why the run was cancelled, it is
-	// bound to the run's context, since contexts are not kept in structs.
+	*preparedTry
+	// send sends the request; it is called once. cause returns why the run was cancelled. Both are
+	// closures over the run's context, since contexts are not stored in structs.
 	send   func() (*Response, error)
 	cause  func() error
 	cancel context.CancelCauseFunc
-	// sent is when the request was sent.
-	sent     time.Time
+	// sentAt is when the request was sent.
+	sentAt   time.Time
 	response *Response
-	events   *events
+	events   *eventReader
 	pace     pace
-	// writes is true from the first event on.
-	writes bool
-	// ahead is what peek read.
-	ahead *readAhead
-	// unused ends a run whose helpers' memory nobody uses; nil if none have any.
-	unused *time.Timer
-	// used is true once the memory is used, or is about to be given back.
-	used atomic.Bool
-}
-
-// readAhead is an event that was read before it was asked for.
-type readAhead struct {
+	// firstEventSeen is true from the first event on.
+	firstEventSeen bool
+	// peeked is the event that peek read; nil for none.
+	peeked *peekedEvent
+	// unusedTimer ends a run whose helpers' memory stays unused; nil if no memory is reserved.
+	unusedTimer *time.Timer
+	// memoryUsed is true once the memory is used or about to be released.
+	memoryUsed atomic.Bool
+}
+
+// peekedEvent is the result of a read that next has not returned yet.
+type peekedEvent struct {
 	event event
 	err   error
 }
 
-func newRun(ctx context.Context, prepared *prepared) *run {
+func newRun(ctx context.Context, preparedTry *preparedTry) *run {
 	ctx, cancel := context.WithCancelCause(ctx)
-	made := &run{prepared: prepared, cancel: cancel, sent: time.Now()}
-	made.cause = func() error { return context.Cause(ctx) }
-	made.send = func() (*Response, error) { return prepared.attempt.relay.options.Endpoints.Send(ctx, prepared.order) }
-	made.boundMemory()
-	return made
+	run := &run{preparedTry: preparedTry, cancel: cancel, sentAt: time.Now()}
+	run.cause = func() error { return context.Cause(ctx) }
+	run.send = func() (*Response, error) {
+		return preparedTry.attempt.relay.options.Endpoints.Send(ctx, preparedTry.order)
+	}
+	run.limitUnusedMemory()
+	return run
 }
 
-// close ends the run and gives back what it has.
+// close ends the run and releases its resources.
 func (run *run) close() {
-	run.memoryUsed()
+	run.markMemoryUsed()
 	if run.response != nil {
 		closeBody(run.response)
 	}
 	run.cancel(nil)
-	run.prepared.close()
+	run.preparedTry.close()
 }
 
-// next returns the next event, errEnded after the last. It sends the request first if that was not done.
+// next returns the next event, or errStreamEnded after the last one. The first call sends the request.
 func (run *run) next() (event, error) {
-	if ahead := run.ahead; ahead != nil {
-		run.ahead = nil
-		return ahead.event, ahead.err
+	if peeked := run.peeked; peeked != nil {
+		run.peeked = nil
+		return peeked.event, peeked.err
 	}
-	event, err := run.nextRead()
+	event, err := run.readNext()
 	if err == nil {
-		run.memoryUsed()
+		run.markMemoryUsed()
 	}
 	return event, err
 }
@@ -88,118 +90,118 @@
 // peek waits for the next event and keeps it for next.
 func (run *run) peek() error {
 	event, err := run.next()
-	run.ahead = &readAhead{event: event, err: err}
+	run.peeked = &peekedEvent{event: event, err: err}
 	return err
 }
 
-func (run *run) nextRead() (event, error) {
+func (run *run) readNext() (event, error) {
 	if run.response == nil {
 		if err := run.open(); err != nil {
 			return event{}, err
 		}
 	}
 	read := run.events.next
-	if run.attempt.request.plain() {
+	if run.attempt.request.isPlain() {
 		read = run.readWhole
 	}
-	found, err := read()
+	next, err := read()
 	switch {
 	case errors.Is(err, io.EOF):
-		return event{}, errEnded
+		return event{}, errStreamEnded
 	case err != nil:
-		return event{}, run.explain(&Broken{Cause: err})
+		return event{}, run.withCause(&Broken{Cause: err})
 	}
-	return found, nil
+	return next, nil
 }
 
-// readWhole reads a plain answer, one that is too large to be held only as far as it may be.
+// readWhole reads a plain answer. Of an answer larger than maxHeldBytes it reads one byte more than that.
 func (run *run) readWhole() (event, error) {
-	data, err := io.ReadAll(io.LimitReader(run.response.Body, wholeBytes+1))
+	data, err := io.ReadAll(io.LimitReader(run.response.Body, maxHeldBytes+1))
 	return event{raw: data}, err
 }
 
-// open sends the request. The error is errUnusable if what came back is not its answer.
+// open sends the request. It returns errUnusable if the response is not an answer.
 func (run *run) open() error {
 	response, err := run.send()
 	if err != nil {
-		return run.explain(err)
+		return run.withCause(err)
 	}
-	run.response, run.events = response, newEvents(response.Body)
-	if !run.answers() {
+	run.response, run.events = response, newEventReader(response.Body)
+	if !run.isAnswer() {
 		return errUnusable
 	}
 	return nil
 }
 
-// answers tells whether the response is an answer that may be passed on while there may be others.
-func (run *run) answers() bool {
+// isAnswer reports whether the response may be forwarded to the caller without trying another endpoint.
+func (run *run) isAnswer() bool {
 	response, request := run.response, run.attempt.request
 	success := response.Status >= 200 && response.Status < 300
 	switch {
 	case response.NotRun, response.OtherInstance, success && !response.Genuine:
 		return false
-	case request.plain():
+	case request.isPlain():
 		return response.Status < http.StatusInternalServerError || !request.repeatable()
 	default:
 		return response.Status == http.StatusOK
 	}
 }
 
-// goesOn tells whether what next returned belongs to an answer that goes on or has ended, and not to a
-// run of which no more will come.
-func (run *run) goesOn(err error) bool {
-	return err == nil || errors.Is(err, errEnded) || run.rejected(err)
+// continues reports whether err, as returned by next, belongs to an answer that continues or is complete.
+// It returns false for a run that has failed.
+func (run *run) continues(err error) bool {
+	return err == nil || errors.Is(err, errStreamEnded) || run.rejected(err)
 }
 
-// rejected tells whether the endpoint's answer is that the request itself is wrong. Others would say so too.
+// rejected reports whether the endpoint rejected the request as invalid. Other endpoints would reject it too.
 func (run *run) rejected(err error) bool {
 	return errors.Is(err, errUnusable) && !run.response.NotRun && !run.response.OtherInstance &&
 		run.response.Status >= http.StatusMultipleChoices && run.response.Status < http.StatusInternalServerError
 }
 
-// firstSilence is the silence that is borne before the run's first event.
-func (run *run) firstSilence() time.Duration {
-	if request := run.attempt.request; request.plain() {
-		return max(hangAims*request.Route.Aim, leastHang)
+// firstEventLimit returns how long the run may take to its first event before another endpoint is tried.
+func (run *run) firstEventLimit() time.Duration {
+	if request := run.attempt.request; request.isPlain() {
+		return max(hangFactor*request.Route.Aim, minHangLimit)
 	}
-	return max(firstSilence*run.placement.Predicted, firstLeast)
+	return max(firstEventFactor*run.placement.Predicted, minFirstEventLimit)
 }
 
-// explain gives an error that the silence caused its cause.
-func (run *run) explain(err error) error {
+// withCause returns err, or a Broken error with errSilent as its cause if the run was cancelled because of silence.
+func (run *run) withCause(err error) error {
 	if errors.Is(run.cause(), errSilent) {
 		return &Broken{Cause: errSilent}
 	}
 	return err
 }
 
-// boundMemory ends the run if memory that its helpers have set aside would stay unused for too long.
-func (run *run) boundMemory() {
-	most := run.attempt.relay.options.UnusedMemory
-	if most <= 0 || !setsAside(run.placement) {
+// limitUnusedMemory ends the run if its helpers' reserved memory stays unused for too long.
+func (run *run) limitUnusedMemory() {
+	limit := run.attempt.relay.options.UnusedMemory
+	if limit <= 0 || !reservesMemory(run.placement) {
 		return
 	}
-	run.unused = time.AfterFunc(never, func() {
+	run.unusedTimer = time.AfterFunc(unarmed, func() {
 		switch {
-		case run.used.Load():
-		case run.attempt.relay.alive.lately(time.Now(), run.placement.Endpoint.ID):
-			run.unused.Reset(aliveAgain)
+		case run.memoryUsed.Load():
+		case run.attempt.relay.liveness.seenRecently(time.Now(), run.placement.Endpoint.ID):
+			run.unusedTimer.Reset(silenceRecheck)
 		default:
 			run.cancel(errSilent)
 		}
 	})
-	run.unused.Reset(max(most-releaseWithin, readsFor*run.placement.Predicted)) // only now, since the function uses the timer itself
+	run.unusedTimer.Reset(max(limit-releaseTimeout, prefillFactor*run.placement.Predicted)) // armed only now because the function uses the timer
 }
 
-// memoryUsed notes that the memory is used, or is about to be given back.
-func (run *run) memoryUsed() {
-	if run.unused != nil && !run.used.Swap(true) {
-		run.unused.Stop()
+// markMemoryUsed records that the memory is used or about to be released.
+func (run *run) markMemoryUsed() {
+	if run.unusedTimer != nil && !run.memoryUsed.Swap(true) {
+		run.unusedTimer.Stop()
 	}
 }
 
-// setsAside tells whether helpers keep memory for a prompt. An engine that goes dark before it reads
-// leaves that memory unused for as long as the daemon waits for it.
-func setsAside(placement dogwoodpacking.Placement) bool {
+// reservesMemory reports whether helpers reserve memory for a prompt. If the primary engine fails silently
+// before it prefills, that memory stays unused for as long as the daemon waits for the engine.
+func reservesMemory(placement dogwoodpacking.Placement) bool {
 	return slices.ContainsFunc(placement.Helpers, func(helper dogwoodpacking.Helper) bool { return helper.Tokens > 0 })
 }
--- a/core/duty/dogwoodrelay/second.go
+++ b/core/duty/dogwoodrelay/second.go
@@ -11,126 +11,126 @@
 )
 
 // openSecond sends the request to another endpoint and waits for its first event, or for the end of a
-// stream that has none left. It tries the next one if that fails, and returns nil if none does better.
-// The first of these was paid for.
+// stream that has no events left. If that fails, it tries the next endpoint. It returns nil if none
+// succeeds. The caller has already taken the retry for the first try.
 func (attempt *attempt) openSecond(ctx context.Context) *run {
-	paid := true
+	retryTaken := true
 	defer func() {
-		if paid {
+		if retryTaken {
 			attempt.relay.options.Retries.Return(time.Now(), attempt.request.Service)
 		}
 	}()
-	for attempt.unsentTries < mostUnsent && attempt.maySendMore() {
-		if !paid && !attempt.pay() {
+	for attempt.unsentTries < maxUnsentTries && attempt.mayHedge() {
+		if !retryTaken && !attempt.takeRetry() {
 			return nil
 		}
-		run, verdict := attempt.trySecond(ctx)
-		paid = run == nil && !verdict.arrived
+		run, tryResult := attempt.trySecond(ctx)
+		retryTaken = run == nil && !tryResult.reached
 		switch {
 		case run != nil:
 			return run
-		case !verdict.again || ctx.Err() != nil:
-			attempt.noSecond(ctx, verdict)
+		case !tryResult.retry || ctx.Err() != nil:
+			attempt.logNoSecond(ctx, tryResult)
 			return nil
-		case paid:
+		case retryTaken:
 			attempt.unsentTries++
 		}
 	}
 	return nil
 }
 
-// trySecond makes one try of a second run. Without an event it returns nil and what came of it.
-func (attempt *attempt) trySecond(ctx context.Context) (*run, verdict) {
-	prepared, failed := attempt.prepare(ctx)
-	if prepared == nil {
+// trySecond makes one try of a second run. If no event arrives, it returns nil and the result of the try.
+func (attempt *attempt) trySecond(ctx context.Context) (*run, tryResult) {
+	preparedTry, failed := attempt.prepare(ctx)
+	if preparedTry == nil {
 		return nil, failed
 	}
-	run := newRun(ctx, prepared)
-	stop := attempt.boundSecond(run)
+	run := newRun(ctx, preparedTry)
+	stop := attempt.limitSecondSilence(run)
 	err := run.peek()
 	stop()
-	if err == nil || errors.Is(err, errEnded) {
-		attempt.reached++
-		return run, verdict{}
+	if err == nil || errors.Is(err, errStreamEnded) {
+		attempt.reachedTries++
+		return run, tryResult{}
 	}
 	defer run.close()
 	var unsent *NotSent
-	found := attempt.judge(ctx, run, err)
-	if found.err != nil && !errors.As(err, &unsent) {
-		attempt.dropped()
-		found.arrived = true
+	result := attempt.classify(ctx, run, err)
+	if result.err != nil && !errors.As(err, &unsent) {
+		attempt.recordDropped()
+		result.reached = true
 	}
-	if found.arrived {
-		attempt.reached++
+	if result.reached {
+		attempt.reachedTries++
 	}
-	return nil, found
+	return nil, result
 }
 
-// boundSecond ends a second run that is silent itself once a third one may follow. It is bound until the
-// returned function is called.
-func (attempt *attempt) boundSecond(run *run) func() {
-	if attempt.sent+2 >= attempt.request.Route.Attempts {
+// limitSecondSilence ends a second run that is also silent as soon as a third one may follow. The limit
+// applies until the returned function is called.
+func (attempt *attempt) limitSecondSilence(run *run) func() {
+	if attempt.possibleRuns+2 >= attempt.request.Route.Attempts {
 		return func() {}
 	}
 	options, endpoint := &attempt.relay.options, run.placement.Endpoint.ID
 	var timer *time.Timer
 	var stopped atomic.Bool
-	timer = time.AfterFunc(never, func() {
+	timer = time.AfterFunc(unarmed, func() {
 		now := time.Now()
 		switch {
 		case stopped.Load():
-		case attempt.relay.alive.lately(now, endpoint), !options.Retries.Allows(now, attempt.request.Service, options.Daemons()):
-			timer.Reset(aliveAgain)
+		case attempt.relay.liveness.seenRecently(now, endpoint), !options.Retries.Allows(now, attempt.request.Service, options.Daemons()):
+			timer.Reset(silenceRecheck)
 		default:
 			run.cancel(errSilent)
 		}
 	})
-	timer.Reset(run.firstSilence()) // only now, since the function uses the timer itself
+	timer.Reset(run.firstEventLimit()) // armed only now because the function uses the timer
 	return func() {
 		stopped.Store(true)
 		timer.Stop()
 	}
 }
 
-// fresh tells whether no key of the request can have been withdrawn unseen for too long.
-func (attempt *attempt) fresh() bool {
+// keysFresh reports whether the request needs no key, or keys were confirmed recently enough.
+func (attempt *attempt) keysFresh() bool {
 	return !attempt.request.Keyed || attempt.relay.options.Fresh()
 }
 
-// pay takes a repeat from the budget for a second run.
-func (attempt *attempt) pay() bool {
+// takeRetry takes a retry from the budget for a second run.
+func (attempt *attempt) takeRetry() bool {
 	options := &attempt.relay.options
 	if !options.Retries.Take(time.Now(), attempt.request.Service, options.Daemons()) {
 		return false
 	}
 	counters.Add("Retries", 1)
-	options.Logger.Info(dogwoodlog.TryingAgain, "request", attempt.request.ID, "try", attempt.begun+1, "after", errSilent)
+	options.Logger.Info(dogwoodlog.TryingAgain, "request", attempt.request.ID, "try", attempt.tries+1, "after", errSilent)
 	return true
 }
 
-// noteSilence tells of an endpoint that brings nothing.
-func (attempt *attempt) noteSilence(endpoint dogwoodfleet.EndpointID, timerLate time.Duration) {
+// recordSilence counts and logs a silent endpoint.
+func (attempt *attempt) recordSilence(endpoint dogwoodfleet.EndpointID, timerLate time.Duration) {
 	counters.Add("Silent", 1)
 	attempt.relay.options.Logger.Info(dogwoodlog.Silent, "request", attempt.request.ID,
 		"endpoint", endpoint, "timerlate", timerLate)
 }
 
-// noSecond tells why no other endpoint is tried. One that is not needed any more needs no reason.
-func (attempt *attempt) noSecond(ctx context.Context, failed verdict) {
+// logNoSecond logs why no other endpoint is tried, unless the second run is no longer needed.
+func (attempt *attempt) logNoSecond(ctx context.Context, result tryResult) {
 	if ctx.Err() != nil {
 		return
 	}
-	why := failed.why
-	if failed.err != nil {
-		why = failed.err.Error()
+	why := result.reason
+	if result.err != nil {
+		why = result.err.Error()
 	}
 	attempt.relay.options.Logger.Info(dogwoodlog.NoFurtherTry, "request", attempt.request.ID, "why", why, "after", errSilent)
 }
 
-// dropped notes a second run that was ended because the first one went on, or with the request.
-func (attempt *attempt) dropped() {
-	attempt.sent++
-	if attempt.known == dogwoodfleet.NotRun {
-		attempt.known = dogwoodfleet.RunUnknown
+// recordDropped records a second run that was ended because the first one continued or the request ended.
+func (attempt *attempt) recordDropped() {
+	attempt.possibleRuns++
+	if attempt.runState == dogwoodfleet.NotRun {
+		attempt.runState = dogwoodfleet.RunUnknown
 	}
 }
--- a/core/duty/dogwoodrelay/serve.go
+++ b/core/duty/dogwoodrelay/serve.go
@@ -14,62 +14,64 @@
 )
 
 const (
-	// mostTries bounds the tries of an attempt that reached an endpoint, run or not.
-	mostTries = 5
-	// mostUnsent bounds those that reached none. Each takes a millisecond where a connection
-	// is refused; all endpoints of a data centre may die at the same moment.
-	mostUnsent = 24
-	// staleRetry is how soon a caller may try another daemon when this one has lost the
-	// store: at once, but for a moment in which its own connection may be closed.
-	staleRetry = 50 * time.Millisecond
-	// fullRetry is the mean wait that a caller is told when all endpoints are full: about
-	// the time in which answers of some seconds free a good part of the places.
-	fullRetry = time.Second
-	// awayRetry is how soon a caller may come back when a service has no endpoint.
-	awayRetry = time.Second
-	// unreachableFor is how long an endpoint that could not be reached gets no new work.
-	unreachableFor = time.Second
-	// leastLeft is the time under which no further try is begun: the ways there and back.
-	leastLeft = 30 * time.Millisecond
+	// maxTries is the maximum number of tries of an attempt that reached an endpoint, whether
+	// they ran or not.
+	maxTries = 5
+	// maxUnsentTries is the maximum number of tries that reached no endpoint. It is large
+	// because all endpoints of a data centre may die at the same moment, and a refused
+	// connection costs only a millisecond.
+	maxUnsentTries = 24
+	// staleRetryAfter is how long a caller waits before it tries another daemon when this one
+	// has lost the store. The short delay allows its connection to be closed first.
+	staleRetryAfter = 50 * time.Millisecond
+	// fullRetryAfter is the mean wait sent to a caller when all endpoints are full. If
+	// answers take some seconds, a good part of the slots becomes free in that time.
+	fullRetryAfter = time.Second
+	// noEndpointRetryAfter is the wait sent to a caller when a service has no endpoint.
+	noEndpointRetryAfter = time.Second
+	// avoidUnreachableFor is how long an unreachable endpoint gets no new work.
+	avoidUnreachableFor = time.Second
+	// minTimeLeft is the least time left for another try: the network time both ways.
+	minTimeLeft = 30 * time.Millisecond
 )
 
-// attempt is the state of one attempt over its tries.
+// attempt tracks one attempt across its tries.
 type attempt struct {
 	relay   *Relay
 	request *Request
 	answer  Answer
-	// sent counts the tries that may have run, reached those that reached an endpoint, and
-	// unsent those that did not.
-	sent, reached, unsentTries int
-	// begun counts the tries that asked for a place.
-	begun int
-	tried []dogwoodfleet.EndpointID
-	known dogwoodfleet.RunState
-	// stream is what the caller has of a stream.
+	// possibleRuns counts the tries that may have run, reachedTries those that reached an
+	// endpoint, and unsentTries those that did not.
+	possibleRuns, reachedTries, unsentTries int
+	// tries counts all tries, including those that got no placement.
+	tries          int
+	triedEndpoints []dogwoodfleet.EndpointID
+	runState       dogwoodfleet.RunState
+	// stream tracks what the caller has received of a stream.
 	stream progress
 }
 
-// verdict says what a try came to.
-type verdict struct {
-	// done means that the caller has the whole answer.
+// tryResult is the result of a try.
+type tryResult struct {
+	// done is true if the caller has the whole answer.
 	done bool
 	// err ends the attempt.
 	err error
-	// again asks for another try, if it is allowed. If not, otherwise is the outcome.
-	again     bool
-	arrived   bool // the try reached an endpoint and so another one is a repeat
-	otherwise func() error
-	why       string
+	// retry asks for another try. If none is allowed, finalError returns the outcome.
+	retry      bool
+	reached    bool // the try reached an endpoint, so the next one counts as a retry
+	finalError func() error
+	reason     string
 }
 
-// tryNumber tells the tries of this process apart.
+// tryNumber makes the IDs of this process's tries unique.
 var tryNumber atomic.Uint64
 
-// Serve carries an attempt. It returns nil once the caller has the whole answer, a
-// *Failure if the caller has seen nothing, ErrCut or ErrCallerGone.
+// Serve serves an attempt. It returns nil once the caller has the whole answer, a
+// *Failure if the caller has received nothing, ErrCut or ErrCallerGone.
 func (relay *Relay) Serve(ctx context.Context, request *Request, answer Answer) error {
 	err := relay.serve(ctx, request, answer)
-	relay.count(request, err)
+	relay.countOutcome(request, err)
 	return err
 }
 
@@ -77,27 +79,27 @@
 	relay.options.Retries.First(time.Now(), request.Service)
 	ctx, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
-	attempt := &attempt{relay: relay, request: request, answer: answer, known: dogwoodfleet.NotRun}
-	attempt.stream.last = request.LastEvent
+	attempt := &attempt{relay: relay, request: request, answer: answer, runState: dogwoodfleet.NotRun}
+	attempt.stream.lastEvent = request.LastEvent
 	for {
-		verdict := attempt.try(ctx)
-		if verdict.done || verdict.err != nil {
-			return attempt.finish(verdict.err)
+		tryResult := attempt.try(ctx)
+		if tryResult.done || tryResult.err != nil {
+			return attempt.finish(tryResult.err)
 		}
 		if ctx.Err() != nil {
-			return attempt.finish(ended(ctx, attempt.known))
+			return attempt.finish(contextError(ctx, attempt.runState))
 		}
-		if why := attempt.forbids(verdict); why != "" {
+		if why := attempt.checkRetry(tryResult); why != "" {
 			counters.Add("RetriesForbidden", 1)
-			relay.options.Logger.Info(dogwoodlog.NoFurtherTry, "request", request.ID, "why", why, "after", verdict.why)
-			return attempt.finish(verdict.otherwise())
+			relay.options.Logger.Info(dogwoodlog.NoFurtherTry, "request", request.ID, "why", why, "after", tryResult.reason)
+			return attempt.finish(tryResult.finalError())
 		}
 		counters.Add("Retries", 1)
-		relay.options.Logger.Info(dogwoodlog.TryingAgain, "request", request.ID, "try", attempt.begun+1, "after", verdict.why)
+		relay.options.Logger.Info(dogwoodlog.TryingAgain, "request", request.ID, "try", attempt.tries+1, "after", tryResult.reason)
 	}
 }
 
-// finish gives the outcome the form that the caller's side needs.
+// finish adds ErrCut to an error that ends an answer after it has begun.
 func (attempt *attempt) finish(err error) error {
 	if err == nil {
 		return nil
@@ -108,31 +110,32 @@
 	return err
 }
 
-// forbids returns why no further try may follow, or nothing.
-func (attempt *attempt) forbids(verdict verdict) string {
+// checkRetry counts the try and takes a retry from the budget if one is needed. It returns why
+// no further try may follow, or an empty string.
+func (attempt *attempt) checkRetry(tryResult tryResult) string {
 	request := attempt.request
-	if verdict.arrived {
-		attempt.reached++
+	if tryResult.reached {
+		attempt.reachedTries++
 	} else {
 		attempt.unsentTries++
 	}
 	switch {
-	case attempt.reached >= mostTries || attempt.unsentTries >= mostUnsent:
+	case attempt.reachedTries >= maxTries || attempt.unsentTries >= maxUnsentTries:
 		return "it was tried too often"
-	case attempt.known != dogwoodfleet.NotRun && !request.repeatable():
+	case attempt.runState != dogwoodfleet.NotRun && !request.repeatable():
 		return "it may have run and may not be repeated"
-	case attempt.sent >= max(request.Route.Attempts, 1):
+	case attempt.possibleRuns >= max(request.Route.Attempts, 1):
 		return "it was sent to as many endpoints as its route allows"
-	case time.Until(request.Deadline) < leastLeft:
+	case time.Until(request.Deadline) < minTimeLeft:
 		return "no time is left"
-	case verdict.arrived && !attempt.relay.options.Retries.Take(time.Now(), request.Service, attempt.relay.options.Daemons()):
+	case tryResult.reached && !attempt.relay.options.Retries.Take(time.Now(), request.Service, attempt.relay.options.Daemons()):
 		return "the retry budget is used up"
 	}
 	return ""
 }
 
-// prepared is a try that has its place, and its helpers' memory.
-type prepared struct {
+// preparedTry is a try with its placement and its helpers' memory.
+type preparedTry struct {
 	attempt   *attempt
 	order     *Order
 	placement dogwoodpacking.Placement
@@ -140,91 +143,92 @@
 	release   func()
 }
 
-// close gives the place and the memory back.
-func (prepared *prepared) close() {
-	prepared.release()
-	prepared.attempt.relay.options.Places.End(prepared.id)
+// close releases the slot and the memory.
+func (preparedTry *preparedTry) close() {
+	preparedTry.release()
+	preparedTry.attempt.relay.options.Places.End(preparedTry.id)
 }
 
-// try finds a place and sends the request there.
-func (attempt *attempt) try(ctx context.Context) verdict {
-	prepared, failed := attempt.prepare(ctx)
-	if prepared == nil {
+// try places the request, sends it and forwards the answer. Another run may take over.
+func (attempt *attempt) try(ctx context.Context) tryResult {
+	preparedTry, failed := attempt.prepare(ctx)
+	if preparedTry == nil {
 		return failed
 	}
-	run := newRun(ctx, prepared)
+	run := newRun(ctx, preparedTry)
 	defer func() { run.close() }()
 	for {
-		verdict, other := attempt.follow(ctx, run)
-		if other == nil {
-			return verdict
+		tryResult, replacement := attempt.forwardRun(ctx, run)
+		if replacement == nil {
+			return tryResult
 		}
 		run.close()
-		run = other
+		run = replacement
 	}
 }
 
-// prepare finds a place and the memory that a try needs. Without them it returns nil and why.
-func (attempt *attempt) prepare(ctx context.Context) (*prepared, verdict) {
+// prepare gets a placement and the memory that a try needs. If it can't, it returns nil and
+// the result of the try.
+func (attempt *attempt) prepare(ctx context.Context) (*preparedTry, tryResult) {
 	relay, request := attempt.relay, attempt.request
-	attempt.begun++
-	if !attempt.fresh() {
-		return nil, verdict{err: &Failure{
-			Reason: dogwoodfleet.ReasonStore, Run: attempt.known, RetryAfter: staleRetry,
+	attempt.tries++
+	if !attempt.keysFresh() {
+		return nil, tryResult{err: &Failure{
+			Reason: dogwoodfleet.ReasonStore, Run: attempt.runState, RetryAfter: staleRetryAfter,
 			Detail: "the store has not confirmed the keys for too long",
 		}}
 	}
-	ask := attempt.ask()
-	waiting := time.Now()
-	placement, err := attempt.place(ctx, ask)
-	relay.options.Metrics.Observe(metricWait, "", time.Since(waiting))
+	ask := attempt.placementRequest()
+	waitStart := time.Now()
+	placement, err := attempt.awaitPlacement(ctx, ask)
+	relay.options.Metrics.Observe(metricPlaceWait, "", time.Since(waitStart))
 	if err != nil {
-		return nil, verdict{err: err}
+		return nil, tryResult{err: err}
 	}
-	relay.options.Logger.Info(dogwoodlog.Placed, "request", request.ID, "try", attempt.begun, "endpoint", placement.Endpoint.ID,
-		"waited", time.Since(waiting), "helpers", helperNames(placement), "prompt", request.Prompt, "predicted", placement.Predicted,
+	relay.options.Logger.Info(dogwoodlog.Placed, "request", request.ID, "try", attempt.tries, "endpoint", placement.Endpoint.ID,
+		"waited", time.Since(waitStart), "helpers", helperNames(placement), "prompt", request.Prompt, "predicted", placement.Predicted,
 		"writers", placement.Load.Writers, "queued", placement.Load.Queued, "queuedtokens", placement.Load.QueuedTokens)
 	helpers, release, err := relay.reserve(ctx, ask.ID, placement)
 	if err != nil {
 		relay.options.Places.End(ask.ID)
-		return nil, attempt.unsent(err)
+		return nil, attempt.tryNotSent(err)
 	}
-	attempt.tried = append(attempt.tried, placement.Endpoint.ID)
+	attempt.triedEndpoints = append(attempt.triedEndpoints, placement.Endpoint.ID)
 	order := &Order{
 		Request: request, Endpoint: placement.Endpoint.Endpoint, Helpers: helpers,
-		Left: time.Until(request.Deadline), LastEvent: attempt.stream.last,
+		Left: time.Until(request.Deadline), LastEvent: attempt.stream.lastEvent,
 	}
-	return &prepared{attempt: attempt, order: order, placement: placement, id: ask.ID, release: release}, verdict{}
+	return &preparedTry{attempt: attempt, order: order, placement: placement, id: ask.ID, release: release}, tryResult{}
 }
 
-func (attempt *attempt) refuse(reason dogwoodfleet.Reason, after time.Duration, detail string) error {
-	return &Failure{Reason: reason, Run: attempt.known, RetryAfter: after, Detail: detail}
+func (attempt *attempt) newFailure(reason dogwoodfleet.Reason, retryAfter time.Duration, detail string) error {
+	return &Failure{Reason: reason, Run: attempt.runState, RetryAfter: retryAfter, Detail: detail}
 }
 
-// unreachable is the verdict on a try that found no way to its endpoint.
-func (attempt *attempt) unreachable(placement dogwoodpacking.Placement, err error) verdict {
-	attempt.relay.options.Places.Avoid(time.Now(), placement.Endpoint.ID, unreachableFor)
-	return attempt.unsent(err)
+// endpointUnreachable returns the result of a try whose endpoint can't be reached.
+func (attempt *attempt) endpointUnreachable(placement dogwoodpacking.Placement, err error) tryResult {
+	attempt.relay.options.Places.Avoid(time.Now(), placement.Endpoint.ID, avoidUnreachableFor)
+	return attempt.tryNotSent(err)
 }
 
-// unsent is the verdict on a try of which no byte went out.
-func (attempt *attempt) unsent(err error) verdict {
-	return verdict{again: true, why: err.Error(), otherwise: func() error {
-		return attempt.refuse(dogwoodfleet.ReasonEndpointDied, dogwoodkernel.Jittered(unreachableFor), err.Error())
+// tryNotSent returns the result of a try of which no byte was sent.
+func (attempt *attempt) tryNotSent(err error) tryResult {
+	return tryResult{retry: true, reason: err.Error(), finalError: func() error {
+		return attempt.newFailure(dogwoodfleet.ReasonEndpointDied, dogwoodkernel.Jittered(avoidUnreachableFor), err.Error())
 	}}
 }
 
-// lost is the verdict on a try that may have run and brought no answer.
-func (attempt *attempt) lost(placement dogwoodpacking.Placement, err error) verdict {
-	attempt.known = dogwoodfleet.RunUnknown
-	attempt.sent++
+// tryUnanswered records a try that may have run but returned no answer, and returns its result.
+func (attempt *attempt) tryUnanswered(placement dogwoodpacking.Placement, err error) tryResult {
+	attempt.runState = dogwoodfleet.RunUnknown
+	attempt.possibleRuns++
 	attempt.relay.options.Places.Failed(time.Now(), placement.Endpoint.ID)
-	return verdict{again: true, arrived: true, why: err.Error(), otherwise: func() error {
-		return &Failure{Reason: dogwoodfleet.ReasonEndpointDied, Run: attempt.known, Detail: err.Error()}
+	return tryResult{retry: true, reached: true, reason: err.Error(), finalError: func() error {
+		return &Failure{Reason: dogwoodfleet.ReasonEndpointDied, Run: attempt.runState, Detail: err.Error()}
 	}}
 }
 
-// helperNames lists the helpers for the log.
+// helperNames returns the IDs of the helpers for the log.
 func helperNames(placement dogwoodpacking.Placement) []dogwoodfleet.EndpointID {
 	names := make([]dogwoodfleet.EndpointID, len(placement.Helpers))
 	for i, helper := range placement.Helpers {
--- a/core/duty/dogwoodrelay/stream.go
+++ b/core/duty/dogwoodrelay/stream.go
@@ -9,45 +9,46 @@
 	"dogwoodmux.example/core/dogwoodlog"
 )
 
-// progress is what a caller has of a stream.
+// progress tracks what a caller has received of a stream.
 type progress struct {
 	begun bool
-	// last is the id of the last event that went out, or the one that the caller had.
-	last string
+	// lastEvent is the ID of the last event sent to the caller, or the one that the caller asked to
+	// resume after.
+	lastEvent string
 }
 
-// noteEvent learns from the moment of an event.
-func (attempt *attempt) noteEvent(run *run) {
+// recordEvent updates the endpoint's liveness, pace and predictions from an event's arrival time.
+func (attempt *attempt) recordEvent(run *run) {
 	places, endpoint := attempt.relay.options.Places, run.placement.Endpoint.ID
-	attempt.known = dogwoodfleet.WasRun
-	attempt.relay.alive.note(time.Now(), endpoint)
-	if pause, ok := run.pace.event(time.Now()); ok {
+	attempt.runState = dogwoodfleet.WasRun
+	attempt.relay.liveness.record(time.Now(), endpoint)
+	if pause, ok := run.pace.record(time.Now()); ok {
 		places.Paced(endpoint, pause)
 	}
-	if run.writes {
+	if run.firstEventSeen {
 		return
 	}
-	run.writes = true
-	seen := time.Since(run.sent)
-	attempt.relay.options.Metrics.Observe(metricFirst, lengthLabel(attempt.request.Prompt), seen)
+	run.firstEventSeen = true
+	seen := time.Since(run.sentAt)
+	attempt.relay.options.Metrics.Observe(metricFirstEvent, lengthLabel(attempt.request.Prompt), seen)
 	places.Writes(run.id, run.placement.Predicted, seen)
 	attempt.relay.options.Logger.Info(dogwoodlog.FirstEvent, "request", attempt.request.ID,
 		"predicted", run.placement.Predicted, "seen", seen, "endpoint", endpoint)
 }
 
-// streamEnded passes on a stream's end; one without any event still has its headers.
-func (attempt *attempt) streamEnded(response *Response) verdict {
+// finishStream ends a stream. It sends the headers even if there were no events.
+func (attempt *attempt) finishStream(response *Response) tryResult {
 	if err := attempt.beginStream(response); err != nil {
-		return verdict{err: err}
+		return tryResult{err: err}
 	}
-	return verdict{done: true}
+	return tryResult{done: true}
 }
 
 func (attempt *attempt) beginStream(response *Response) error {
 	if attempt.stream.begun {
 		return nil
 	}
-	// A stream that goes on at another endpoint need not have the length of the first.
+	// A stream that resumes at another endpoint may have a different length.
 	header := response.Header.Clone()
 	header.Del("Content-Length")
 	if err := attempt.answer.Begin(response.Status, header); err != nil {
@@ -57,9 +58,9 @@
 	return nil
 }
 
-// passEvent passes on an event that the caller does not have yet.
-func (attempt *attempt) passEvent(response *Response, event event) error {
-	if event.id != "" && !after(event.id, attempt.stream.last) {
+// forwardEvent forwards an event unless the caller already has it.
+func (attempt *attempt) forwardEvent(response *Response, event event) error {
+	if event.id != "" && !after(event.id, attempt.stream.lastEvent) {
 		return nil
 	}
 	if err := attempt.beginStream(response); err != nil {
@@ -69,21 +70,21 @@
 		return errors.Join(ErrCallerGone, err)
 	}
 	if event.id != "" {
-		attempt.stream.last = event.id
+		attempt.stream.lastEvent = event.id
 	}
 	return nil
 }
 
-// after reports whether an event comes after the last one. Ids are increasing numbers;
-// others can't be compared and are taken for new.
+// after reports whether the event with the given ID comes after the last one. IDs are increasing
+// numbers; other IDs can't be ordered and count as new if they differ from the last one.
 func after(id, last string) bool {
 	if last == "" {
 		return true
 	}
-	one, err := strconv.ParseInt(id, 10, 64)
-	other, otherErr := strconv.ParseInt(last, 10, 64)
-	if err != nil || otherErr != nil {
+	number, err := strconv.ParseInt(id, 10, 64)
+	lastNumber, lastErr := strconv.ParseInt(last, 10, 64)
+	if err != nil || lastErr != nil {
 		return id != last
 	}
-	return one > other
+	return number > lastNumber
 }
--- a/core/duty/dogwoodrelay/unused_test.go
+++ b/core/duty/dogwoodrelay/unused_test.go
@@ -9,11 +9,11 @@
 	"dogwoodmux.example/core/decision/dogwoodenginetime"
 )
 
-// A long prompt's engine goes dark before it has begun to read. The engines that help have set memory
-// aside, which nobody else can use, and the daemon renews it while it waits for a first event that never
-// comes. Four times the predicted time is longer than any engine may keep memory unused.
-func TestUnusedMemoryIsGivenBackInTime(t *testing.T) {
-	const most = 9 * time.Second
+// A long prompt's primary engine falls silent before it begins to prefill. The helpers' reserved memory can't be
+// used by anyone else, and the daemon renews it while it waits for a first event that never arrives. The limit
+// for the first event, four times the predicted time, is longer than any engine may keep memory unused.
+func TestUnusedMemoryIsReleasedInTime(t *testing.T) {
+	const maxUnused = 9 * time.Second
 	slow := *testEngine
 	slow.TokensPerSecond = 20_000
 	tests := []struct {
@@ -24,13 +24,13 @@
 		{"it was the last try", 1},
 	}
 	for _, test := range tests {
-		t.Run(test.name, func(t *testing.T) { unusedMemory(t, &slow, test.attempts, most) })
+		t.Run(test.name, func(t *testing.T) { testUnusedMemory(t, &slow, test.attempts, maxUnused) })
 	}
 }
 
-func unusedMemory(t *testing.T, engine *dogwoodenginetime.Engine, attempts int, most time.Duration) {
-	story(t, engine, []step{fallsSilent("")}, func(t *testing.T, fixture *fixture) {
-		fixture.relay.options.UnusedMemory = most
+func testUnusedMemory(t *testing.T, engine *dogwoodenginetime.Engine, attempts int, maxUnused time.Duration) {
+	runRelayTest(t, engine, []step{fallsSilent("")}, func(t *testing.T, fixture *fixture) {
+		fixture.relay.options.UnusedMemory = maxUnused
 		request := streamRequest()
 		request.Prompt, request.Route.Aim, request.Route.Attempts = 150_000, 10*time.Second, attempts
 		request.Deadline = time.Now().Add(15 * time.Second)
@@ -39,31 +39,31 @@
 		defer group.Wait()
 		time.Sleep(time.Second)
 		fixture.endpoints.mutex.Lock()
-		held, first := len(fixture.endpoints.held), fixture.endpoints.sends[0].helpers[0].Ticket
+		reserved, ticket := len(fixture.endpoints.reservations), fixture.endpoints.sends[0].helpers[0].Ticket
 		fixture.endpoints.mutex.Unlock()
-		if held == 0 {
-			t.Error("got no memory set aside, want some: the prompt needs several engines")
+		if reserved == 0 {
+			t.Error("got no memory reserved, want some: the prompt needs several engines")
 		}
-		time.Sleep(most - time.Second)
+		time.Sleep(maxUnused - time.Second)
 		fixture.endpoints.mutex.Lock()
-		for key := range fixture.endpoints.held {
-			if strings.HasSuffix(key, first) {
-				t.Errorf("got memory %q still set aside after %s, want it given back", key, most)
+		for key := range fixture.endpoints.reservations {
+			if strings.HasSuffix(key, ticket) {
+				t.Errorf("got memory %q still reserved after %s, want it released", key, maxUnused)
 			}
 		}
 		fixture.endpoints.mutex.Unlock()
 	})
 }
 
-// A prompt of nearly a million tokens is read for longer than memory may stay unused. Its engines use the
-// memory all the while, and its reader must get the answer.
-func TestALongReadIsNotTakenForUnusedMemory(t *testing.T) {
+// Prefilling a prompt of nearly a million tokens takes longer than memory may stay unused. Its engines use the
+// memory during that time, so the caller must get the answer.
+func TestLongPrefillDoesNotCountAsUnusedMemory(t *testing.T) {
 	slow := *testEngine
 	slow.TokensPerSecond = 5_000
-	const most, reads = 9 * time.Second, 12 * time.Second
-	late := delayed(reads, responds(200, firstEvents))
-	story(t, &slow, []step{late}, func(t *testing.T, fixture *fixture) {
-		fixture.relay.options.UnusedMemory = most
+	const maxUnused, prefillTime = 9 * time.Second, 12 * time.Second
+	late := delayed(prefillTime, responds(200, firstEvents))
+	runRelayTest(t, &slow, []step{late}, func(t *testing.T, fixture *fixture) {
+		fixture.relay.options.UnusedMemory = maxUnused
 		request := streamRequest()
 		request.Prompt, request.Route.Aim = 150_000, 30*time.Second
 		request.Deadline = time.Now().Add(time.Minute)
--- a/core/duty/dogwoodrelay/verdict.go
+++ b/core/duty/dogwoodrelay/verdict.go
@@ -11,97 +11,97 @@
 	"dogwoodmux.example/core/dogwoodkernel"
 )
 
-// silentLeast is the least time without an answer that is held against an endpoint.
-const silentLeast = time.Second
+// minReportedHang is the least time without an answer after which an endpoint is reported as failed.
+const minReportedHang = time.Second
 
-// judge is the verdict on a run that brought no answer. It writes nothing to the caller.
-func (attempt *attempt) judge(ctx context.Context, run *run, err error) verdict {
+// classify returns the result of a run that returned no answer. It writes nothing to the caller.
+func (attempt *attempt) classify(ctx context.Context, run *run, err error) tryResult {
 	if !errors.Is(err, errUnusable) {
 		return attempt.sendFailed(ctx, run.placement, err)
 	}
-	if verdict, declined := attempt.declined(run.order, run.placement, run.response); declined {
-		return verdict
+	if tryResult, declined := attempt.declined(run.order, run.placement, run.response); declined {
+		return tryResult
 	}
 	event, err := run.readWhole()
 	if err != nil {
-		return attempt.sendFailed(ctx, run.placement, run.explain(&Broken{Cause: err}))
+		return attempt.sendFailed(ctx, run.placement, run.withCause(&Broken{Cause: err}))
 	}
-	return attempt.ranBadly(run.placement, run.response, func() error {
+	return attempt.endpointFailed(run.placement, run.response, func() error {
 		if attempt.stream.begun {
 			return ErrCut
 		}
-		return attempt.passAnswer(run, event.raw).err
+		return attempt.forwardAnswer(run, event.raw).err
 	})
 }
 
-// ranBadly is the verdict on a failure that an endpoint answered with.
-func (attempt *attempt) ranBadly(placement dogwoodpacking.Placement, response *Response, otherwise func() error) verdict {
-	attempt.sent++
-	attempt.known = dogwoodfleet.WasRun
+// endpointFailed records a run that the endpoint answered with a failure, and returns its result.
+func (attempt *attempt) endpointFailed(placement dogwoodpacking.Placement, response *Response, finalError func() error) tryResult {
+	attempt.possibleRuns++
+	attempt.runState = dogwoodfleet.WasRun
 	attempt.relay.options.Places.Failed(time.Now(), placement.Endpoint.ID)
-	return verdict{again: true, arrived: true, why: http.StatusText(response.Status), otherwise: otherwise}
+	return tryResult{retry: true, reached: true, reason: http.StatusText(response.Status), finalError: finalError}
 }
 
-// sendFailed is the verdict on an error of Send or of reading the answer.
-func (attempt *attempt) sendFailed(ctx context.Context, placement dogwoodpacking.Placement, err error) verdict {
+// sendFailed returns the result of a try after an error of Send or of reading the answer.
+func (attempt *attempt) sendFailed(ctx context.Context, placement dogwoodpacking.Placement, err error) tryResult {
 	var unsent *NotSent
 	if errors.As(err, &unsent) {
 		if ctx.Err() != nil {
-			return verdict{err: ended(ctx, attempt.known)}
+			return tryResult{err: contextError(ctx, attempt.runState)}
 		}
-		return attempt.unreachable(placement, err)
+		return attempt.endpointUnreachable(placement, err)
 	}
 	if ctx.Err() != nil {
-		attempt.known = dogwoodfleet.RunUnknown
-		attempt.blameSilence(ctx, placement)
-		return verdict{err: ended(ctx, attempt.known)}
+		attempt.runState = dogwoodfleet.RunUnknown
+		attempt.reportHang(ctx, placement)
+		return tryResult{err: contextError(ctx, attempt.runState)}
 	}
-	return attempt.lost(placement, err)
+	return attempt.tryUnanswered(placement, err)
 }
 
-// blameSilence notes an endpoint that had a call for far longer than it should take when
-// its time limit came. A limit that is short says nothing of the endpoint.
-func (attempt *attempt) blameSilence(ctx context.Context, placement dogwoodpacking.Placement) {
-	had := time.Since(placement.Work.Begun)
-	if errors.Is(ctx.Err(), context.DeadlineExceeded) && had >= max(hangAims*attempt.request.Route.Aim, silentLeast) {
+// reportHang reports an endpoint as failed if it held a call for much longer than the route's
+// aim when the deadline passed. A short deadline is no evidence against the endpoint.
+func (attempt *attempt) reportHang(ctx context.Context, placement dogwoodpacking.Placement) {
+	elapsed := time.Since(placement.Work.Begun)
+	if errors.Is(ctx.Err(), context.DeadlineExceeded) && elapsed >= max(hangFactor*attempt.request.Route.Aim, minReportedHang) {
 		attempt.relay.options.Places.Failed(time.Now(), placement.Endpoint.ID)
 	}
 }
 
-// declined is the verdict on an answer that is none: the endpoint did not begin, or its
-// success is not genuine.
-func (attempt *attempt) declined(order *Order, placement dogwoodpacking.Placement, response *Response) (verdict, bool) {
+// declined returns the result of a response that is not an answer: the endpoint did not begin,
+// or its success is not genuine. The second value is false for other responses.
+func (attempt *attempt) declined(order *Order, placement dogwoodpacking.Placement, response *Response) (tryResult, bool) {
 	success := response.Status >= 200 && response.Status < 300
 	switch {
 	case response.OtherInstance:
-		attempt.relay.options.Places.Avoid(time.Now(), placement.Endpoint.ID, otherInstanceFor)
+		attempt.relay.options.Places.Avoid(time.Now(), placement.Endpoint.ID, avoidOtherInstanceFor)
 	case response.NotRun:
 		attempt.relay.options.Places.Failed(time.Now(), placement.Endpoint.ID)
-		attempt.blame(placement, response)
+		attempt.avoidFaultyHelper(placement, response)
 	case success && !response.Genuine:
-		return attempt.lost(placement, errNotGenuine), true
+		return attempt.tryUnanswered(placement, errNotGenuine), true
 	default:
-		return verdict{}, false
+		return tryResult{}, false
 	}
 	counters.Add("NotBegun", 1)
 	attempt.relay.options.Logger.Info("An endpoint did not begin.", "request", order.Request.ID,
 		"endpoint", placement.Endpoint.ID, "status", response.Status, "fault", response.Fault)
-	return verdict{again: true, arrived: true, why: "the endpoint did not begin", otherwise: func() error {
-		return attempt.refuse(dogwoodfleet.ReasonLimit, dogwoodkernel.Jittered(fullRetry), "the endpoints did not begin")
+	return tryResult{retry: true, reached: true, reason: "the endpoint did not begin", finalError: func() error {
+		return attempt.newFailure(dogwoodfleet.ReasonLimit, dogwoodkernel.Jittered(fullRetryAfter), "the endpoints did not begin")
 	}}, true
 }
 
-// blame keeps work from the helper that made a joint request fail.
-func (attempt *attempt) blame(placement dogwoodpacking.Placement, response *Response) {
+// avoidFaultyHelper sends no new work for a while to the helper at which a joint request failed.
+func (attempt *attempt) avoidFaultyHelper(placement dogwoodpacking.Placement, response *Response) {
 	for _, helper := range placement.Helpers {
 		if helper.Endpoint.Address == response.Fault {
-			attempt.relay.options.Places.Avoid(time.Now(), helper.Endpoint.ID, unreachableFor)
+			attempt.relay.options.Places.Avoid(time.Now(), helper.Endpoint.ID, avoidUnreachableFor)
 		}
 	}
 }
 
-// otherInstanceFor is how long an endpoint whose address another one has gets no work:
-// until the store has told so, with room for a store that is slow.
-const otherInstanceFor = 10 * time.Second
+// avoidOtherInstanceFor is how long an endpoint gets no work after its address was taken over
+// by another one. It is long enough for the store to report the change, even if it is slow.
+const avoidOtherInstanceFor = 10 * time.Second
 
 var errNotGenuine = errors.New("the success is not the endpoint's own")
