--- a/core/duty/dogwooddispatch/choose_bench_test.go
+++ b/core/duty/dogwooddispatch/choose_bench_test.go
@@ -8,7 +8,7 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-// benchMembers is a fleet in 20 data centres of 8 regions.
+// benchMembers is a fleet of daemons and endpoints in 20 data centres of 8 regions.
 type benchMembers struct {
 	alive     []Member
 	endpoints []dogwoodfleet.Endpoint
@@ -23,16 +23,16 @@
 		dataCentre := n % 20
 		return dogwoodfleet.Place{Region: dogwoodfleet.Region(fmt.Sprint(dataCentre % 8)), DataCentre: dogwoodfleet.DataCentre(fmt.Sprint(dataCentre))}
 	}
-	made := &benchMembers{}
+	members := &benchMembers{}
 	for n := range daemons {
-		made.alive = append(made.alive, Member{Instance: dogwoodfleet.InstanceID(fmt.Sprint("daemon-", n)), Place: place(n)})
+		members.alive = append(members.alive, Member{Instance: dogwoodfleet.InstanceID(fmt.Sprint("daemon-", n)), Place: place(n)})
 	}
 	for n := range endpoints {
-		made.endpoints = append(made.endpoints, dogwoodfleet.Endpoint{
+		members.endpoints = append(members.endpoints, dogwoodfleet.Endpoint{
 			ID: dogwoodfleet.EndpointID(fmt.Sprint("engine-", n)), Service: "pool", Kind: dogwoodfleet.EnginePool, Place: place(n), InForce: true,
 		})
 	}
-	return made
+	return members
 }
 
 var benchSizes = []struct{ daemons, endpoints int }{{8, 16}, {25, 295}, {500, 5900}}
@@ -52,9 +52,9 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				chooser := owners.chooser(&ask)
-				for range ownersAsked {
-					if _, more := chooser.next(); !more {
-						b.Fatal("got fewer owners than are asked")
+				for range maxOwnersAsked {
+					if _, ok := chooser.nextOwner(); !ok {
+						b.Fatal("got fewer owners than maxOwnersAsked")
 					}
 				}
 			}
--- a/core/duty/dogwooddispatch/claims.go
+++ b/core/duty/dogwooddispatch/claims.go
@@ -6,33 +6,33 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// ClaimKey names a call that may run once.
+// ClaimKey identifies a call that may run only once.
 type ClaimKey struct {
 	Customer dogwoodfleet.Customer
 	Service  dogwoodfleet.Service
 	Key      string
 }
 
-// ClaimState is what the table service says of a key.
+// ClaimState is the state of a key in the table service.
 type ClaimState string
 
 // The states of a claim.
 const (
-	ClaimFresh    ClaimState = "Fresh"    // this try holds it and may send
-	ClaimAnswered ClaimState = "Answered" // an earlier try's answer is kept
+	ClaimFresh    ClaimState = "Fresh"    // this attempt holds the key and may be sent
+	ClaimAnswered ClaimState = "Answered" // the answer of an earlier attempt is stored
 	ClaimRunning  ClaimState = "Running"
-	ClaimUnknown  ClaimState = "Unknown"  // an earlier try may have run; no one will run it again
-	ClaimMismatch ClaimState = "Mismatch" // the key stands for another call
+	ClaimUnknown  ClaimState = "Unknown"  // an earlier attempt may have run; the call won't run again
+	ClaimMismatch ClaimState = "Mismatch" // the key was used for another call
 )
 
-// Claim is the outcome of taking a key.
+// Claim is the result of claiming a key.
 type Claim struct {
 	State  ClaimState
 	Answer *WholeAnswer
 }
 
-// EarlierUnknown is the error of Claims.Take when the store can't be asked and an earlier
-// try under the same key may have been sent by a daemon that can't be asked either.
+// EarlierUnknown is the error of Claims.Take if the store can't be reached and an earlier
+// attempt with the same key may have been sent by a daemon that can't be reached either.
 type EarlierUnknown struct {
 	Cause error
 }
@@ -45,13 +45,13 @@
 // Unwrap returns the cause.
 func (earlier *EarlierUnknown) Unwrap() error { return earlier.Cause }
 
-// Claims keeps, in the platform's table service, which calls were sent.
+// Claims records in the platform's table service which calls were sent.
 type Claims interface {
-	// Take claims a key for a try. An error means that the try must not be sent; unless it
-	// is *EarlierUnknown, no other try under the key was sent either.
-	Take(ctx context.Context, key ClaimKey, digest dogwoodfleet.Digest, try string) (Claim, error)
-	// Finish keeps the answer.
-	Finish(ctx context.Context, key ClaimKey, try string, answer *WholeAnswer) error
-	// Free gives the key back. Only a call that certainly was not sent may be freed.
-	Free(ctx context.Context, key ClaimKey, try string) error
+	// Take claims a key for an attempt. An error means that the attempt must not be sent.
+	// Unless the error is *EarlierUnknown, no other attempt with the key was sent either.
+	Take(ctx context.Context, key ClaimKey, digest dogwoodfleet.Digest, attempt string) (Claim, error)
+	// Finish stores the answer.
+	Finish(ctx context.Context, key ClaimKey, attempt string, answer *WholeAnswer) error
+	// Free removes the claim. It may be called only if the call certainly was not run.
+	Free(ctx context.Context, key ClaimKey, attempt string) error
 }
--- a/core/duty/dogwooddispatch/dispatch.go
+++ b/core/duty/dogwooddispatch/dispatch.go
@@ -1,10 +1,11 @@
-// Package dogwooddispatch carries a caller's request through the system on the side of
-// the daemon that holds the caller's connection: claim, ask a soft owner for a slot,
-// send to the endpoint directly, try again where that is safe, release.
+// Package dogwooddispatch processes a caller's request on the entry daemon, which holds
+// the caller's connection. It claims the request if it may run only once, acquires a slot
+// from the daemon that owns an endpoint, sends the request directly to that endpoint,
+// retries where that is safe, and releases the slot.
 //
-// Its rule is one truthful outcome for each request. A refusal says "not run" only if no
-// try of it can have begun at an endpoint; a request that may not be repeated is claimed
-// in the platform's table service before it is sent and is sent at most once.
+// Each request gets exactly one outcome, which must be accurate. A refusal says "not run"
+// only if no try can have begun at an endpoint. A request that must not be repeated
+// is claimed in the platform's table service before it is sent, and is sent at most once.
 package dogwooddispatch
 
 import (
@@ -28,9 +29,9 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("dispatch")
 
-// Call is a caller's request as the edge read it.
+// Call is a caller's request as received by the edge.
 type Call struct {
-	// Request's ID names the caller's request; every try gets an ID of its own.
+	// Request holds the ID of the caller's attempt. Each try gets a separate ID.
 	Request dogwoodfleet.Request
 	// Method is the HTTP method; Target is the path and query at the endpoint.
 	Method string
@@ -39,10 +40,10 @@
 	Body   []byte
 	// Key is the caller's Idempotency-Key.
 	Key string
-	// LoadID is the caller's mark, which endpoints are told.
+	// LoadID is an identifier set by the caller and passed on to the endpoints.
 	LoadID string
-	// Ran is the data centre of the last endpoint that a try was sent to; the dispatcher
-	// fills it in.
+	// Ran is the data centre of the last endpoint that a try was sent to. The dispatcher
+	// sets it.
 	Ran dogwoodfleet.DataCentre
 }
 
@@ -53,18 +54,18 @@
 	Data []byte
 }
 
-// PromptAnswer takes a model's answer as it comes.
+// PromptAnswer receives a model's answer while it is generated.
 type PromptAnswer interface {
-	// Event takes the next chunk. An error means that the caller is gone.
+	// Event receives the next chunk. An error means that the caller has disconnected.
 	Event(event Event) error
-	// Begun is true once a byte of the answer may have reached the caller: no other try
-	// can take its place.
+	// Begun reports whether a byte of the answer may have reached the caller. From then on
+	// the request can't be retried.
 	Begun() bool
-	// Restart drops what was collected, before another try.
+	// Restart discards the events received so far. It is called before each try.
 	Restart()
 }
 
-// Run is a request for an engine.
+// Run is a request to an engine.
 type Run struct {
 	ID           dogwoodfleet.RequestID
 	Path         string
@@ -77,14 +78,15 @@
 	LoadID       string
 }
 
-// Stream is a running request at an engine.
+// Stream is a request that runs at an engine.
 type Stream interface {
-	// Next returns the next event, io.EOF after the last, or an error of this package.
+	// Next returns the next event, io.EOF after the last one, or an error of this package.
 	Next(ctx context.Context) (Event, error)
-	// Instance is the engine's instance as its answer told it, Cold what it said of itself.
+	// Instance returns the engine's instance, and Cold whether the engine is cold, both as
+	// reported in its answer.
 	Instance() dogwoodfleet.InstanceID
 	Cold() bool
-	// Close cancels the request at the engine unless it has ended.
+	// Close cancels the request at the engine if it still runs.
 	Close()
 }
 
@@ -94,7 +96,7 @@
 	Cancel(ctx context.Context, endpoint dogwoodfleet.Endpoint, id dogwoodfleet.RequestID) error
 }
 
-// ServiceOrder is a call of a plain service.
+// ServiceOrder is a call to a plain service.
 type ServiceOrder struct {
 	ID     dogwoodfleet.RequestID
 	Method string
@@ -103,7 +105,7 @@
 	Body   []byte
 }
 
-// ServiceAnswer is what a plain service answered.
+// ServiceAnswer is the answer of a plain service.
 type ServiceAnswer struct {
 	Status int
 	Header http.Header
@@ -116,18 +118,19 @@
 	Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, order ServiceOrder) (*ServiceAnswer, error)
 }
 
-// Slots gives requests their place at an endpoint.
+// Slots assigns requests to slots at endpoints.
 type Slots interface {
-	// Acquire waits for a grant. The error is a *dogwoodowner.Refusal. The request's ID is
-	// the granted ask's afterwards.
+	// Acquire waits for a grant and sets the request's ID to that of the acquire request
+	// that was granted. The error is a *dogwoodowner.Refusal.
 	Acquire(ctx context.Context, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error)
-	// ToldCold passes on that an endpoint said with the beginning of an answer that it is cold.
+	// ToldCold notifies the owner of an endpoint that reported at the start of an answer
+	// that it is cold.
 	ToldCold(ctx context.Context, endpoint dogwoodfleet.Endpoint, instance dogwoodfleet.InstanceID)
 	// Release ends a grant.
 	Release(ctx context.Context, grant dogwoodowner.Grant, release dogwoodowner.Release)
 }
 
-// Options are what a dispatcher is made from.
+// Options configure a dispatcher.
 type Options struct {
 	Self     dogwoodfleet.InstanceID
 	Place    dogwoodfleet.Place
@@ -136,31 +139,31 @@
 	Engines  Engines
 	Services Services
 	Claims   Claims
-	// Down tells whether no endpoint of a service can be reached.
+	// Down reports whether no endpoint of a service can be reached.
 	Down   func(service dogwoodfleet.Service) bool
 	Logger hclog.Logger
 }
 
-// Dispatcher serves requests. It is safe for concurrent use.
+// Dispatcher processes requests. It is safe for concurrent use.
 type Dispatcher struct {
-	options Options
-	number  atomic.Uint64
+	options       Options
+	requestNumber atomic.Uint64
 
-	mutex   sync.Mutex
-	retries *dogwoodretry.Budget
-	random  *rand.Rand
+	mutex       sync.Mutex
+	retryBudget *dogwoodretry.Budget
+	random      *rand.Rand
 }
 
 // New returns a dispatcher.
 func New(options Options) *Dispatcher {
 	return &Dispatcher{
-		options: options,
-		retries: dogwoodretry.NewBudget(),
-		random:  rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		options:     options,
+		retryBudget: dogwoodretry.NewBudget(),
+		random:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
-// NewID returns a request ID that no other request of any daemon has.
+// NewID returns a request ID that is unique across all daemons.
 func (dispatcher *Dispatcher) NewID() dogwoodfleet.RequestID {
-	return dogwoodfleet.NewRequestID(dispatcher.options.Self, dispatcher.number.Add(1))
+	return dogwoodfleet.NewRequestID(dispatcher.options.Self, dispatcher.requestNumber.Add(1))
 }
--- a/core/duty/dogwooddispatch/dispatch_test.go
+++ b/core/duty/dogwooddispatch/dispatch_test.go
@@ -19,22 +19,22 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-var errTest = errors.New("as the test has it")
+var errTest = errors.New("test error")
 
-// fakes are the dispatcher's surroundings: they note what was done in order and end each
-// send as the script says.
+// fakes implements the dispatcher's dependencies. It records calls in order and ends each send
+// with the next error of the script.
 type fakes struct {
-	log    []string
-	script []error
-	claim  Claim
-	store  error
-	// refuse answers asks from the try refuseFrom on.
+	log     []string
+	script  []error
+	claim   Claim
+	takeErr error
+	// refuse is the reply to acquire requests from try number refuseFrom on.
 	refuse     *dogwoodowner.Refusal
 	refuseFrom int
 	down       bool
 }
 
-func (fakes *fakes) note(format string, arguments ...any) {
+func (fakes *fakes) record(format string, arguments ...any) {
 	fakes.log = append(fakes.log, fmt.Sprintf(format, arguments...))
 }
 
@@ -47,13 +47,13 @@
 }
 
 func (fakes *fakes) Release(_ context.Context, grant dogwoodowner.Grant, release dogwoodowner.Release) {
-	fakes.note("release %s %s", grant.Endpoint.ID, release.Result)
+	fakes.record("release %s %s", grant.Endpoint.ID, release.Result)
 }
 
 func (fakes *fakes) ToldCold(context.Context, dogwoodfleet.Endpoint, dogwoodfleet.InstanceID) {}
 
 func (fakes *fakes) Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, _ ServiceOrder) (*ServiceAnswer, error) {
-	fakes.note("send %s", endpoint.ID)
+	fakes.record("send %s", endpoint.ID)
 	var err error
 	if len(fakes.script) > 0 {
 		err, fakes.script = fakes.script[0], fakes.script[1:]
@@ -69,17 +69,17 @@
 }
 
 func (fakes *fakes) Take(context.Context, ClaimKey, dogwoodfleet.Digest, string) (Claim, error) {
-	fakes.note("take")
-	return fakes.claim, fakes.store
+	fakes.record("take")
+	return fakes.claim, fakes.takeErr
 }
 
 func (fakes *fakes) Finish(_ context.Context, _ ClaimKey, _ string, answer *WholeAnswer) error {
-	fakes.note("finish %s", answer.Body)
+	fakes.record("finish %s", answer.Body)
 	return nil
 }
 
 func (fakes *fakes) Free(ctx context.Context, _ ClaimKey, _ string) error {
-	fakes.note("free %v", ctx.Err())
+	fakes.record("free %v", ctx.Err())
 	return nil
 }
 
@@ -94,8 +94,8 @@
 	})
 }
 
-// Each outcome of a plain call: what was done, in order, and what its caller is told. "Not
-// run" may only be told when no send of it can have begun.
+// Checks, for each outcome of a plain call, the steps in order and the result for the caller.
+// The result may say "not run" only if no send of the call can have begun at an endpoint.
 func TestOutcomesOfPlainCalls(t *testing.T) {
 	unsent, broken := &NotStarted{Cause: errTest}, &Broken{Cause: errTest}
 	tests := []struct {
@@ -108,7 +108,7 @@
 		wantRun    dogwoodfleet.RunState
 	}{
 		{
-			name:    "a hold is claimed, sent, kept",
+			name:    "a hold is claimed, sent and stored",
 			fakes:   fakes{claim: Claim{State: ClaimFresh}},
 			wantLog: []string{"take", "send e0", "release e0 Done", "finish held"},
 		},
@@ -118,7 +118,7 @@
 		},
 		{
 			name:       "a hold whose claim fails is not sent",
-			fakes:      fakes{store: errTest},
+			fakes:      fakes{takeErr: errTest},
 			wantLog:    []string{"take"},
 			wantReason: dogwoodfleet.ReasonStore, wantRun: dogwoodfleet.NotRun,
 		},
@@ -128,7 +128,7 @@
 			wantLog: []string{"take", "send e0", "release e0 Refused", "send e1", "release e1 Done", "finish held"},
 		},
 		{
-			name:       "a hold that broke is neither sent again nor freed",
+			name:       "a hold whose connection broke is neither sent again nor freed",
 			fakes:      fakes{claim: Claim{State: ClaimFresh}, script: []error{broken}},
 			wantLog:    []string{"take", "send e0", "release e0 Died"},
 			wantReason: dogwoodfleet.ReasonEndpointDied, wantRun: dogwoodfleet.RunUnknown,
@@ -146,12 +146,12 @@
 			wantReason: dogwoodfleet.ReasonDeadline, wantRun: dogwoodfleet.RunUnknown,
 		},
 		{
-			name:    "a hold sent before gets its answer",
+			name:    "a hold that was answered before gets the stored answer",
 			fakes:   fakes{claim: Claim{State: ClaimAnswered, Answer: &WholeAnswer{Body: []byte("held")}}},
 			wantLog: []string{"take"},
 		},
 		{
-			name:       "a hold that runs now",
+			name:       "a hold that is running",
 			fakes:      fakes{claim: Claim{State: ClaimRunning}},
 			wantLog:    []string{"take"},
 			wantReason: dogwoodfleet.ReasonRunning, wantRun: dogwoodfleet.RunUnknown,
@@ -163,12 +163,12 @@
 			wantReason: dogwoodfleet.ReasonOutcome, wantRun: dogwoodfleet.RunUnknown,
 		},
 		{
-			name: "a lookup that broke is sent to another endpoint", repeatable: true,
+			name: "a lookup whose connection broke is sent to another endpoint", repeatable: true,
 			fakes:   fakes{script: []error{broken}},
 			wantLog: []string{"send e0", "release e0 Died", "send e1", "release e1 Done"},
 		},
 		{
-			name: "a lookup that broke once may have run although its second try is refused", repeatable: true,
+			name: "a lookup whose connection broke may have run although its second try is refused", repeatable: true,
 			fakes: fakes{
 				script: []error{broken}, refuseFrom: 2,
 				refuse: &dogwoodowner.Refusal{Reason: dogwoodfleet.ReasonShare, NotRun: true},
@@ -217,8 +217,8 @@
 	}
 }
 
-// A caller sends the same lookups into an outage in which every connection is refused.
-// Retries must stay a small share of first tries, or they keep the servers down.
+// A caller keeps sending lookups during an outage in which every connection is refused.
+// Retries must stay a small share of first tries, as they would otherwise prolong the outage.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fakes := &fakes{}
@@ -237,20 +237,20 @@
 				sends++
 			}
 		}
-		if most := calls + calls/10 + 10; sends > most {
-			t.Errorf("got %d sends for %d calls, want at most %d", sends, calls, most)
+		if maxSends := calls + calls/10 + 10; sends > maxSends {
+			t.Errorf("got %d sends for %d calls, want at most %d", sends, calls, maxSends)
 		}
 	})
 }
 
-// The shares of a limit that daemons fall back to must not add up to more than the limit,
-// whatever the number of daemons.
+// Without owners, each daemon grants its share of an endpoint's limit. The shares must add up
+// to exactly the limit for any number of daemons.
 func TestFallbackSharesAddUpToTheLimit(t *testing.T) {
 	for _, limit := range []int{1, 3, 16, 32} {
 		for daemons := 1; daemons <= 25; daemons++ {
 			sum := 0
 			for rank := range daemons {
-				sum += share(limit, daemons, rank, "engine-1")
+				sum += limitShare(limit, daemons, rank, "engine-1")
 			}
 			if sum != limit {
 				t.Errorf("%d daemons: got %d slots, want %d", daemons, sum, limit)
--- a/core/duty/dogwooddispatch/failure.go
+++ b/core/duty/dogwooddispatch/failure.go
@@ -10,38 +10,39 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-// Failure is how a request ended that was not answered. It is the only error that this
-// package's calls for a request return.
+// Failure is the outcome of a request that was not answered. Dispatcher.Service and
+// Dispatcher.Prompt return no other error.
 type Failure struct {
 	Reason dogwoodfleet.Reason
-	// Run says whether any try of the request began at an endpoint.
+	// Run reports whether any try of the request began at an endpoint.
 	Run dogwoodfleet.RunState
-	// RetryAfter is when it makes sense to ask again; 0 means that it makes none.
+	// RetryAfter is the time after which a retry can succeed, or 0 if a retry is pointless.
 	RetryAfter time.Duration
 	Detail     string
-	// Status is the endpoint's own status if it answered with an error; else 0.
+	// Status is the endpoint's status if it answered with an error, else 0.
 	Status int
 }
 
-// Error tells the reason and the detail.
+// Error returns the reason, the run state and the detail.
 func (failure *Failure) Error() string {
 	return fmt.Sprintf("%s (%s): %s", failure.Reason, failure.Run, failure.Detail)
 }
 
-// NotStarted means that a try provably did not begin at the endpoint and never will.
+// NotStarted means that a try certainly did not begin at the endpoint and never will.
 type NotStarted struct {
 	Cause error
 }
 
 // Error describes the failure.
-func (started *NotStarted) Error() string {
-	return "the endpoint did not begin: " + started.Cause.Error()
+func (notStarted *NotStarted) Error() string {
+	return "the endpoint did not begin: " + notStarted.Cause.Error()
 }
 
 // Unwrap returns the cause.
-func (started *NotStarted) Unwrap() error { return started.Cause }
+func (notStarted *NotStarted) Unwrap() error { return notStarted.Cause }
 
-// Broken means that the endpoint broke off after the try began, or may have begun.
+// Broken means that the endpoint failed before its answer was complete, after the try began or
+// may have begun.
 type Broken struct {
 	Cause error
 }
@@ -54,7 +55,7 @@
 // Unwrap returns the cause.
 func (broken *Broken) Unwrap() error { return broken.Cause }
 
-// Answered means that the endpoint answered with an error of its own.
+// Answered means that the endpoint answered with an error.
 type Answered struct {
 	Status int
 	Body   []byte
@@ -65,8 +66,8 @@
 	return fmt.Sprintf("the endpoint answered %d: %.200s", answered.Status, answered.Body)
 }
 
-// refused makes a failure of an owner's refusal.
-func refused(err error) *Failure {
+// refusalFailure returns the failure for an owner's refusal.
+func refusalFailure(err error) *Failure {
 	var refusal *dogwoodowner.Refusal
 	if !errors.As(err, &refusal) {
 		return &Failure{Reason: dogwoodfleet.ReasonInternal, Run: dogwoodfleet.NotRun, Detail: err.Error()}
@@ -78,17 +79,18 @@
 	return &Failure{Reason: refusal.Reason, Run: run, RetryAfter: refusal.RetryAfter, Detail: refusal.Detail}
 }
 
-// ended makes a failure of the end of a request's context: its deadline or its caller.
-func ended(ctx context.Context, run dogwoodfleet.RunState) *Failure {
+// contextFailure returns the failure of a request whose context ended, because of its
+// deadline or because the caller disconnected.
+func contextFailure(ctx context.Context, run dogwoodfleet.RunState) *Failure {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return &Failure{Reason: dogwoodfleet.ReasonDeadline, Run: run, Detail: "the deadline passed"}
 	}
 	return &Failure{Reason: dogwoodfleet.ReasonCancelled, Run: run, Detail: "the caller left"}
 }
 
-// worse returns what is known of a request after a try that ended as next: once one try
-// has run or may have, a later refusal can't make the request "not run" any more.
-func worse(known, next dogwoodfleet.RunState) dogwoodfleet.RunState {
+// mergeRunStates returns the run state of a request after a try that ended in the state
+// latest. Once a try ran or may have run, a later refusal can't make the request "not run".
+func mergeRunStates(known, latest dogwoodfleet.RunState) dogwoodfleet.RunState {
 	rank := func(state dogwoodfleet.RunState) int {
 		switch state {
 		case dogwoodfleet.WasRun:
@@ -99,8 +101,8 @@
 			return 0
 		}
 	}
-	if rank(next) > rank(known) {
-		return next
+	if rank(latest) > rank(known) {
+		return latest
 	}
 	return known
 }
--- a/core/duty/dogwooddispatch/fallback.go
+++ b/core/duty/dogwooddispatch/fallback.go
@@ -11,60 +11,60 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-// warmFor is how long an endpoint counts as warm after its last good answer to this
-// daemon. An endpoint that turned cold since then is the failure to fear, so the time is
-// short: the members' own time to agree on a dead owner, and a margin as long again.
-const warmFor = 6 * time.Second
+// warmTTL is how long an endpoint counts as warm after its last good answer to this daemon.
+// An endpoint that turned cold in the meantime would be overloaded, so the time is short:
+// twice the time that the daemons need to agree that an owner is dead.
+const warmTTL = 6 * time.Second
 
-// fallback grants slots when no owner can be reached: this daemon's share of the limit of
-// endpoints that it knows to be warm, never one of a cold endpoint. The shares of all
-// daemons add up to the limit, so even all of them at once overload nothing.
+// fallback grants slots when no owner can be reached. It grants up to this daemon's share of
+// the limit of each endpoint known to be warm, and nothing at cold endpoints. The shares of
+// all daemons add up to the limit, so no endpoint is overloaded if all daemons fall back.
 type fallback struct {
-	warm    map[dogwoodfleet.EndpointID]time.Time
-	running map[dogwoodfleet.EndpointID]int
-	number  uint64
-	// most is the largest number of daemons seen alive: one that sees few because the
-	// network is cut must not take the shares of those it can't see.
-	most int
+	lastGood    map[dogwoodfleet.EndpointID]time.Time
+	running     map[dogwoodfleet.EndpointID]int
+	grantNumber uint64
+	// maxDaemons is the largest number of daemons seen alive. A daemon that sees only a few
+	// because of a network partition must not take the shares of the others.
+	maxDaemons int
 }
 
 func newFallback() fallback {
-	return fallback{warm: map[dogwoodfleet.EndpointID]time.Time{}, running: map[dogwoodfleet.EndpointID]int{}}
+	return fallback{lastGood: map[dogwoodfleet.EndpointID]time.Time{}, running: map[dogwoodfleet.EndpointID]int{}}
 }
 
-// fallbackSuffix marks the grants that no owner gave.
+// fallbackSuffix marks grants that were not issued by an owner.
 const fallbackSuffix = "/fallback"
 
-func isFallback(id dogwoodowner.GrantID) bool {
+func isFallbackGrant(id dogwoodowner.GrantID) bool {
 	return strings.HasSuffix(string(id.Owner), fallbackSuffix)
 }
 
-func (fallback *fallback) observe(grant *dogwoodowner.Grant, release *dogwoodowner.Release, now time.Time) {
-	if isFallback(grant.ID) {
+func (fallback *fallback) recordResult(grant *dogwoodowner.Grant, release *dogwoodowner.Release, now time.Time) {
+	if isFallbackGrant(grant.ID) {
 		fallback.running[grant.Endpoint.ID]--
 	}
 	switch {
 	case release.Cold, release.Result == dogwoodfleet.ResultDied, release.Result == dogwoodfleet.ResultRefused:
-		delete(fallback.warm, grant.Endpoint.ID)
+		delete(fallback.lastGood, grant.Endpoint.ID)
 	case release.Result == dogwoodfleet.ResultDone:
-		fallback.warm[grant.Endpoint.ID] = now
+		fallback.lastGood[grant.Endpoint.ID] = now
 	}
 }
 
-// share is this daemon's part of an endpoint's limit. What does not divide evenly goes to
-// daemons in an order that differs for each endpoint.
-func share(limit, daemons, rank int, endpoint dogwoodfleet.EndpointID) int {
+// limitShare returns this daemon's share of an endpoint's limit. The remainder of the
+// division goes to daemons in an order that differs between endpoints.
+func limitShare(limit, daemons, rank int, endpoint dogwoodfleet.EndpointID) int {
 	daemons = max(1, daemons)
-	part := limit / daemons
-	turn := (rank + int(xxhash.Sum64String(string(endpoint))%uint64(daemons))) % daemons
-	if turn < limit%daemons {
-		part++
+	slots := limit / daemons
+	position := (rank + int(xxhash.Sum64String(string(endpoint))%uint64(daemons))) % daemons
+	if position < limit%daemons {
+		slots++
 	}
-	return part
+	return slots
 }
 
-// takeFallback grants a slot of this daemon's own share.
-func (owners *Owners) takeFallback(ask *dogwoodowner.Ask) (dogwoodowner.Grant, bool) {
+// acquireFallback grants a slot from this daemon's share.
+func (owners *Owners) acquireFallback(ask *dogwoodowner.Ask) (dogwoodowner.Grant, bool) {
 	service, ok := owners.options.Text().Service(ask.Request.Service)
 	if !ok {
 		return dogwoodowner.Grant{}, false
@@ -81,25 +81,25 @@
 	owners.mutex.Lock()
 	defer owners.mutex.Unlock()
 	fallback := &owners.fallback
-	fallback.most = max(fallback.most, len(alive))
+	fallback.maxDaemons = max(fallback.maxDaemons, len(alive))
 	for _, endpoint := range endpoints {
-		warm, known := fallback.warm[endpoint.ID]
-		if !endpoint.InForce || endpoint.Service != ask.Request.Service || !known || now.Sub(warm) > warmFor {
+		lastGood, known := fallback.lastGood[endpoint.ID]
+		if !endpoint.InForce || endpoint.Service != ask.Request.Service || !known || now.Sub(lastGood) > warmTTL {
 			continue
 		}
-		if slices.Contains(ask.Avoid, endpoint.ID) || !holds(&endpoint, ask.Request.Model) {
+		if slices.Contains(ask.Avoid, endpoint.ID) || !mayHoldModel(&endpoint, ask.Request.Model) {
 			continue
 		}
 		if endpoint.MemoryTokens > 0 && endpoint.MemoryTokens < ask.Request.Tokens() {
 			continue
 		}
-		if fallback.running[endpoint.ID] >= share(service.WarmLimit, fallback.most, rank, endpoint.ID) {
+		if fallback.running[endpoint.ID] >= limitShare(service.WarmLimit, fallback.maxDaemons, rank, endpoint.ID) {
 			continue
 		}
 		fallback.running[endpoint.ID]++
-		fallback.number++
+		fallback.grantNumber++
 		return dogwoodowner.Grant{
-			ID:       dogwoodowner.GrantID{Owner: owners.options.Self + fallbackSuffix, Number: fallback.number},
+			ID:       dogwoodowner.GrantID{Owner: owners.options.Self + fallbackSuffix, Number: fallback.grantNumber},
 			Endpoint: endpoint,
 			Priority: dogwoodfleet.PriorityNormal, ReservedTokens: ask.Request.Tokens(), Lease: dogwoodowner.GrantLease,
 		}, true
--- a/core/duty/dogwooddispatch/fallback_test.go
+++ b/core/duty/dogwooddispatch/fallback_test.go
@@ -16,43 +16,44 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-// lostPeers is the network from which this daemon is cut off.
-type lostPeers struct{}
+// unreachablePeers is a Caller whose calls all fail.
+type unreachablePeers struct{}
 
-func (lostPeers) Call(context.Context, netip.AddrPort, string, any, any) error {
-	return errors.New("no way")
+func (unreachablePeers) Call(context.Context, netip.AddrPort, string, any, any) error {
+	return errors.New("peer is unreachable")
 }
 
-// The network between daemons is cut while that to the endpoints is whole. An entry that
-// reaches no owner goes on with its share of the endpoints that just answered it well:
-// never with one that said it is cold, that failed, or that it has not heard of for long.
-// What is over its share waits, and is refused at its deadline as not run.
-func TestNoOwnerCanBeReached(t *testing.T) {
+// The network between daemons is partitioned, while endpoints can still be reached. An entry
+// daemon that reaches no owner continues with its share of the endpoints that recently gave it
+// good answers, and never uses one that reported itself as cold, that died, or whose last
+// answer is too old. Requests beyond the share wait and are refused as not run at their
+// deadline.
+func TestFallbackWhenNoOwnerIsReachable(t *testing.T) {
 	tests := []struct {
 		name   string
-		before dogwoodowner.Release // the last answer of the endpoint
+		before dogwoodowner.Release // result of the endpoint's last request
 		pause  time.Duration
-		want   int // requests that get a slot, of four
+		want   int // number of requests that get a slot, of four
 	}{
 		{name: "warm", before: dogwoodowner.Release{Result: dogwoodfleet.ResultDone}, want: 2},
 		{name: "cold", before: dogwoodowner.Release{Result: dogwoodfleet.ResultDone, Cold: true}, want: 0},
 		{name: "died", before: dogwoodowner.Release{Result: dogwoodfleet.ResultDied}, want: 0},
-		{name: "not heard of for long", before: dogwoodowner.Release{Result: dogwoodfleet.ResultDone}, pause: warmFor + time.Second, want: 0},
+		{name: "last answer too old", before: dogwoodowner.Release{Result: dogwoodfleet.ResultDone}, pause: warmTTL + time.Second, want: 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				members := newBenchMembers(21, 1)
-				self := members.alive[20] // in the endpoint's data centre, as its owner is
-				self.Leaving = true       // so it owns nothing itself
+				self := members.alive[20] // in the endpoint's data centre, like its owner
+				self.Leaving = true       // so that it owns no endpoint
 				members.alive = []Member{members.alive[0], self}
 				text := &dogwoodsettings.Text{Services: []dogwoodsettings.Service{{Name: "pool", ColdLimit: 1, WarmLimit: 4}}}
 				owners := NewOwners(OwnersOptions{
-					Self: self.Instance, Place: self.Place, Members: members, Caller: lostPeers{},
+					Self: self.Instance, Place: self.Place, Members: members, Caller: unreachablePeers{},
 					Local: dogwoodowner.New(dogwoodowner.Options{Self: self.Instance, Text: text}),
 					Text:  func() *dogwoodsettings.Text { return text }, Logger: hclog.NewNullLogger(),
 				})
-				owners.observe(&dogwoodowner.Grant{Endpoint: members.endpoints[0]}, &test.before)
+				owners.recordResult(&dogwoodowner.Grant{Endpoint: members.endpoints[0]}, &test.before)
 				time.Sleep(test.pause)
 				granted := 0
 				for range 4 {
@@ -66,7 +67,7 @@
 					case err == nil && strings.HasSuffix(string(grant.ID.Owner), fallbackSuffix):
 						granted++
 					case !errors.As(err, &refusal) || refusal.Reason != dogwoodfleet.ReasonDeadline || !refusal.NotRun:
-						t.Errorf("got %v %v, want a slot of its own or the deadline, not run", grant, err)
+						t.Errorf("got %v %v, want a fallback slot or a refusal at the deadline, not run", grant, err)
 					}
 				}
 				if granted != test.want {
--- a/core/duty/dogwooddispatch/gangs.go
+++ b/core/duty/dogwooddispatch/gangs.go
@@ -14,53 +14,55 @@
 )
 
 const (
-	// enginesKept is how long the list of all owners' engines is used. What is free changes
-	// with every gang that begins or ends, after seconds; a gang that asks the wrong owner
-	// is refused there.
-	enginesKept = 500 * time.Millisecond
-	// enginesTime bounds asking the owners.
-	enginesTime = time.Second
-	// enginesAtOnce bounds the owners asked at the same time.
-	enginesAtOnce = 64
+	// engineListTTL is how long the list of all owners' engines is cached. Free memory changes
+	// when a gang begins or ends, which takes seconds. A gang that chooses an engine by an
+	// outdated list is refused by its owner.
+	engineListTTL = 500 * time.Millisecond
+	// engineListTimeout bounds fetching the list from the owners.
+	engineListTimeout = time.Second
+	// maxConcurrentEngineCalls bounds the owners that are called at the same time.
+	maxConcurrentEngineCalls = 64
 )
 
-// Gangs lets the local owner reserve engines of other owners, for prompts that exceed one
-// engine. It is a dogwoodowner.GangPeers.
+// Gangs lets the local owner reserve engines of other owners for prompts that exceed the
+// memory of one engine. It implements dogwoodowner.GangPeers.
 type Gangs struct {
-	// Owners is set before the first request.
+	// Owners must be set before the first request.
 	Owners *Owners
 
-	asking  singleflight.Group
-	mutex   sync.Mutex
-	engines []dogwoodowner.GangEngine
-	asked   time.Time
+	fetchGroup singleflight.Group
+	mutex      sync.Mutex
+	engines    []dogwoodowner.GangEngine
+	fetchedAt  time.Time
 }
 
-// Engines lists the engines of all owners whose memory is known.
+// Engines lists the engines of all owners that are in force for the service, may hold the
+// model and whose memory size is known.
 func (gangs *Gangs) Engines(service dogwoodfleet.Service, model dogwoodfleet.Model) []dogwoodowner.GangEngine {
-	var found []dogwoodowner.GangEngine
-	for _, engine := range gangs.all() {
-		if engine.Service == service && engine.InForce && holds(&engine.Endpoint, model) {
-			found = append(found, engine)
+	var engines []dogwoodowner.GangEngine
+	for _, engine := range gangs.allEngines() {
+		if engine.Service == service && engine.InForce && mayHoldModel(&engine.Endpoint, model) {
+			engines = append(engines, engine)
 		}
 	}
-	return found
+	return engines
 }
 
-// all returns the list of all owners' engines, which one caller asks for at a time. No lock
-// is held meanwhile: a peer that does not answer would hold up every gang's release too.
-func (gangs *Gangs) all() []dogwoodowner.GangEngine {
+// allEngines returns the list of all owners' engines. One caller at a time fetches it, and no
+// lock is held meanwhile, because a peer that doesn't answer would also delay the release of
+// every gang.
+func (gangs *Gangs) allEngines() []dogwoodowner.GangEngine {
 	gangs.mutex.Lock()
-	engines, fresh := gangs.engines, time.Since(gangs.asked) <= enginesKept
+	engines, fresh := gangs.engines, time.Since(gangs.fetchedAt) <= engineListTTL
 	gangs.mutex.Unlock()
 	if fresh {
 		return engines
 	}
-	_, _, _ = gangs.asking.Do("", func() (any, error) {
-		asked := gangs.ask()
+	_, _, _ = gangs.fetchGroup.Do("", func() (any, error) {
+		fetched := gangs.fetchEngines()
 		gangs.mutex.Lock()
 		defer gangs.mutex.Unlock()
-		gangs.engines, gangs.asked = asked, time.Now()
+		gangs.engines, gangs.fetchedAt = fetched, time.Now()
 		return nil, nil
 	})
 	gangs.mutex.Lock()
@@ -68,13 +70,13 @@
 	return gangs.engines
 }
 
-func (gangs *Gangs) ask() []dogwoodowner.GangEngine {
-	ctx, cancel := context.WithTimeout(context.Background(), enginesTime)
+func (gangs *Gangs) fetchEngines() []dogwoodowner.GangEngine {
+	ctx, cancel := context.WithTimeout(context.Background(), engineListTimeout)
 	defer cancel()
-	engines := gangs.Owners.engines()
+	engines := gangs.Owners.ownedEngines()
 	var mutex sync.Mutex
 	var group errgroup.Group
-	group.SetLimit(enginesAtOnce)
+	group.SetLimit(maxConcurrentEngineCalls)
 	for _, member := range gangs.Owners.options.Members.Alive() {
 		if member.Instance == gangs.Owners.options.Self || member.Place.Region != gangs.Owners.options.Place.Region {
 			continue
@@ -82,7 +84,7 @@
 		group.Go(func() error {
 			var owned []dogwoodowner.GangEngine
 			if err := gangs.Owners.options.Caller.Call(ctx, member.Peer, "Owner.Engines", true, &owned); err != nil {
-				return nil //nolint:nilerr // its engines are left out this time
+				return nil //nolint:nilerr // the engines of an unreachable owner are left out
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
@@ -90,13 +92,13 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // the calls return no errors
+	_ = group.Wait() // the functions return no errors
 	return engines
 }
 
-// Acquire asks the owner of an engine for a member's place.
+// Acquire acquires a slot for a gang member from the owner of its engine.
 func (gangs *Gangs) Acquire(ctx context.Context, endpoint dogwoodfleet.Endpoint, ask dogwoodowner.Ask) (dogwoodowner.Grant, error) {
-	gangs.lent(endpoint.ID)
+	gangs.markFull(endpoint.ID)
 	member, ok := gangs.Owners.ownerOf(&endpoint)
 	if !ok {
 		return dogwoodowner.Grant{}, Error.New("no owner of %s is alive", endpoint.ID)
@@ -104,21 +106,21 @@
 	return gangs.Owners.acquireFrom(ctx, member, ask)
 }
 
-// lent notes that an engine was just asked for: the next gang chooses others, although the
-// list does not tell of it yet.
-func (gangs *Gangs) lent(id dogwoodfleet.EndpointID) {
+// markFull marks an engine as full in the cached list, so that the next gang chooses other
+// engines even before the list is fetched again.
+func (gangs *Gangs) markFull(id dogwoodfleet.EndpointID) {
 	gangs.mutex.Lock()
 	defer gangs.mutex.Unlock()
-	noted := slices.Clone(gangs.engines)
-	for i := range noted {
-		if noted[i].ID == id {
-			noted[i].FreeTokens = 0
+	engines := slices.Clone(gangs.engines)
+	for i := range engines {
+		if engines[i].ID == id {
+			engines[i].FreeTokens = 0
 		}
 	}
-	gangs.engines = noted
+	gangs.engines = engines
 }
 
-// Release gives a member's place back.
+// Release releases a gang member's slot.
 func (gangs *Gangs) Release(ctx context.Context, endpoint dogwoodfleet.Endpoint, release dogwoodowner.Release) {
 	if member, ok := gangs.Owners.ownerOf(&endpoint); ok {
 		gangs.Owners.releaseAt(ctx, member, release)
--- a/core/duty/dogwooddispatch/health.go
+++ b/core/duty/dogwooddispatch/health.go
@@ -9,8 +9,8 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// health knows which endpoints can't be connected to. It serves the early refusal of
-// requests whose dependency is down; which endpoints get work is the owners' decision.
+// health records which endpoints can't be connected to. It is used to refuse requests early
+// if a dependency is down. It doesn't affect which endpoints the owners choose.
 type health struct {
 	down map[dogwoodfleet.EndpointID]bool
 }
@@ -19,20 +19,20 @@
 	return health{down: map[dogwoodfleet.EndpointID]bool{}}
 }
 
-func (health *health) reached(endpoint dogwoodfleet.EndpointID) {
+func (health *health) markReachable(endpoint dogwoodfleet.EndpointID) {
 	delete(health.down, endpoint)
 }
 
 const (
-	// probeEvery is how often the endpoints that others depend on are connected to.
-	probeEvery = dependencyRetry
-	// probeTime is how long a connection may take: far over any link's round trip.
-	probeTime = time.Second
-	// probesAtOnce bounds a round of probes on a daemon of many services.
-	probesAtOnce = 16
+	// probeInterval is the interval between probes of endpoints that others depend on.
+	probeInterval = dependencyRetryAfter
+	// probeTimeout bounds connecting to an endpoint. It is far above any link's round trip.
+	probeTimeout = time.Second
+	// maxConcurrentProbes bounds concurrent probes, as there may be many services.
+	maxConcurrentProbes = 16
 )
 
-// Down reports whether a service has no endpoint in force that can be connected to.
+// Down reports whether none of a service's endpoints in force can be connected to.
 func (owners *Owners) Down(service dogwoodfleet.Service) bool {
 	endpoints := owners.options.Members.Endpoints()
 	owners.mutex.Lock()
@@ -45,22 +45,22 @@
 	return true
 }
 
-// probe connects once to each endpoint of the services that others depend on.
+// probe connects once to each endpoint in force of the services that others depend on.
 func (owners *Owners) probe(ctx context.Context) {
-	needed := map[dogwoodfleet.Service]bool{}
+	dependencies := map[dogwoodfleet.Service]bool{}
 	for _, service := range owners.options.Text().Services {
 		for _, dependency := range service.DependsOn {
-			needed[dependency] = true
+			dependencies[dependency] = true
 		}
 	}
 	var group errgroup.Group
-	group.SetLimit(probesAtOnce)
+	group.SetLimit(maxConcurrentProbes)
 	for _, endpoint := range owners.options.Members.Endpoints() {
-		if !needed[endpoint.Service] || !endpoint.InForce {
+		if !dependencies[endpoint.Service] || !endpoint.InForce {
 			continue
 		}
 		group.Go(func() error {
-			ctx, cancel := context.WithTimeout(ctx, probeTime)
+			ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 			defer cancel()
 			err := owners.options.Probe(ctx, endpoint)
 			owners.mutex.Lock()
--- a/core/duty/dogwooddispatch/hedge.go
+++ b/core/duty/dogwooddispatch/hedge.go
@@ -9,110 +9,114 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-// hedgeAfter is how long a short request waits at one owner before a second one is asked
-// as well. A queue that moves grants in tens of milliseconds; one that holds a request this
-// long stands behind something long, and a short request's whole answer takes as long.
-const hedgeAfter = 250 * time.Millisecond
+// hedgeDelay is how long a short request waits at one owner before a second owner is asked
+// as well. A queue that makes progress grants a slot within tens of milliseconds. A request
+// that waits longer is blocked by long requests. The delay is about the time in which a short
+// request is answered completely.
+const hedgeDelay = 250 * time.Millisecond
 
-// hedgeSuffix makes the second ask's ID.
+// hedgeSuffix is appended to the request ID of the second acquire request.
 const hedgeSuffix = "-h"
 
-// asked is an owner's answer to one of two asks for the same request.
-type asked struct {
+// acquireResult is an owner's reply to one of two acquire requests for the same request.
+type acquireResult struct {
 	member  Member
 	request dogwoodfleet.RequestID
 	grant   dogwoodowner.Grant
 	err     error
 }
 
-// acquireHedged asks an owner, and another one too if the first keeps a short request
-// waiting while the other has free slots.
+// acquireHedged acquires a slot from an owner. If that owner keeps a short request waiting
+// while another owner has free slots, it sends an acquire request to the other one too.
 //
-// Load pattern: a few long prompts fill the engines of one owner; its slots look free, so
-// short requests are sent there and wait behind them for seconds while the engines of its
-// neighbours idle. The second ask goes only to an owner with free slots, so that it adds
-// nothing to a queue; in an overload there is none. It has an ID of its own, which the
-// request takes on if that ask is granted: the end of the other one must not be taken for
-// the end of the request, above all for a suspect, of which one may run at a time.
+// It addresses the following load pattern. A few long prompts fill the engines of one owner.
+// Its slots look free, so short requests are sent there and wait for seconds while the
+// engines of other owners are idle.
+//
+// The second acquire request goes only to an owner with free slots, so that it never
+// lengthens a queue. In an overload there is no such owner. It has a separate ID, which
+// becomes the request's ID if it is granted. With a shared ID, the end of the acquire request
+// that wasn't granted would count as the end of the request. That matters most for suspects,
+// of which only one may run at a time.
 func (owners *Owners) acquireHedged(ctx context.Context, member Member, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error) {
 	if owners.options.Policy == dogwoodowner.PolicyBaseline || dogwoodadmission.ClassOf(ask.Request.PromptTokens).Long() {
 		return owners.acquireFrom(ctx, member, *ask)
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // withdraws the ask that was not granted
-	answers := make(chan asked, 2)
-	owners.askInBackground(ctx, member, *ask, answers)
+	defer cancel() // withdraws the acquire request that was not granted
+	results := make(chan acquireResult, 2)
+	owners.acquireInBackground(ctx, member, *ask, results)
 	pending := 1
-	timer := time.NewTimer(hedgeAfter)
+	timer := time.NewTimer(hedgeDelay)
 	defer timer.Stop()
 	for {
 		select {
-		case answer := <-answers:
+		case result := <-results:
 			pending--
-			if answer.err != nil && pending > 0 {
-				continue // the other one may still grant
+			if result.err != nil && pending > 0 {
+				continue // the other owner may still grant a slot
 			}
 			if pending > 0 {
 				cancel()
-				owners.giveBack(ctx, answers)
+				owners.releaseLateGrant(ctx, results)
 			}
-			ask.Request.ID = answer.request
-			return answer.grant, answer.err
+			ask.Request.ID = result.request
+			return result.grant, result.err
 		case <-timer.C:
-			if second, ok := owners.idle(ask, member); ok {
+			if second, ok := owners.idleOwner(ask, member); ok {
 				counters.Add("Hedges", 1)
 				hedge := *ask
 				hedge.Request.ID += hedgeSuffix
 				hedge.Budget = time.Until(ask.Request.Deadline)
-				owners.askInBackground(ctx, second, hedge, answers)
+				owners.acquireInBackground(ctx, second, hedge, results)
 				pending++
 			}
 		}
 	}
 }
 
-func (owners *Owners) askInBackground(ctx context.Context, member Member, ask dogwoodowner.Ask, answers chan<- asked) {
-	begun := owners.inBackground(func() {
+func (owners *Owners) acquireInBackground(ctx context.Context, member Member, ask dogwoodowner.Ask, results chan<- acquireResult) {
+	started := owners.runInBackground(func() {
 		grant, err := owners.acquireFrom(ctx, member, ask)
-		answers <- asked{member: member, request: ask.Request.ID, grant: grant, err: err}
+		results <- acquireResult{member: member, request: ask.Request.ID, grant: grant, err: err}
 	})
-	if !begun {
-		answers <- asked{member: member, request: ask.Request.ID, err: refusalEnded()}
+	if !started {
+		results <- acquireResult{member: member, request: ask.Request.ID, err: shutdownRefusal()}
 	}
 }
 
-// giveBack releases what the slower of two owners grants.
-func (owners *Owners) giveBack(ctx context.Context, answers <-chan asked) {
-	owners.inBackground(func() {
-		if late := <-answers; late.err == nil {
+// releaseLateGrant releases the grant of the slower of two owners.
+func (owners *Owners) releaseLateGrant(ctx context.Context, results <-chan acquireResult) {
+	owners.runInBackground(func() {
+		if late := <-results; late.err == nil {
 			for _, part := range late.grant.Parts() {
 				owners.releaseAt(context.WithoutCancel(ctx), late.member, dogwoodowner.Release{
-					ID: part.ID, Result: cut(ctx).Result,
+					ID: part.ID, Result: contextRelease(ctx).Result,
 				})
 			}
 		}
 	})
 }
 
-// idle returns an owner other than the one asked that has free slots, the nearest and
-// least loaded.
-func (owners *Owners) idle(ask *dogwoodowner.Ask, not Member) (Member, bool) {
-	found := owners.ownership().serve(ask.Request.Service, ask.Request.Model)
-	loads := owners.loads(found, ask.Request.Service)
+// idleOwner returns the nearest owner, and among equally near ones the least loaded, that has
+// free slots and isn't the excluded one.
+func (owners *Owners) idleOwner(ask *dogwoodowner.Ask, excluded Member) (Member, bool) {
+	groups := owners.ownership().groupsServing(ask.Request.Service, ask.Request.Model)
+	loads := owners.loads(groups, ask.Request.Service)
 	best := -1
 	for i := range loads {
 		load := &loads[i]
-		taken := load.Running + load.Asked
-		if found[i].member.Instance == not.Instance || load.Waiting > 0 || load.Slots > 0 && taken >= load.Slots {
+		used := load.Running + load.Asked
+		if groups[i].member.Instance == excluded.Instance || load.Waiting > 0 || load.Slots > 0 && used >= load.Slots {
 			continue
 		}
 		if best < 0 || load.Distance < loads[best].Distance ||
-			load.Distance == loads[best].Distance && taken*loads[best].Slots < (loads[best].Running+loads[best].Asked)*load.Slots {
+			load.Distance == loads[best].Distance && used*loads[best].Slots < (loads[best].Running+loads[best].Asked)*load.Slots {
 			best = i
 		}
 	}
 	if best < 0 {
 		return Member{}, false
 	}
-	return found[best].member, true
+	return groups[best].member, true
 }
--- a/core/duty/dogwooddispatch/hedge_test.go
+++ b/core/duty/dogwooddispatch/hedge_test.go
@@ -16,7 +16,8 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-// slowOwner is another daemon's owner that keeps its askers waiting.
+// slowOwner is a Caller that reaches the owner of another daemon, which grants slots late or
+// never.
 type slowOwner struct {
 	grantsAfter time.Duration // 0: never
 
@@ -40,10 +41,10 @@
 	return nil
 }
 
-// A dealer's short draft is sent to an owner whose engines are full of long reviews. It
-// must not wait there for seconds while another owner's engine idles, and what the first
-// owner grants too late must be given back, or its slot is lost.
-func TestShortRequestIsAskedAtASecondOwner(t *testing.T) {
+// A short request is sent to an owner whose engines are full of long requests. It must not
+// wait there for seconds while another owner's engine is idle. A grant that the first owner
+// issues too late must be released, or its slot stays occupied.
+func TestShortRequestIsHedgedAtSecondOwner(t *testing.T) {
 	tests := []struct {
 		name        string
 		grantsAfter time.Duration
@@ -52,16 +53,16 @@
 		wantLog     []string
 	}{
 		{name: "the second owner grants", tokens: 500, wantID: "r-h", wantLog: []string{"Owner.Acquire", "Owner.Withdraw"}},
-		{name: "the first owner's late grant is given back", grantsAfter: 2 * time.Second, tokens: 500, wantID: "r-h", wantLog: []string{"Owner.Acquire", "Owner.Release"}},
-		{name: "a quick first owner is the only one asked", grantsAfter: 100 * time.Millisecond, tokens: 500, wantID: "r", wantLog: []string{"Owner.Acquire"}},
-		{name: "a long request is asked once", grantsAfter: 2 * time.Second, tokens: 100_000, wantID: "r", wantLog: []string{"Owner.Acquire"}},
+		{name: "the late grant of the first owner is released", grantsAfter: 2 * time.Second, tokens: 500, wantID: "r-h", wantLog: []string{"Owner.Acquire", "Owner.Release"}},
+		{name: "a fast first owner is the only one asked", grantsAfter: 100 * time.Millisecond, tokens: 500, wantID: "r", wantLog: []string{"Owner.Acquire"}},
+		{name: "a long request is not hedged", grantsAfter: 2 * time.Second, tokens: 100_000, wantID: "r", wantLog: []string{"Owner.Acquire"}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				members := newBenchMembers(2, 0)
 				members.alive[1].Place = members.alive[0].Place
-				self, other := members.alive[0], members.alive[1]
+				self, slowMember := members.alive[0], members.alive[1]
 				engine := dogwoodfleet.Endpoint{Service: "pool", Kind: dogwoodfleet.EnginePool, Place: self.Place, InForce: true}
 				for _, id := range []dogwoodfleet.EndpointID{"engine-1", "engine-2", "engine-3", "engine-4", "engine-5"} {
 					engine.ID = id
@@ -74,12 +75,12 @@
 					Self: self.Instance, Place: self.Place, Members: members, Local: local, Caller: slow,
 					Text: func() *dogwoodsettings.Text { return text }, Logger: hclog.NewNullLogger(),
 				})
-				owners.own()
+				owners.updateOwned()
 				time.Sleep(dogwoodowner.SettleTimeout)
 				ask := &dogwoodowner.Ask{Request: dogwoodfleet.Request{
 					ID: "r", Service: "pool", PromptTokens: test.tokens, MaxTokens: 10, Deadline: time.Now().Add(30 * time.Second),
 				}, Holder: self.Instance, Budget: 30 * time.Second}
-				if _, err := owners.acquireHedged(t.Context(), other, ask); err != nil {
+				if _, err := owners.acquireHedged(t.Context(), slowMember, ask); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(10 * time.Second)
--- a/core/duty/dogwooddispatch/owners.go
+++ b/core/duty/dogwooddispatch/owners.go
@@ -24,106 +24,109 @@
 	Leaving  bool
 }
 
-// Members tells who is alive and which endpoints there are. Its slices are never changed;
-// when one is the same as before, so is all in it.
+// Members lists the daemons alive and all endpoints. The slices that it returns are never
+// modified: the same slice always has the same contents.
 type Members interface {
-	// Alive lists the daemons alive, this one among them.
+	// Alive lists the daemons alive, including this one.
 	Alive() []Member
-	// Endpoints lists all endpoints, with InForce as the operators and the VM list say.
+	// Endpoints lists all endpoints. InForce is set from the operators' configuration and the
+	// list of VMs.
 	Endpoints() []dogwoodfleet.Endpoint
-	// Watch returns a channel that is closed when either of them changes.
+	// Watch returns a channel that is closed when either list changes.
 	Watch() <-chan struct{}
 }
 
-// Caller calls other daemons.
+// Caller sends calls to other daemons.
 type Caller interface {
 	Call(ctx context.Context, peer netip.AddrPort, method string, args, reply any) error
 }
 
-// OwnersOptions are what Owners is made from.
+// OwnersOptions configure Owners.
 type OwnersOptions struct {
 	Self  dogwoodfleet.InstanceID
 	Place dogwoodfleet.Place
-	// Policy is "" or dogwoodowner.PolicyBaseline, which chooses owners by chance.
+	// Policy is "" or dogwoodowner.PolicyBaseline, which chooses owners at random.
 	Policy  string
 	Text    func() *dogwoodsettings.Text
 	Members Members
 	Local   *dogwoodowner.Owner
 	Caller  Caller
-	// Cancel ends a stream at its engine.
+	// Cancel cancels a stream at its engine.
 	Cancel func(ctx context.Context, endpoint dogwoodfleet.Endpoint, id dogwoodfleet.RequestID) error
 	// Probe tries to connect to an endpoint.
 	Probe  func(ctx context.Context, endpoint dogwoodfleet.Endpoint) error
 	Logger hclog.Logger
 }
 
-// Owners finds the soft owner for a request among all daemons and keeps the grants that
-// this daemon holds. It is safe for concurrent use.
+// Owners acquires slots from the daemons that own endpoints and keeps the grants that this
+// daemon holds. It is safe for concurrent use.
 type Owners struct {
-	options OwnersOptions
-	group   sync.WaitGroup
-	table   atomic.Pointer[ownership]
-
-	mutex     sync.Mutex
-	ended     bool
-	held      map[dogwoodowner.GrantID]*heldGrant
-	summaries map[dogwoodfleet.InstanceID]*ownerState
-	fallback  fallback
-	health    health
-	owned     []dogwoodfleet.Endpoint
-	// told is what owned engines said of themselves last.
-	told   map[dogwoodfleet.EndpointID]dogwoodowner.LoadReport
-	random *rand.Rand
+	options    OwnersOptions
+	background sync.WaitGroup
+	table      atomic.Pointer[ownership]
+
+	mutex       sync.Mutex
+	closed      bool
+	held        map[dogwoodowner.GrantID]*heldGrant
+	ownerStates map[dogwoodfleet.InstanceID]*ownerState
+	fallback    fallback
+	health      health
+	owned       []dogwoodfleet.Endpoint
+	// loadReports holds the last report of each owned engine.
+	loadReports map[dogwoodfleet.EndpointID]dogwoodowner.LoadReport
+	random      *rand.Rand
 }
 
 // heldGrant is a grant whose request runs for a caller of this daemon.
 type heldGrant struct {
 	dogwoodowner.Held
-	// keeper is the owner that counts the grant now: the endpoint's present owner.
-	keeper dogwoodfleet.InstanceID
-	sent   time.Time
+	// owner is the endpoint's current owner, which accounts for the grant.
+	owner     dogwoodfleet.InstanceID
+	heldSince time.Time
 }
 
-// ownerState is what is known of an owner's work.
+// ownerState is the last known work of an owner.
 type ownerState struct {
-	summary dogwoodowner.Summary
-	at      time.Time
-	// asked counts this daemon's asks since the summary: what was just sent counts before
-	// it is reported, else all entries would run to the owner that reported last.
-	asked map[dogwoodfleet.Service]int
+	summary    dogwoodowner.Summary
+	receivedAt time.Time
+	// acquires counts this daemon's acquire requests since the summary, which doesn't include
+	// them. Without this count, all entry daemons would choose the owner whose last summary
+	// showed the lowest load.
+	acquires map[dogwoodfleet.Service]int
 }
 
-// NewOwners returns the directory of owners.
+// NewOwners returns Owners without any grants.
 func NewOwners(options OwnersOptions) *Owners {
 	return &Owners{
-		options:   options,
-		held:      map[dogwoodowner.GrantID]*heldGrant{},
-		summaries: map[dogwoodfleet.InstanceID]*ownerState{},
-		fallback:  newFallback(),
-		health:    newHealth(),
-		told:      map[dogwoodfleet.EndpointID]dogwoodowner.LoadReport{},
-		random:    rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
+		options:     options,
+		held:        map[dogwoodowner.GrantID]*heldGrant{},
+		ownerStates: map[dogwoodfleet.InstanceID]*ownerState{},
+		fallback:    newFallback(),
+		health:      newHealth(),
+		loadReports: map[dogwoodfleet.EndpointID]dogwoodowner.LoadReport{},
+		random:      rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
 }
 
 const (
-	// acquireAgain is the pause before owners that were all unreachable are asked anew;
-	// members need up to three seconds to agree on a dead daemon's successor.
-	acquireAgain = 250 * time.Millisecond
-	// ownersAsked bounds how many owners one request asks in a row. The second choice has
-	// most of the gain of choosing among all; the third is for a daemon that just died.
-	ownersAsked = 3
-	// emptyOwnersAsked bounds how many owners without an endpoint in force are asked besides.
-	// Only the owner hears at once that an endpoint leaves; an entry that gave up after three
-	// of these would refuse while others have endpoints. They answer without a wait.
-	emptyOwnersAsked = 8
-	// releaseTime bounds telling an owner of a request's end. A release that is lost
-	// costs its slot until the grant's lease has run out.
-	releaseTime = 2 * time.Second
+	// acquireRetryInterval is the pause before another round if no owner could be reached.
+	// Daemons need up to three seconds to agree on the successor of a dead one.
+	acquireRetryInterval = 250 * time.Millisecond
+	// maxOwnersAsked bounds the owners that a request is sent to in one round. Two give most of
+	// the benefit of choosing among all. The third is for the case that a daemon just died.
+	maxOwnersAsked = 3
+	// maxEmptyOwnersAsked bounds the additional owners that turn out to have no endpoint in
+	// force. Only the owner is notified immediately that an endpoint leaves, so an entry daemon
+	// that gave up after three of these would refuse requests although other owners have
+	// endpoints. Owners without endpoints reply without waiting.
+	maxEmptyOwnersAsked = 8
+	// releaseTimeout bounds notifying an owner of the end of a request. If a release is lost,
+	// its slot stays occupied until the grant's lease expires.
+	releaseTimeout = 2 * time.Second
 )
 
-// Acquire asks the owners that suit the request, best first, until one grants a slot. The
-// request's ID is the granted ask's afterwards.
+// Acquire sends an acquire request to the owners that have suitable endpoints, best first,
+// until one grants a slot. It sets the request's ID to that of the granted acquire request.
 func (owners *Owners) Acquire(ctx context.Context, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error) {
 	for {
 		grant, err := owners.acquireOnce(ctx, ask)
@@ -136,41 +139,41 @@
 			return grant, err
 		}
 		counters.Add("OwnersUnreachable", 1)
-		if grant, ok := owners.takeFallback(ask); ok {
+		if grant, ok := owners.acquireFallback(ask); ok {
 			counters.Add("Fallbacks", 1)
-			// Held like any other: it is announced to the owner as soon as there is one, which
-			// would else take the stream for one that no one holds and cancel it.
+			// The grant is held like any other and is announced to the owner as soon as there is
+			// one. Otherwise that owner would treat the stream as orphaned and cancel it.
 			owners.hold(ask, grant)
 			return grant, nil
 		}
 		select {
 		case <-ctx.Done():
-			failure := ended(ctx, dogwoodfleet.NotRun)
+			failure := contextFailure(ctx, dogwoodfleet.NotRun)
 			return dogwoodowner.Grant{}, &dogwoodowner.Refusal{Reason: failure.Reason, NotRun: true, Detail: "no owner could be reached: " + err.Error()}
-		case <-time.After(acquireAgain):
+		case <-time.After(acquireRetryInterval):
 		}
 		ask.Budget = time.Until(ask.Request.Deadline)
 	}
 }
 
-// acquireOnce asks up to ownersAsked owners, not counting those that turn out to have no
-// endpoint in force. The error is the last refusal, or that of the transport when no owner
-// answered at all.
+// acquireOnce sends an acquire request to up to maxOwnersAsked owners, not counting those that
+// turn out to have no endpoint in force. The error is the last refusal, or the transport error
+// if no owner answered.
 func (owners *Owners) acquireOnce(ctx context.Context, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error) {
-	var transport error
+	var transportErr error
 	refusal := &dogwoodowner.Refusal{Reason: dogwoodfleet.ReasonNoEndpoint, NotRun: true, RetryAfter: time.Second, Detail: "no endpoint of the service is in force"}
 	refused := false
 	chooser := owners.chooser(ask)
 	started, budget := time.Now(), ask.Budget
-	for asked, empty := 0, 0; asked < ownersAsked && empty < emptyOwnersAsked; {
-		candidate, more := chooser.next()
-		if !more {
+	for asked, empty := 0, 0; asked < maxOwnersAsked && empty < maxEmptyOwnersAsked; {
+		candidate, ok := chooser.nextOwner()
+		if !ok {
 			break
 		}
-		// What one owner took is no longer left at the next: told the whole budget, it would
-		// let the request wait until its caller is gone.
+		// Subtract the time spent at earlier owners. With the whole budget, this owner could
+		// keep the request waiting beyond its deadline, until the caller has disconnected.
 		ask.Budget = budget - time.Since(started)
-		owners.asked(candidate.Instance, ask.Request.Service)
+		owners.countAcquire(candidate.Instance, ask.Request.Service)
 		grant, err := owners.acquireHedged(ctx, candidate, ask)
 		if err == nil {
 			return grant, nil
@@ -179,10 +182,10 @@
 		refused = refused || answered
 		switch {
 		case !answered:
-			owners.forget(candidate.Instance)
-			transport = err
+			owners.dropSummary(candidate.Instance)
+			transportErr = err
 			asked++
-		case !elsewhere(refusal) || ctx.Err() != nil:
+		case !otherOwnerMayGrant(refusal) || ctx.Err() != nil:
 			return dogwoodowner.Grant{}, refusal
 		case refusal.Reason == dogwoodfleet.ReasonNoEndpoint:
 			empty++
@@ -190,20 +193,20 @@
 			asked++
 		}
 	}
-	if refused || transport == nil {
+	if refused || transportErr == nil {
 		return dogwoodowner.Grant{}, refusal
 	}
-	return dogwoodowner.Grant{}, transport
+	return dogwoodowner.Grant{}, transportErr
 }
 
-// refusalEnded refuses at this daemon's own end.
-func refusalEnded() *dogwoodowner.Refusal {
+// shutdownRefusal returns the refusal of a daemon that is shutting down.
+func shutdownRefusal() *dogwoodowner.Refusal {
 	return &dogwoodowner.Refusal{Reason: dogwoodfleet.ReasonShutdown, NotRun: true, Detail: "this daemon is ending"}
 }
 
-// elsewhere is true when another owner may grant what this one refused: its endpoints
-// differ, the customer's share and the suspects do not.
-func elsewhere(refusal *dogwoodowner.Refusal) bool {
+// otherOwnerMayGrant reports whether another owner may grant what this one refused. Owners
+// have different endpoints, but the customer's share and the suspects are the same for all.
+func otherOwnerMayGrant(refusal *dogwoodowner.Refusal) bool {
 	switch refusal.Reason {
 	case dogwoodfleet.ReasonNoEndpoint, dogwoodfleet.ReasonTooLarge, dogwoodfleet.ReasonDeadline, dogwoodfleet.ReasonShutdown:
 		return true
@@ -221,27 +224,28 @@
 	if err != nil {
 		owners.withdraw(ctx, member.Peer, ask.Request.ID)
 		if ctx.Err() != nil {
-			failure := ended(ctx, dogwoodfleet.NotRun)
+			failure := contextFailure(ctx, dogwoodfleet.NotRun)
 			return dogwoodowner.Grant{}, &dogwoodowner.Refusal{Reason: failure.Reason, NotRun: true, Detail: failure.Detail}
 		}
 		return dogwoodowner.Grant{}, Error.Wrap(err)
 	}
-	owners.note(reply.Summary)
+	owners.recordSummary(reply.Summary)
 	if reply.Refusal != nil {
 		return dogwoodowner.Grant{}, reply.Refusal
 	}
 	return reply.Grant, nil
 }
 
-// withdraw tells an owner that a request no longer waits. Without it a caller that left
-// would keep its place in the queue, and later a slot until its lease ran out.
+// withdraw notifies an owner that a request no longer waits. Otherwise the request of a
+// caller that disconnected would stay in the queue and later occupy a slot until the lease
+// expires.
 func (owners *Owners) withdraw(ctx context.Context, peer netip.AddrPort, id dogwoodfleet.RequestID) {
-	owners.inBackground(func() {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTime)
+	owners.runInBackground(func() {
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 		defer cancel()
 		var reply bool
 		if err := owners.options.Caller.Call(ctx, peer, "Owner.Withdraw", id, &reply); err != nil {
-			owners.options.Logger.Debug("withdrawing failed", "request", id, "error", err)
+			owners.options.Logger.Debug("failed to withdraw a waiting request", "request", id, "error", err)
 		}
 	})
 }
@@ -256,50 +260,51 @@
 				Grant: part, Holder: ask.Holder, Request: ask.Request.ID, Customer: ask.Request.Customer,
 				Digest: ask.Request.Digest, PromptTokens: ask.Request.PromptTokens / len(parts), MaxTokens: ask.Request.MaxTokens / len(parts),
 			},
-			keeper: part.ID.Owner,
-			sent:   time.Now(),
+			owner:     part.ID.Owner,
+			heldSince: time.Now(),
 		}
 	}
 }
 
-// Release ends a grant and tells the endpoints' present owners how the request went. After
-// an endpoint's death it returns only when the owner knows of it: a caller that sends the
-// same request again at once must be known to all owners by then.
+// Release ends a grant and reports the request's result to the endpoints' current owners. If
+// the endpoint died, Release waits for the owners' replies: a caller may send the same request
+// again immediately, and by then all owners must have a record of it.
 func (owners *Owners) Release(ctx context.Context, grant dogwoodowner.Grant, release dogwoodowner.Release) {
-	owners.observe(&grant, &release)
+	owners.recordResult(&grant, &release)
 	parts := grant.Parts()
-	var telling sync.WaitGroup
+	var reports sync.WaitGroup
 	for i, part := range parts {
-		told := release
-		told.ID = part.ID
-		if i > 0 && told.Result == dogwoodfleet.ResultDied {
-			told.Result = dogwoodfleet.ResultCancelled // the first engine ran it; the others lent memory
+		partRelease := release
+		partRelease.ID = part.ID
+		if i > 0 && partRelease.Result == dogwoodfleet.ResultDied {
+			partRelease.Result = dogwoodfleet.ResultCancelled // the primary engine ran it; the helpers only lent memory
 		}
-		member, keep := owners.drop(part.ID)
-		if !keep {
+		member, ok := owners.dropGrant(part.ID)
+		if !ok {
 			continue
 		}
 		if member.Instance == owners.options.Self {
-			owners.options.Local.Release(told) //nolint:contextcheck,nolintlint // it bounds itself, also when the caller left; seen only with some states of the cache
+			owners.options.Local.Release(partRelease) //nolint:contextcheck,nolintlint // it sets a time limit that also applies after the caller left; reported only with some states of the cache
 			continue
 		}
-		telling.Add(1)
-		begun := owners.inBackground(func() {
-			defer telling.Done()
-			owners.releaseAt(context.WithoutCancel(ctx), member, told)
+		reports.Add(1)
+		started := owners.runInBackground(func() {
+			defer reports.Done()
+			owners.releaseAt(context.WithoutCancel(ctx), member, partRelease)
 		})
-		if !begun {
-			telling.Done()
+		if !started {
+			reports.Done()
 		}
 	}
 	if release.Result == dogwoodfleet.ResultDied {
-		telling.Wait()
+		reports.Wait()
 	}
 }
 
-// drop forgets a held grant and returns its keeper. There is none for a fallback's grant
-// or when the keeper is dead: its successor counts the grant for one lease at most.
-func (owners *Owners) drop(id dogwoodowner.GrantID) (Member, bool) {
+// dropGrant removes a held grant and returns its owner. It returns false if the grant is a
+// fallback grant that hasn't been announced to an owner, or if the owner is dead. The dead owner's successor accounts for the grant for at most one
+// lease.
+func (owners *Owners) dropGrant(id dogwoodowner.GrantID) (Member, bool) {
 	owners.mutex.Lock()
 	held := owners.held[id]
 	delete(owners.held, id)
@@ -307,38 +312,38 @@
 	if held == nil {
 		return Member{}, false
 	}
-	return owners.member(held.keeper)
+	return owners.findMember(held.owner)
 }
 
-// releaseAt tells one owner of a request's end.
+// releaseAt reports the end of a request to one owner.
 func (owners *Owners) releaseAt(ctx context.Context, member Member, release dogwoodowner.Release) {
 	if member.Instance == owners.options.Self {
-		owners.options.Local.Release(release) //nolint:contextcheck,nolintlint // it bounds itself, also when the caller left; seen only with some states of the cache
+		owners.options.Local.Release(release) //nolint:contextcheck,nolintlint // it sets a time limit that also applies after the caller left; reported only with some states of the cache
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, releaseTime)
+	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	var reply dogwoodowner.Summary
 	if err := owners.options.Caller.Call(ctx, member.Peer, "Owner.Release", release, &reply); err != nil {
-		owners.options.Logger.Debug("release failed", "grant", release.ID, "error", err)
+		owners.options.Logger.Debug("failed to release a grant", "grant", release.ID, "error", err)
 		return
 	}
-	owners.note(reply)
+	owners.recordSummary(reply)
 }
 
-// observe learns from a result which endpoints are warm and which can't be reached.
-func (owners *Owners) observe(grant *dogwoodowner.Grant, release *dogwoodowner.Release) {
+// recordResult updates from a result which endpoints are warm and which can be reached.
+func (owners *Owners) recordResult(grant *dogwoodowner.Grant, release *dogwoodowner.Release) {
 	owners.mutex.Lock()
 	defer owners.mutex.Unlock()
-	owners.fallback.observe(grant, release, time.Now())
+	owners.fallback.recordResult(grant, release, time.Now())
 	switch release.Result {
 	case dogwoodfleet.ResultDone, dogwoodfleet.ResultFailed:
-		owners.health.reached(grant.Endpoint.ID)
+		owners.health.markReachable(grant.Endpoint.ID)
 	default:
 	}
 }
 
-func (owners *Owners) member(instance dogwoodfleet.InstanceID) (Member, bool) {
+func (owners *Owners) findMember(instance dogwoodfleet.InstanceID) (Member, bool) {
 	for _, member := range owners.options.Members.Alive() {
 		if member.Instance == instance {
 			return member, true
@@ -347,21 +352,22 @@
 	return Member{}, false
 }
 
-// ownerOf returns the endpoint's present owner.
+// ownerOf returns the endpoint's current owner.
 func (owners *Owners) ownerOf(endpoint *dogwoodfleet.Endpoint) (Member, bool) {
 	return owners.ownership().ownerOf(endpoint)
 }
 
-// Local returns this daemon's own owner.
+// Local returns the owner that runs in this daemon.
 func (owners *Owners) Local() *dogwoodowner.Owner {
 	return owners.options.Local
 }
 
-// ToldCold passes on an endpoint's word that it is cold to its owner, at once: by the end
-// of the answer, or by the next report, it would have been given more than it bears.
+// ToldCold immediately notifies an endpoint's owner that the endpoint reported itself as cold.
+// At the end of the answer, or at the next load report, the owner would already have exceeded
+// the endpoint's limit.
 func (owners *Owners) ToldCold(ctx context.Context, endpoint dogwoodfleet.Endpoint, instance dogwoodfleet.InstanceID) {
 	owners.mutex.Lock()
-	delete(owners.fallback.warm, endpoint.ID)
+	delete(owners.fallback.lastGood, endpoint.ID)
 	owners.mutex.Unlock()
 	member, ok := owners.ownerOf(&endpoint)
 	if !ok {
@@ -371,12 +377,12 @@
 		owners.options.Local.ToldCold(endpoint.ID, instance)
 		return
 	}
-	owners.inBackground(func() {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTime)
+	owners.runInBackground(func() {
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
 		defer cancel()
 		var reply bool
 		if err := owners.options.Caller.Call(ctx, member.Peer, "Owner.ToldCold", Cold{Endpoint: endpoint.ID, Instance: instance}, &reply); err != nil {
-			owners.options.Logger.Debug("telling of a cold endpoint failed", "endpoint", endpoint.ID, "error", err)
+			owners.options.Logger.Debug("failed to report a cold endpoint", "endpoint", endpoint.ID, "error", err)
 		}
 	})
 }
@@ -388,64 +394,64 @@
 	return owners.owned
 }
 
-// Report passes on what an owned engine said of itself.
+// Report records an owned engine's load report and forwards it to the local owner.
 func (owners *Owners) Report(id dogwoodfleet.EndpointID, report dogwoodowner.LoadReport) {
 	owners.mutex.Lock()
 	if report.MemoryTokens > 0 {
-		owners.told[id] = report
+		owners.loadReports[id] = report
 	}
 	owners.mutex.Unlock()
 	owners.options.Local.Report(id, report)
 }
 
-// engines lists the owned engines whose memory is known.
-func (owners *Owners) engines() []dogwoodowner.GangEngine {
+// ownedEngines lists the owned engines whose memory size is known.
+func (owners *Owners) ownedEngines() []dogwoodowner.GangEngine {
 	var engines []dogwoodowner.GangEngine
 	for _, endpoint := range owners.Owned() {
 		owners.mutex.Lock()
-		told := owners.told[endpoint.ID]
+		report := owners.loadReports[endpoint.ID]
 		owners.mutex.Unlock()
-		if told.MemoryTokens > 0 && endpoint.Kind == dogwoodfleet.EnginePool {
-			endpoint.MemoryTokens = told.MemoryTokens
-			endpoint.Models, endpoint.Adapters = told.Models, told.Adapters
+		if report.MemoryTokens > 0 && endpoint.Kind == dogwoodfleet.EnginePool {
+			endpoint.MemoryTokens = report.MemoryTokens
+			endpoint.Models, endpoint.Adapters = report.Models, report.Adapters
 			engines = append(engines, owners.options.Local.Lendable(endpoint))
 		}
 	}
 	return engines
 }
 
-// note keeps what an owner told of its work.
-func (owners *Owners) note(summary dogwoodowner.Summary) {
+// recordSummary records an owner's summary of its work.
+func (owners *Owners) recordSummary(summary dogwoodowner.Summary) {
 	if summary.Owner == "" {
 		return
 	}
 	owners.mutex.Lock()
 	defer owners.mutex.Unlock()
-	owners.summaries[summary.Owner] = &ownerState{summary: summary, at: time.Now(), asked: map[dogwoodfleet.Service]int{}}
+	owners.ownerStates[summary.Owner] = &ownerState{summary: summary, receivedAt: time.Now(), acquires: map[dogwoodfleet.Service]int{}}
 }
 
-func (owners *Owners) forget(instance dogwoodfleet.InstanceID) {
+func (owners *Owners) dropSummary(instance dogwoodfleet.InstanceID) {
 	owners.mutex.Lock()
 	defer owners.mutex.Unlock()
-	delete(owners.summaries, instance)
+	delete(owners.ownerStates, instance)
 }
 
-// inBackground runs what outlives its request, unless the daemon is at its end: then a
-// grant that is not released lapses.
-func (owners *Owners) inBackground(work func()) bool {
+// runInBackground runs work that outlives its request. It returns false if the daemon is
+// shutting down. A grant that isn't released because of that expires with its lease.
+func (owners *Owners) runInBackground(work func()) bool {
 	owners.mutex.Lock()
 	defer owners.mutex.Unlock()
-	if owners.ended {
+	if owners.closed {
 		return false
 	}
-	owners.group.Go(work)
+	owners.background.Go(work)
 	return true
 }
 
-// Wait returns when the calls under way in the background have ended. None begins after it.
+// Wait waits until the calls in the background have ended. No more are started afterwards.
 func (owners *Owners) Wait() {
 	owners.mutex.Lock()
-	owners.ended = true
+	owners.closed = true
 	owners.mutex.Unlock()
-	owners.group.Wait()
+	owners.background.Wait()
 }
--- a/core/duty/dogwooddispatch/ownership.go
+++ b/core/duty/dogwooddispatch/ownership.go
@@ -7,18 +7,18 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// ownership is which member owns which endpoint, worked out once for each change of
-// either. Worked out for each request it would take a hash for every endpoint and member:
-// three million at 5,900 endpoints and 500 daemons.
+// ownership maps endpoints to the members that own them. It is computed once for each change
+// of members or endpoints. Computing it for each request would take a hash for each pair of
+// an endpoint and a member: three million at 5,900 endpoints and 500 daemons.
 type ownership struct {
-	alive     []Member
-	endpoints []dogwoodfleet.Endpoint
-	members   []dogwoodownership.Member
-	owned     map[dogwoodfleet.EndpointID]int
-	services  map[dogwoodfleet.Service][]ownerGroup
+	alive           []Member
+	endpoints       []dogwoodfleet.Endpoint
+	members         []dogwoodownership.Member
+	ownerIndexes    map[dogwoodfleet.EndpointID]int
+	groupsByService map[dogwoodfleet.Service][]ownerGroup
 }
 
-// ownerGroup is an owner with its endpoints of one service.
+// ownerGroup is an owner with its endpoints in force of one service.
 type ownerGroup struct {
 	member    Member
 	hash      uint64
@@ -26,58 +26,58 @@
 	endpoints []dogwoodfleet.Endpoint
 }
 
-// ownership returns the table for the present members and endpoints.
+// ownership returns the ownership for the current members and endpoints.
 func (owners *Owners) ownership() *ownership {
 	alive, endpoints := owners.options.Members.Alive(), owners.options.Members.Endpoints()
 	current := owners.table.Load()
-	if current != nil && same(current.alive, alive) && same(current.endpoints, endpoints) {
+	if current != nil && sameSlice(current.alive, alive) && sameSlice(current.endpoints, endpoints) {
 		return current
 	}
-	made := newOwnership(owners.options.Place, alive, endpoints)
-	owners.table.Store(made)
-	return made
+	ownership := newOwnership(owners.options.Place, alive, endpoints)
+	owners.table.Store(ownership)
+	return ownership
 }
 
-// same is true for one and the same slice.
-func same[T any](one, other []T) bool {
-	return len(one) == len(other) && (len(one) == 0 || &one[0] == &other[0])
+// sameSlice reports whether a and b are the same slice, not only equal ones.
+func sameSlice[T any](a, b []T) bool {
+	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
 func newOwnership(place dogwoodfleet.Place, alive []Member, endpoints []dogwoodfleet.Endpoint) *ownership {
-	made := &ownership{
-		alive:     alive,
-		endpoints: endpoints,
-		members:   make([]dogwoodownership.Member, len(alive)),
-		owned:     make(map[dogwoodfleet.EndpointID]int, len(endpoints)),
-		services:  map[dogwoodfleet.Service][]ownerGroup{},
+	ownership := &ownership{
+		alive:           alive,
+		endpoints:       endpoints,
+		members:         make([]dogwoodownership.Member, len(alive)),
+		ownerIndexes:    make(map[dogwoodfleet.EndpointID]int, len(endpoints)),
+		groupsByService: map[dogwoodfleet.Service][]ownerGroup{},
 	}
 	for i, member := range alive {
-		made.members[i] = dogwoodownership.Member{Instance: member.Instance, Place: member.Place, Leaving: member.Leaving}
+		ownership.members[i] = dogwoodownership.Member{Instance: member.Instance, Place: member.Place, Leaving: member.Leaving}
 	}
 	for i := range endpoints {
-		made.add(place, &endpoints[i])
+		ownership.addEndpoint(place, &endpoints[i])
 	}
-	return made
+	return ownership
 }
 
-func (ownership *ownership) add(place dogwoodfleet.Place, endpoint *dogwoodfleet.Endpoint) {
-	at := dogwoodownership.Owner(endpoint, ownership.members)
-	if at < 0 {
+func (ownership *ownership) addEndpoint(place dogwoodfleet.Place, endpoint *dogwoodfleet.Endpoint) {
+	index := dogwoodownership.Owner(endpoint, ownership.members)
+	if index < 0 {
 		return
 	}
-	ownership.owned[endpoint.ID] = at
+	ownership.ownerIndexes[endpoint.ID] = index
 	if !endpoint.InForce {
 		return
 	}
-	member := ownership.alive[at]
-	groups := ownership.services[endpoint.Service]
+	member := ownership.alive[index]
+	groups := ownership.groupsByService[endpoint.Service]
 	for i := range groups {
 		if groups[i].member.Instance == member.Instance {
 			groups[i].endpoints = append(groups[i].endpoints, *endpoint)
 			return
 		}
 	}
-	ownership.services[endpoint.Service] = append(groups, ownerGroup{
+	ownership.groupsByService[endpoint.Service] = append(groups, ownerGroup{
 		member:    member,
 		hash:      xxhash.Sum64String(string(member.Instance)),
 		distance:  dogwoodownership.Distance(place, member.Place),
@@ -85,30 +85,30 @@
 	})
 }
 
-// ownerOf returns the endpoint's owner among the members alive. An endpoint that is
-// listed no more, but still runs requests, has one too.
+// ownerOf returns the endpoint's owner among the members alive. An endpoint that is no longer
+// listed has an owner too, because it may still run requests.
 func (ownership *ownership) ownerOf(endpoint *dogwoodfleet.Endpoint) (Member, bool) {
-	at, listed := ownership.owned[endpoint.ID]
+	index, listed := ownership.ownerIndexes[endpoint.ID]
 	if !listed {
-		at = dogwoodownership.Owner(endpoint, ownership.members)
+		index = dogwoodownership.Owner(endpoint, ownership.members)
 	}
-	if at < 0 {
+	if index < 0 {
 		return Member{}, false
 	}
-	return ownership.alive[at], true
+	return ownership.alive[index], true
 }
 
-// serve lists the owners that have an endpoint in force for the service and model.
-func (ownership *ownership) serve(service dogwoodfleet.Service, model dogwoodfleet.Model) []*ownerGroup {
-	groups := ownership.services[service]
-	found := make([]*ownerGroup, 0, len(groups))
+// groupsServing lists the owners that have an endpoint in force for the service and model.
+func (ownership *ownership) groupsServing(service dogwoodfleet.Service, model dogwoodfleet.Model) []*ownerGroup {
+	groups := ownership.groupsByService[service]
+	serving := make([]*ownerGroup, 0, len(groups))
 	for i := range groups {
-		for at := range groups[i].endpoints {
-			if holds(&groups[i].endpoints[at], model) {
-				found = append(found, &groups[i])
+		for j := range groups[i].endpoints {
+			if mayHoldModel(&groups[i].endpoints[j], model) {
+				serving = append(serving, &groups[i])
 				break
 			}
 		}
 	}
-	return found
+	return serving
 }
--- a/core/duty/dogwooddispatch/prompt.go
+++ b/core/duty/dogwooddispatch/prompt.go
@@ -10,8 +10,8 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-// Prompt runs a model request and hands its events to the answer as they come. A nil
-// error means that the answer is whole; any other is a *Failure.
+// Prompt runs a model request and passes its events to the answer as they arrive. A nil error
+// means that the answer is complete. Any error is a *Failure.
 func (dispatcher *Dispatcher) Prompt(ctx context.Context, call *Call, answer PromptAnswer) error {
 	return dispatcher.serve(ctx, call, func(ctx context.Context, grant dogwoodowner.Grant, request *dogwoodfleet.Request) outcome {
 		return dispatcher.tryPrompt(ctx, call, answer, grant, request)
@@ -27,12 +27,12 @@
 		PromptTokens: request.PromptTokens, MaxTokens: request.MaxTokens, LoadID: call.LoadID,
 	})
 	if err != nil {
-		result := failed(ctx, err)
+		result := failedOutcome(ctx, err)
 		result.release.Took = time.Since(sent)
 		return result
 	}
-	// Close cancels at the engine whatever is not at its end, so a caller that left or a
-	// deadline that passed never leaves memory held there.
+	// Close cancels a request that still runs at the engine, so that no memory stays allocated
+	// there after the caller disconnected or the deadline passed.
 	defer stream.Close()
 	if stream.Cold() {
 		dispatcher.options.Slots.ToldCold(ctx, grant.Endpoint, stream.Instance())
@@ -47,7 +47,8 @@
 	return result
 }
 
-// forward copies a stream's events to the answer until the end of either.
+// forward copies a stream's events to the answer until the stream ends or the caller
+// disconnects. It returns the outcome, the time to the first token and the number of events.
 func forward(ctx context.Context, stream Stream, answer PromptAnswer, sent time.Time) (result outcome, firstToken time.Duration, count int) {
 	for {
 		event, err := stream.Next(ctx)
@@ -55,8 +56,8 @@
 			return outcome{release: dogwoodowner.Release{Result: dogwoodfleet.ResultDone}}, firstToken, count
 		}
 		if err != nil {
-			result = failed(ctx, err)
-			result.final = answer.Begun()
+			result = failedOutcome(ctx, err)
+			result.streamed = answer.Begun()
 			if count > 0 {
 				result.failure.Run = dogwoodfleet.WasRun
 			}
@@ -68,9 +69,9 @@
 		count++
 		if err := answer.Event(event); err != nil {
 			result = outcome{
-				failure: &Failure{Reason: dogwoodfleet.ReasonCancelled, Run: dogwoodfleet.WasRun, Detail: "the caller left"},
-				final:   true,
-				release: dogwoodowner.Release{Result: dogwoodfleet.ResultCancelled},
+				failure:  &Failure{Reason: dogwoodfleet.ReasonCancelled, Run: dogwoodfleet.WasRun, Detail: "the caller left"},
+				streamed: true,
+				release:  dogwoodowner.Release{Result: dogwoodfleet.ResultCancelled},
 			}
 			return result, firstToken, count
 		}
--- a/core/duty/dogwooddispatch/receiver.go
+++ b/core/duty/dogwooddispatch/receiver.go
@@ -11,44 +11,44 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-// AcquireReply answers Owner.Acquire: a grant or a refusal, and the owner's work, which
-// rides along so that entries need not ask for it.
+// AcquireReply is the reply to Owner.Acquire. It holds a grant or a refusal, and a summary of
+// the owner's work, which saves entry daemons a separate call.
 type AcquireReply struct {
 	Grant   dogwoodowner.Grant
 	Refusal *dogwoodowner.Refusal
 	Summary dogwoodowner.Summary
 }
 
-// RenewArgs keeps a holder's grants.
+// RenewArgs lists the grants that a holder renews.
 type RenewArgs struct {
 	Holder dogwoodfleet.InstanceID
 	Grants []dogwoodowner.GrantID
 }
 
-// RenewReply lists the grants that the owner does not know.
+// RenewReply lists the grants that the owner has no record of.
 type RenewReply struct {
 	Lost    []dogwoodowner.GrantID
 	Summary dogwoodowner.Summary
 }
 
-// Receiver lets other daemons use this daemon's soft owner through net/rpc.
+// Receiver lets other daemons call this daemon's owner through net/rpc.
 type Receiver struct {
 	owners *Owners
 	owner  *dogwoodowner.Owner
-	// begin bounds an ask by its budget and the daemon's life: net/rpc gives its methods
-	// no context.
-	begin func(budget time.Duration) (context.Context, context.CancelFunc)
+	// withBudget returns a context that ends after an acquire request's budget or with the
+	// daemon. It is needed because net/rpc passes no context to methods.
+	withBudget func(budget time.Duration) (context.Context, context.CancelFunc)
 
 	mutex   sync.Mutex
 	waiting map[dogwoodfleet.RequestID]context.CancelFunc
 }
 
-// NewReceiver returns a receiver whose asks end with the context.
+// NewReceiver returns a receiver whose acquire requests end at the latest with the context.
 func NewReceiver(ctx context.Context, owners *Owners) *Receiver {
 	return &Receiver{
 		owners: owners,
 		owner:  owners.options.Local,
-		begin: func(budget time.Duration) (context.Context, context.CancelFunc) {
+		withBudget: func(budget time.Duration) (context.Context, context.CancelFunc) {
 			return context.WithTimeout(ctx, budget)
 		},
 		waiting: map[dogwoodfleet.RequestID]context.CancelFunc{},
@@ -57,7 +57,7 @@
 
 // Acquire waits for a slot.
 func (receiver *Receiver) Acquire(ask dogwoodowner.Ask, reply *AcquireReply) error {
-	ctx, cancel := receiver.begin(ask.Budget)
+	ctx, cancel := receiver.withBudget(ask.Budget)
 	defer cancel()
 	receiver.mutex.Lock()
 	receiver.waiting[ask.Request.ID] = cancel
@@ -68,7 +68,8 @@
 	receiver.mutex.Unlock()
 	reply.Summary = receiver.owner.Summary()
 	if err == nil && ctx.Err() != nil {
-		// The slot came in the moment in which its asker left: nobody would release it.
+		// The acquire request was withdrawn or timed out at the moment of the grant. Its sender
+		// won't release the slot.
 		receiver.owner.Release(dogwoodowner.Release{ID: grant.ID, Result: dogwoodfleet.ResultCancelled})
 		reply.Refusal = &dogwoodowner.Refusal{Reason: dogwoodfleet.ReasonCancelled, NotRun: true, Detail: "withdrawn"}
 		return nil
@@ -82,7 +83,7 @@
 	return err
 }
 
-// Withdraw ends a request's waiting.
+// Withdraw cancels a waiting request.
 func (receiver *Receiver) Withdraw(id dogwoodfleet.RequestID, _ *bool) error {
 	receiver.mutex.Lock()
 	defer receiver.mutex.Unlock()
@@ -99,51 +100,51 @@
 	return nil
 }
 
-// Renew keeps a holder's grants for another lease.
+// Renew extends a holder's grants by another lease.
 func (receiver *Receiver) Renew(args RenewArgs, reply *RenewReply) error {
 	reply.Lost = receiver.owner.Renew(args.Holder, args.Grants)
 	reply.Summary = receiver.owner.Summary()
 	return nil
 }
 
-// Announce hands over grants that another owner gave.
+// Announce records grants that were not issued by this owner, or that it lost.
 func (receiver *Receiver) Announce(held []dogwoodowner.Held, reply *dogwoodowner.Summary) error {
 	receiver.owner.Announce(held)
 	*reply = receiver.owner.Summary()
 	return nil
 }
 
-// Cold is an endpoint's word that it is cold.
+// Cold identifies an endpoint that reported itself as cold.
 type Cold struct {
 	Endpoint dogwoodfleet.EndpointID
 	Instance dogwoodfleet.InstanceID
 }
 
-// ToldCold takes an endpoint's word, heard by another daemon, that it is cold.
+// ToldCold records that an endpoint reported itself as cold to another daemon.
 func (receiver *Receiver) ToldCold(cold Cold, _ *bool) error {
 	receiver.owner.ToldCold(cold.Endpoint, cold.Instance)
 	return nil
 }
 
-// Engines lists the engines that this daemon owns, for gangs.
+// Engines lists the engines owned by this daemon whose memory size is known, for gangs.
 func (receiver *Receiver) Engines(_ bool, reply *[]dogwoodowner.GangEngine) error {
-	*reply = receiver.owners.engines()
+	*reply = receiver.owners.ownedEngines()
 	return nil
 }
 
-// Judge answers a suspect's trial as its home.
+// Judge responds to a permit request for a suspect whose home is this daemon.
 func (receiver *Receiver) Judge(trial dogwoodsuspect.Trial, reply *dogwoodsuspect.TrialAnswer) error {
 	*reply = receiver.owner.Judge(trial)
 	return nil
 }
 
-// Learn takes other owners' notices of suspects.
+// Learn records other owners' notices of suspects.
 func (receiver *Receiver) Learn(notices []dogwoodsuspect.Notice, _ *bool) error {
 	receiver.owner.Learn(notices)
 	return nil
 }
 
-// Notices tells a daemon that just started what is known of suspects.
+// Notices returns all notices of suspects, for a daemon that just started.
 func (receiver *Receiver) Notices(_ bool, reply *[]dogwoodsuspect.Notice) error {
 	*reply = receiver.owner.Notices()
 	return nil
--- a/core/duty/dogwooddispatch/service.go
+++ b/core/duty/dogwooddispatch/service.go
@@ -11,28 +11,28 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-// MaxAnswerBytes bounds a plain service's answer, which is read whole so that a caller
-// never gets half of one. The services of the brief answer with some kilobytes.
+// MaxAnswerBytes bounds a plain service's answer, which is buffered so that a caller never
+// gets a partial one. Plain services are expected to answer with a few kilobytes.
 const MaxAnswerBytes = 16 << 20
 
-// WholeAnswer is a plain service's answer, read to its end.
+// WholeAnswer is a plain service's complete answer.
 type WholeAnswer struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// Stored is true when the answer was kept from an earlier try with the same key.
+	// Stored is true if the answer was stored by an earlier attempt with the same key.
 	Stored bool
 }
 
 // Service calls a plain service. Any error is a *Failure.
 func (dispatcher *Dispatcher) Service(ctx context.Context, call *Call) (*WholeAnswer, error) {
 	if !call.Request.Repeatable {
-		return dispatcher.once(ctx, call)
+		return dispatcher.sendOnce(ctx, call)
 	}
-	return dispatcher.service(ctx, call)
+	return dispatcher.callService(ctx, call)
 }
 
-func (dispatcher *Dispatcher) service(ctx context.Context, call *Call) (*WholeAnswer, error) {
+func (dispatcher *Dispatcher) callService(ctx context.Context, call *Call) (*WholeAnswer, error) {
 	var answer *WholeAnswer
 	err := dispatcher.serve(ctx, call, func(ctx context.Context, grant dogwoodowner.Grant, request *dogwoodfleet.Request) outcome {
 		var result outcome
@@ -51,7 +51,7 @@
 		ID: request.ID, Method: call.Method, Target: call.Target, Header: call.Header, Body: call.Body,
 	})
 	if err != nil {
-		result := failed(ctx, err)
+		result := failedOutcome(ctx, err)
 		result.release.Took = time.Since(sent)
 		return nil, result
 	}
@@ -66,12 +66,12 @@
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, MaxAnswerBytes+1))
 	if err != nil {
-		result := failed(ctx, &Broken{Cause: err})
-		result.failure.Run = dogwoodfleet.WasRun // it answered, if not to the end
+		result := failedOutcome(ctx, &Broken{Cause: err})
+		result.failure.Run = dogwoodfleet.WasRun // it began to answer
 		return nil, result
 	}
 	if len(body) > MaxAnswerBytes {
-		result := failed(ctx, &Answered{Status: http.StatusBadGateway, Body: []byte("the answer is too large")})
+		result := failedOutcome(ctx, &Answered{Status: http.StatusBadGateway, Body: []byte("the answer is too large")})
 		return nil, result
 	}
 	result := outcome{release: dogwoodowner.Release{Result: dogwoodfleet.ResultDone}}
@@ -81,8 +81,8 @@
 	return &WholeAnswer{Status: response.Status, Header: response.Header, Body: body}, result
 }
 
-// once runs a call that may not be repeated: claimed first, then sent at most once.
-func (dispatcher *Dispatcher) once(ctx context.Context, call *Call) (*WholeAnswer, error) {
+// sendOnce claims a call that must not be repeated, then sends it at most once.
+func (dispatcher *Dispatcher) sendOnce(ctx context.Context, call *Call) (*WholeAnswer, error) {
 	if call.Key == "" {
 		return nil, &Failure{Reason: dogwoodfleet.ReasonKeyMissing, Run: dogwoodfleet.NotRun, Detail: "this call may not be repeated and needs an Idempotency-Key"}
 	}
@@ -91,25 +91,25 @@
 	claim, err := dispatcher.options.Claims.Take(ctx, key, call.Request.Digest, id)
 	if err != nil {
 		counters.Add("ClaimsRefused", 1)
-		return nil, notClaimed(err)
+		return nil, claimFailure(err)
 	}
 	if claim.State != ClaimFresh {
-		return taken(claim)
+		return answerFromClaim(claim)
 	}
-	answer, err := dispatcher.service(ctx, call)
+	answer, err := dispatcher.callService(ctx, call)
 	if err != nil {
-		dispatcher.unclaim(ctx, key, id, err)
+		dispatcher.freeClaim(ctx, key, id, err)
 		return nil, err
 	}
-	dispatcher.keep(ctx, key, id, answer)
+	dispatcher.storeAnswer(ctx, key, id, answer)
 	return answer, nil
 }
 
-// notClaimed refuses a call that could not be claimed. This try was not sent; "not run" is
-// only said if no try under its key was.
-func notClaimed(err error) *Failure {
+// claimFailure returns the failure of a call that could not be claimed. This attempt was
+// not sent, but the failure says "not run" only if no attempt with its key was.
+func claimFailure(err error) *Failure {
 	failure := &Failure{
-		Reason: dogwoodfleet.ReasonStore, Run: dogwoodfleet.NotRun, RetryAfter: storeRetry,
+		Reason: dogwoodfleet.ReasonStore, Run: dogwoodfleet.NotRun, RetryAfter: storeRetryAfter,
 		Detail: "the call could not be claimed: " + err.Error(),
 	}
 	var earlier *EarlierUnknown
@@ -120,11 +120,11 @@
 	return failure
 }
 
-// storeRetry is how long the claims' breaker waits between its probes.
-const storeRetry = 2 * time.Second
+// storeRetryAfter is the interval at which the claims' circuit breaker probes the store.
+const storeRetryAfter = 2 * time.Second
 
-// taken answers a call whose key another try holds.
-func taken(claim Claim) (*WholeAnswer, error) {
+// answerFromClaim returns the outcome of a call whose key was claimed by another attempt.
+func answerFromClaim(claim Claim) (*WholeAnswer, error) {
 	switch claim.State {
 	case ClaimAnswered:
 		counters.Add("AnswersStored", 1)
@@ -140,31 +140,32 @@
 	}
 }
 
-// claimTime bounds what is written to the store after a call's end: the caller's own
-// context may have ended by then, and the answer must still be kept.
-const claimTime = 2 * time.Second
+// storeWriteTimeout bounds a write to the store after a call has ended. The write doesn't
+// use the caller's context, which may have ended, because the answer must still be stored.
+const storeWriteTimeout = 2 * time.Second
 
-// unclaim frees the key of a call that certainly was not sent, so that the caller may
-// send it again. Any other keeps its claim: it must not run a second time.
-func (dispatcher *Dispatcher) unclaim(ctx context.Context, key ClaimKey, id string, cause error) {
+// freeClaim frees the key of a call that certainly was not run, so that the caller can send
+// it again. Any other call keeps its claim, because it must not run a second time.
+func (dispatcher *Dispatcher) freeClaim(ctx context.Context, key ClaimKey, id string, cause error) {
 	var failure *Failure
 	if !errors.As(cause, &failure) || failure.Run != dogwoodfleet.NotRun {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTime)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeWriteTimeout)
 	defer cancel()
 	if err := dispatcher.options.Claims.Free(ctx, key, id); err != nil {
-		dispatcher.options.Logger.Warn("a key was not freed", "request", id, "error", err)
+		dispatcher.options.Logger.Warn("failed to free a claimed key", "request", id, "error", err)
 	}
 }
 
-// keep stores an answer before the caller gets it, so that a resend after a lost
-// connection finds it. A store that fails now costs only that: the claim still stands.
-func (dispatcher *Dispatcher) keep(ctx context.Context, key ClaimKey, id string, answer *WholeAnswer) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimTime)
+// storeAnswer stores an answer before it is sent to the caller, so that a caller that lost
+// its connection can send the call again and get it. If storing fails, only that is lost:
+// the claim remains and still prevents a second run.
+func (dispatcher *Dispatcher) storeAnswer(ctx context.Context, key ClaimKey, id string, answer *WholeAnswer) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeWriteTimeout)
 	defer cancel()
 	if err := dispatcher.options.Claims.Finish(ctx, key, id, answer); err != nil {
 		counters.Add("AnswersNotStored", 1)
-		dispatcher.options.Logger.Warn("an answer was not stored", "request", id, "error", err)
+		dispatcher.options.Logger.Warn("failed to store an answer", "request", id, "error", err)
 	}
 }
--- a/core/duty/dogwooddispatch/tries.go
+++ b/core/duty/dogwooddispatch/tries.go
@@ -11,32 +11,32 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-// outcome is how one try ended. A nil failure is a whole answer.
+// outcome is the result of one try. A nil failure means a complete answer.
 type outcome struct {
 	failure *Failure
-	// final is true when the caller has seen part of the answer.
-	final   bool
-	release dogwoodowner.Release
+	// streamed is true if part of the answer may have reached the caller.
+	streamed bool
+	release  dogwoodowner.Release
 }
 
-// try sends a request to the endpoint of a grant. The request's ID is the try's own.
-type try func(ctx context.Context, grant dogwoodowner.Grant, request *dogwoodfleet.Request) outcome
+// tryFunc sends a request to the endpoint of a grant. The request's ID is that of the try.
+type tryFunc func(ctx context.Context, grant dogwoodowner.Grant, request *dogwoodfleet.Request) outcome
 
-// serve tries a request until it is answered or no further try is safe and useful.
-func (dispatcher *Dispatcher) serve(ctx context.Context, call *Call, send try) error {
-	if failure := dispatcher.dependencyDown(call.Request.Service); failure != nil {
+// serve runs tries of a request until one is answered or no further try is safe and useful.
+func (dispatcher *Dispatcher) serve(ctx context.Context, call *Call, send tryFunc) error {
+	if failure := dispatcher.checkDependencies(call.Request.Service); failure != nil {
 		return failure
 	}
 	request := call.Request
-	dispatcher.firstTry(&request)
-	known := dogwoodfleet.NotRun
+	dispatcher.countFirstTry(&request)
+	runState := dogwoodfleet.NotRun
 	var avoid []dogwoodfleet.EndpointID
-	for number := 1; ; number++ {
+	for tryNumber := 1; ; tryNumber++ {
 		request.ID = dispatcher.NewID()
-		grant, err := dispatcher.acquire(ctx, &request, avoid, number)
+		grant, err := dispatcher.acquire(ctx, &request, avoid, tryNumber)
 		if err != nil {
-			failure := refused(err)
-			failure.Run = worse(known, failure.Run)
+			failure := refusalFailure(err)
+			failure.Run = mergeRunStates(runState, failure.Run)
 			return failure
 		}
 		call.Ran = grant.Endpoint.Place.DataCentre
@@ -46,42 +46,42 @@
 		if result.failure == nil {
 			return nil
 		}
-		known = worse(known, result.failure.Run)
-		result.failure.Run = known
-		if !dispatcher.again(ctx, &request, &result, number) {
+		runState = mergeRunStates(runState, result.failure.Run)
+		result.failure.Run = runState
+		if !dispatcher.awaitRetry(ctx, &request, &result, tryNumber) {
 			return result.failure
 		}
 		avoid = append(avoid, grant.Endpoint.ID)
 	}
 }
 
-func (dispatcher *Dispatcher) acquire(ctx context.Context, request *dogwoodfleet.Request, avoid []dogwoodfleet.EndpointID, number int) (dogwoodowner.Grant, error) {
+func (dispatcher *Dispatcher) acquire(ctx context.Context, request *dogwoodfleet.Request, avoid []dogwoodfleet.EndpointID, tryNumber int) (dogwoodowner.Grant, error) {
 	budget := time.Until(request.Deadline)
 	if budget <= 0 || ctx.Err() != nil {
-		failure := ended(ctx, dogwoodfleet.NotRun)
+		failure := contextFailure(ctx, dogwoodfleet.NotRun)
 		return dogwoodowner.Grant{}, &dogwoodowner.Refusal{Reason: failure.Reason, NotRun: true, Detail: failure.Detail}
 	}
-	ask := dogwoodowner.Ask{Request: *request, Holder: dispatcher.options.Self, Avoid: avoid, Try: number, Budget: budget}
+	ask := dogwoodowner.Ask{Request: *request, Holder: dispatcher.options.Self, Avoid: avoid, Try: tryNumber, Budget: budget}
 	grant, err := dispatcher.options.Slots.Acquire(ctx, &ask)
 	request.ID = ask.Request.ID
 	return grant, err
 }
 
-func (dispatcher *Dispatcher) firstTry(request *dogwoodfleet.Request) {
+func (dispatcher *Dispatcher) countFirstTry(request *dogwoodfleet.Request) {
 	dispatcher.mutex.Lock()
 	defer dispatcher.mutex.Unlock()
-	dispatcher.retries.First(time.Now(), request.Customer, request.Service)
+	dispatcher.retryBudget.First(time.Now(), request.Customer, request.Service)
 }
 
-// again reports whether another try may follow, after the wait that is due before it.
-func (dispatcher *Dispatcher) again(ctx context.Context, request *dogwoodfleet.Request, result *outcome, number int) bool {
+// awaitRetry reports whether another try may follow. It waits for the backoff before that try.
+func (dispatcher *Dispatcher) awaitRetry(ctx context.Context, request *dogwoodfleet.Request, result *outcome, tryNumber int) bool {
 	if ctx.Err() != nil {
 		return false
 	}
 	dispatcher.mutex.Lock()
-	verdict := dispatcher.retries.Decide(time.Now(), dogwoodretry.Failure{
+	verdict := dispatcher.retryBudget.Decide(time.Now(), dogwoodretry.Failure{
 		Customer: request.Customer, Service: request.Service, State: result.failure.Run, Reason: result.failure.Reason,
-		Repeatable: request.Repeatable, Streamed: result.final, Try: number, Left: time.Until(request.Deadline),
+		Repeatable: request.Repeatable, Streamed: result.streamed, Try: tryNumber, Left: time.Until(request.Deadline),
 	}, dispatcher.random)
 	dispatcher.mutex.Unlock()
 	if !verdict.Retry {
@@ -91,9 +91,9 @@
 	return dogwoodkernel.Sleep(ctx, verdict.Wait)
 }
 
-// dependencyDown refuses what can't be answered because a service that it depends on
-// is down. Without it every such request would take a slot and time out.
-func (dispatcher *Dispatcher) dependencyDown(name dogwoodfleet.Service) *Failure {
+// checkDependencies returns a failure if a service that the named service depends on is down.
+// Otherwise every such request would take a slot and time out.
+func (dispatcher *Dispatcher) checkDependencies(name dogwoodfleet.Service) *Failure {
 	service, ok := dispatcher.options.Text().Service(name)
 	if !ok {
 		return &Failure{Reason: dogwoodfleet.ReasonNoEndpoint, Run: dogwoodfleet.NotRun, Detail: "no such service"}
@@ -101,7 +101,7 @@
 	for _, dependency := range service.DependsOn {
 		if dispatcher.options.Down(dependency) {
 			return &Failure{
-				Reason: dogwoodfleet.ReasonDependency, Run: dogwoodfleet.NotRun, RetryAfter: dependencyRetry,
+				Reason: dogwoodfleet.ReasonDependency, Run: dogwoodfleet.NotRun, RetryAfter: dependencyRetryAfter,
 				Detail: "the service " + string(dependency) + ", which it depends on, is down",
 			}
 		}
@@ -109,18 +109,18 @@
 	return nil
 }
 
-// dependencyRetry is how often endpoints of a service that is down are probed, so that
-// an earlier new request can't do better.
-const dependencyRetry = 2 * time.Second
+// dependencyRetryAfter is the interval between probes of a service that is down. A request
+// that is sent again earlier would be refused too.
+const dependencyRetryAfter = 2 * time.Second
 
-// failed turns an endpoint's error into the outcome of a try.
-func failed(ctx context.Context, err error) outcome {
-	var started *NotStarted
+// failedOutcome returns the outcome of a try for an endpoint's error.
+func failedOutcome(ctx context.Context, err error) outcome {
+	var notStarted *NotStarted
 	var answered *Answered
 	switch {
-	case errors.As(err, &started):
+	case errors.As(err, &notStarted):
 		if ctx.Err() != nil {
-			return outcome{failure: ended(ctx, dogwoodfleet.NotRun), release: cut(ctx)}
+			return outcome{failure: contextFailure(ctx, dogwoodfleet.NotRun), release: contextRelease(ctx)}
 		}
 		return outcome{
 			failure: &Failure{Reason: dogwoodfleet.ReasonEndpointDied, Run: dogwoodfleet.NotRun, RetryAfter: time.Second, Detail: err.Error()},
@@ -132,7 +132,7 @@
 			release: dogwoodowner.Release{Result: dogwoodfleet.ResultFailed},
 		}
 	case ctx.Err() != nil:
-		return outcome{failure: ended(ctx, dogwoodfleet.RunUnknown), release: cut(ctx)}
+		return outcome{failure: contextFailure(ctx, dogwoodfleet.RunUnknown), release: contextRelease(ctx)}
 	default:
 		return outcome{
 			failure: &Failure{Reason: dogwoodfleet.ReasonEndpointDied, Run: dogwoodfleet.RunUnknown, Detail: err.Error()},
@@ -141,8 +141,8 @@
 	}
 }
 
-// cut is the release of a request whose context ended.
-func cut(ctx context.Context) dogwoodowner.Release {
+// contextRelease returns the release of a request whose context ended.
+func contextRelease(ctx context.Context) dogwoodowner.Release {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return dogwoodowner.Release{Result: dogwoodfleet.ResultTimedOut}
 	}
--- a/core/duty/dogwooddispatch/upkeep.go
+++ b/core/duty/dogwooddispatch/upkeep.go
@@ -12,33 +12,34 @@
 )
 
 const (
-	// renewEvery is a third of a grant's lease, so that two lost renewals cost nothing.
-	renewEvery = dogwoodowner.GrantLease / 3
-	// renewTime bounds one renewal; the next one comes right after.
-	renewTime = renewEvery
-	// ownEvery is how often the owned endpoints are computed again if nothing changes. A
-	// change is followed at once; this is for a text that changes no endpoint.
-	ownEvery = time.Second
-	// cancelsAtOnce bounds the cancelling of a dead entry's streams.
-	cancelsAtOnce = 16
-	// cancelTime bounds one cancel; the engine drops the stream at its deadline anyway.
-	cancelTime = 2 * time.Second
+	// renewInterval is a third of a grant's lease, so that two lost renewals do no harm.
+	renewInterval = dogwoodowner.GrantLease / 3
+	// renewTimeout bounds one renewal. The next one follows right away.
+	renewTimeout = renewInterval
+	// ownedUpdateInterval is the interval at which the owned endpoints are recomputed without a
+	// change of members or endpoints, which triggers it immediately. It covers configuration
+	// changes that don't affect any endpoint.
+	ownedUpdateInterval = time.Second
+	// maxConcurrentCancels bounds concurrent cancellations of a dead entry daemon's streams.
+	maxConcurrentCancels = 16
+	// cancelTimeout bounds one cancellation. The engine drops the stream at its deadline anyway.
+	cancelTimeout = 2 * time.Second
 )
 
 // KeepGrants renews the grants held by this daemon until the context ends.
 func (owners *Owners) KeepGrants(ctx context.Context) error {
-	return every(ctx, renewEvery, owners.renew)
+	return runEvery(ctx, renewInterval, owners.renewGrants)
 }
 
-// KeepOwned tells the local owner which endpoints it owns until the context ends. It
-// follows changes at once: an owner that lags behind its daemon's view refuses work for a
-// place that was brought back and grants work in one that was taken out.
+// KeepOwned updates the local owner's list of owned endpoints until the context ends. Changes
+// are applied immediately. An owner with an outdated list would refuse work for a VM or data
+// centre that was brought back, and grant work in one that was taken out.
 func (owners *Owners) KeepOwned(ctx context.Context) error {
-	ticker := time.NewTicker(ownEvery)
+	ticker := time.NewTicker(ownedUpdateInterval)
 	defer ticker.Stop()
 	for {
 		changed := owners.options.Members.Watch()
-		owners.own()
+		owners.updateOwned()
 		select {
 		case <-ctx.Done():
 			return nil
@@ -48,17 +49,18 @@
 	}
 }
 
-// KeepExpired ends grants whose holders are gone and cancels their streams.
+// KeepExpired expires grants whose holders are gone and cancels their streams, until the
+// context ends.
 func (owners *Owners) KeepExpired(ctx context.Context) error {
-	return every(ctx, renewEvery, owners.expire)
+	return runEvery(ctx, renewInterval, owners.expireGrants)
 }
 
-// KeepProbing connects to the endpoints of services that others depend on.
+// KeepProbing probes the endpoints of services that others depend on, until the context ends.
 func (owners *Owners) KeepProbing(ctx context.Context) error {
-	return every(ctx, probeEvery, owners.probe)
+	return runEvery(ctx, probeInterval, owners.probe)
 }
 
-func every(ctx context.Context, pause time.Duration, step func(ctx context.Context)) error {
+func runEvery(ctx context.Context, pause time.Duration, step func(ctx context.Context)) error {
 	ticker := time.NewTicker(pause)
 	defer ticker.Stop()
 	for {
@@ -71,12 +73,12 @@
 	}
 }
 
-// own sets the endpoints whose owner is this daemon.
-func (owners *Owners) own() {
-	table := owners.ownership()
+// updateOwned sets the endpoints that this daemon owns.
+func (owners *Owners) updateOwned() {
+	ownership := owners.ownership()
 	var owned []dogwoodfleet.Endpoint
-	for _, endpoint := range table.endpoints {
-		if member, ok := table.ownerOf(&endpoint); ok && member.Instance == owners.options.Self {
+	for _, endpoint := range ownership.endpoints {
+		if member, ok := ownership.ownerOf(&endpoint); ok && member.Instance == owners.options.Self {
 			owned = append(owned, endpoint)
 		}
 	}
@@ -84,34 +86,34 @@
 	owners.mutex.Lock()
 	defer owners.mutex.Unlock()
 	owners.owned = owned
-	owners.fallback.most = max(owners.fallback.most, len(table.alive))
+	owners.fallback.maxDaemons = max(owners.fallback.maxDaemons, len(ownership.alive))
 }
 
-// renew keeps every held grant at its endpoint's present owner: where that has changed,
-// the grant is announced there, else it is renewed in one call for each owner.
-func (owners *Owners) renew(ctx context.Context) {
-	table := owners.ownership()
+// renewGrants keeps each held grant valid at its endpoint's current owner. Grants are renewed
+// in one call for each owner. If the owner has changed, the grant is announced to the new one.
+func (owners *Owners) renewGrants(ctx context.Context) {
+	ownership := owners.ownership()
 	renewals := map[dogwoodfleet.InstanceID][]dogwoodowner.GrantID{}
 	announcements := map[dogwoodfleet.InstanceID][]dogwoodowner.Held{}
 	owners.mutex.Lock()
 	for id, held := range owners.held {
-		if member, ok := table.ownerOf(&held.Grant.Endpoint); ok && member.Instance != held.keeper {
-			held.keeper = member.Instance
-			held.Age = time.Since(held.sent)
+		if member, ok := ownership.ownerOf(&held.Grant.Endpoint); ok && member.Instance != held.owner {
+			held.owner = member.Instance
+			held.Age = time.Since(held.heldSince)
 			announcements[member.Instance] = append(announcements[member.Instance], held.Held)
 			continue
 		}
-		renewals[held.keeper] = append(renewals[held.keeper], id)
+		renewals[held.owner] = append(renewals[held.owner], id)
 	}
 	owners.mutex.Unlock()
 	var group errgroup.Group
-	for _, member := range table.alive {
+	for _, member := range ownership.alive {
 		grants, held := renewals[member.Instance], announcements[member.Instance]
 		if len(grants) == 0 && len(held) == 0 {
 			continue
 		}
 		group.Go(func() error {
-			ctx, cancel := context.WithTimeout(ctx, renewTime)
+			ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 			defer cancel()
 			held = append(held, owners.renewAt(ctx, member, grants)...)
 			owners.announceAt(ctx, member, held)
@@ -121,7 +123,8 @@
 	_ = group.Wait() // the renewals return no errors
 }
 
-// renewAt returns the grants that the owner lost, to be announced to it.
+// renewAt renews grants at their owner. It returns those that the owner lost, which must be
+// announced to it again.
 func (owners *Owners) renewAt(ctx context.Context, member Member, grants []dogwoodowner.GrantID) []dogwoodowner.Held {
 	if len(grants) == 0 {
 		return nil
@@ -130,17 +133,17 @@
 	if member.Instance == owners.options.Self {
 		reply.Lost = owners.options.Local.Renew(owners.options.Self, grants)
 	} else if err := owners.options.Caller.Call(ctx, member.Peer, "Owner.Renew", RenewArgs{Holder: owners.options.Self, Grants: grants}, &reply); err != nil {
-		owners.options.Logger.Debug("renewal failed", "owner", member.Instance, "error", err)
+		owners.options.Logger.Debug("failed to renew grants", "owner", member.Instance, "error", err)
 		return nil
 	}
-	owners.note(reply.Summary)
+	owners.recordSummary(reply.Summary)
 	counters.Add("GrantsLost", int64(len(reply.Lost)))
 	owners.mutex.Lock()
 	defer owners.mutex.Unlock()
 	var lost []dogwoodowner.Held
 	for _, id := range reply.Lost {
 		if held := owners.held[id]; held != nil {
-			held.Age = time.Since(held.sent)
+			held.Age = time.Since(held.heldSince)
 			lost = append(lost, held.Held)
 		}
 	}
@@ -157,37 +160,37 @@
 	}
 	var reply dogwoodowner.Summary
 	if err := owners.options.Caller.Call(ctx, member.Peer, "Owner.Announce", held, &reply); err != nil {
-		owners.options.Logger.Debug("announcing failed", "owner", member.Instance, "error", err)
+		owners.options.Logger.Debug("failed to announce grants", "owner", member.Instance, "error", err)
 		return
 	}
-	owners.note(reply)
+	owners.recordSummary(reply)
 }
 
-// expire cancels the streams whose holders stopped renewing. Only the endpoint's owner
-// does this, and only after a whole lease without a renewal.
-func (owners *Owners) expire(ctx context.Context) {
+// expireGrants expires grants whose holders stopped renewing them and cancels their streams.
+// Only the endpoint's owner does this, and only after a full lease without a renewal.
+func (owners *Owners) expireGrants(ctx context.Context) {
 	owners.CancelOrphans(ctx, owners.options.Local.Expire(time.Now()))
 }
 
-// CancelOrphans cancels streams that no one holds any more at their engines.
+// CancelOrphans cancels streams without a holder at their engines.
 func (owners *Owners) CancelOrphans(ctx context.Context, orphans []dogwoodowner.Orphan) {
 	if len(orphans) == 0 {
 		return
 	}
 	counters.Add("Orphans", int64(len(orphans)))
 	var group errgroup.Group
-	group.SetLimit(cancelsAtOnce)
+	group.SetLimit(maxConcurrentCancels)
 	for _, orphan := range orphans {
 		if orphan.Endpoint.Kind != dogwoodfleet.EnginePool {
-			owners.options.Local.Cancelled(orphan.Grant) // its connection ended with its holder
+			owners.options.Local.Cancelled(orphan.Grant) // the connection to the endpoint ended with the holder
 			continue
 		}
 		group.Go(func() error {
-			ctx, cancel := context.WithTimeout(ctx, cancelTime)
+			ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 			defer cancel()
 			if err := owners.options.Cancel(ctx, orphan.Endpoint, orphan.Request); err != nil {
-				owners.options.Logger.Warn("cancelling a stream without a holder failed", "request", orphan.Request, "error", err)
-				return nil // Expire returns it again
+				owners.options.Logger.Warn("failed to cancel a stream without a holder", "request", orphan.Request, "error", err)
+				return nil // Expire returns the orphan again
 			}
 			owners.options.Local.Cancelled(orphan.Grant)
 			return nil
@@ -196,7 +199,7 @@
 	_ = group.Wait() // failures are logged; the engine ends the stream at its deadline
 }
 
-// Held lists the grants held by this daemon, for its shutdown.
+// Held lists the grants that this daemon holds. It is used at shutdown.
 func (owners *Owners) Held() []dogwoodowner.GrantID {
 	owners.mutex.Lock()
 	defer owners.mutex.Unlock()
@@ -204,6 +207,6 @@
 	for id := range owners.held {
 		ids = append(ids, id)
 	}
-	slices.SortFunc(ids, func(one, other dogwoodowner.GrantID) int { return int(one.Number) - int(other.Number) })
+	slices.SortFunc(ids, func(a, b dogwoodowner.GrantID) int { return int(a.Number) - int(b.Number) })
 	return ids
 }
