--- a/core/duty/dogwoodhub/duty.go
+++ b/core/duty/dogwoodhub/duty.go
@@ -15,65 +15,67 @@
 )
 
 const (
-	// listAgain and listLongest are mean pauses after failed questions for the list of hubs:
-	// after a loss of power all daemons ask at once.
-	listAgain   = 200 * time.Millisecond
-	listLongest = time.Second
-	// offerAgain is the mean pause before a second try to be listed.
-	offerAgain = 50 * time.Millisecond
+	// firstListPause and longestListPause bound the mean pause between failed reads of the list
+	// of hubs: after a loss of power all daemons read it at once.
+	firstListPause   = 200 * time.Millisecond
+	longestListPause = time.Second
+	// offerRetryPause is the mean pause before a daemon retries to get itself listed.
+	offerRetryPause = 50 * time.Millisecond
 )
 
-// List is where hubs are listed. It outlives all daemons. What it says is a hint: a hub that
-// is listed may be gone, and a daemon that finds itself listed was a hub before it started.
+// List is the shared list of hubs. It outlives all daemons. Its contents are a hint: a listed
+// hub may be gone, and a daemon that finds itself listed was a hub before it restarted.
 type List interface {
-	// Hubs returns the hubs that are listed.
+	// Hubs returns the listed hubs.
 	Hubs(ctx context.Context) ([]dogwoodhubs.Daemon, error)
-	// Offer lists this daemon, and takes those off that did not answer.
+	// Offer adds this daemon to the list and removes the hubs on the silent VMs, which did not answer.
 	Offer(ctx context.Context, silent []dogwoodfleet.VM) error
-	// Withdraw takes this daemon off.
+	// Withdraw removes this daemon from the list.
 	Withdraw(ctx context.Context) error
 }
 
-// Options are what a duty is made from.
+// Options configure a Duty.
 type Options struct {
 	Self dogwoodhubs.Daemon
-	// FirstStart is true if the whole fleet starts for the first time: nobody is listed yet.
+	// FirstStart is true if the whole fleet starts for the first time: no hub is listed yet.
 	FirstStart bool
 	List       List
 	Leaf       *Leaf
-	// BeHub does a hub's work until the context ends or the hub is spare.
+	// BeHub runs this daemon as a hub until the context ends or the hub is spare. It returns
+	// ErrSpare in the latter case.
 	BeHub  func(ctx context.Context) error
 	Logger hclog.Logger
 }
 
-// Duty keeps this daemon a leaf or a hub.
+// Duty runs this daemon as a leaf or as a hub and switches between the two roles.
 //
-// Which one it begins as: a daemon that is listed was a hub and is one again, so that after a
-// loss of power everywhere the same daemons are hubs as before, without a word. Any other one
-// follows a listed hub that answers. If none does, it waits, the larger the shorter, looks once
-// more, and offers itself. So of a fleet that starts for the first time the largest daemons
-// become hubs, and the others find them.
+// The role at the start follows from the list. A daemon that is listed was a hub and becomes
+// one again, so that after a loss of power everywhere the same daemons are hubs as before,
+// without coordination. Any other daemon follows a listed hub that answers. If none answers, it
+// waits (a larger daemon waits for a shorter time), reads the list once more, and offers itself
+// if no new hub is listed. In a fleet that starts for the first time the largest daemons
+// therefore become hubs, and the others find them.
 type Duty struct {
 	options Options
 
 	mutex   sync.Mutex
 	isHub   bool
-	changed chan struct{} // closed at the next change of the part
+	changed chan struct{} // closed at the next change of the role
 }
 
-// New returns a duty.
+// New returns a duty that is a leaf until Run makes it a hub.
 func New(options Options) *Duty {
 	return &Duty{options: options, changed: make(chan struct{})}
 }
 
-// IsHub tells whether this daemon is a hub now.
+// IsHub reports whether this daemon is a hub now.
 func (duty *Duty) IsHub() bool {
 	isHub, _ := duty.Watch()
 	return isHub
 }
 
-// Watch tells whether this daemon is a hub now, and returns a channel that is closed when that
-// changes.
+// Watch reports whether this daemon is a hub now, and returns a channel that is closed when
+// that changes.
 func (duty *Duty) Watch() (isHub bool, changed <-chan struct{}) {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
@@ -88,33 +90,33 @@
 	duty.changed = make(chan struct{})
 }
 
-// Run does a leaf's or a hub's work until the context ends.
+// Run runs this daemon as a leaf or as a hub until the context ends.
 func (duty *Duty) Run(ctx context.Context) error {
 	if duty.options.FirstStart {
-		// The larger daemons go first. Without this pause all would ask for an empty list.
-		dogwoodkernel.Sleep(ctx, duty.joinPause())
+		// Larger daemons go first. Without this delay all would read an empty list.
+		dogwoodkernel.Sleep(ctx, duty.joinDelay())
 	}
-	hubs, err := duty.list(ctx)
+	hubs, err := duty.readList(ctx)
 	if err == nil && (duty.isListed(hubs) || duty.options.FirstStart && len(hubs) == 0) {
-		if _, err := duty.beHub(ctx, hubs, nil); err != nil {
+		if _, err := duty.serveAsHub(ctx, hubs, nil); err != nil {
 			return err
 		}
-		hubs, err = duty.list(ctx)
+		hubs, err = duty.readList(ctx)
 	}
 	for err == nil && ctx.Err() == nil {
-		switch why := duty.options.Leaf.Run(ctx, hubs); {
-		case errors.Is(why, ErrPromoted):
+		switch reason := duty.options.Leaf.Run(ctx, hubs); {
+		case errors.Is(reason, ErrPromoted):
 			known := duty.options.Leaf.Fleet().Hubs
-			became, err := duty.beHub(ctx, hubs, nil)
+			became, err := duty.serveAsHub(ctx, hubs, nil)
 			if err != nil {
 				return err
 			}
 			if !became {
-				hubs = known // the store can't be asked who else there is
+				hubs = known // this daemon can't reach the store, so it can't read the list
 				continue
 			}
-		case errors.Is(why, ErrAlone):
-			found, err := duty.alone(ctx, hubs)
+		case errors.Is(reason, ErrAlone):
+			found, err := duty.becomeHubIfNone(ctx, hubs)
 			if err != nil {
 				return err
 			}
@@ -123,45 +125,45 @@
 				continue
 			}
 		}
-		hubs, err = duty.list(ctx)
+		hubs, err = duty.readList(ctx)
 	}
-	return nil // only the context's end ends the search for a list
+	return nil // reading the list fails only when the context ends
 }
 
-// alone waits, and makes this daemon a hub if no other one has become one meanwhile; else it
-// returns those that are listed now.
-func (duty *Duty) alone(ctx context.Context, hubs []dogwoodhubs.Daemon) ([]dogwoodhubs.Daemon, error) {
+// becomeHubIfNone waits for the join delay and then makes this daemon a hub, unless another one
+// has become a hub meanwhile: then it returns the hubs that are listed now.
+func (duty *Duty) becomeHubIfNone(ctx context.Context, hubs []dogwoodhubs.Daemon) ([]dogwoodhubs.Daemon, error) {
 	tried := vms(append(hubs, duty.options.Leaf.Fleet().Hubs...))
-	pause := duty.joinPause()
-	duty.options.Logger.Info("No hub answers.", "tried", len(tried), "pause", pause)
-	if !dogwoodkernel.Sleep(ctx, pause) {
+	delay := duty.joinDelay()
+	duty.options.Logger.Info("No hub answers.", "tried", len(tried), "pause", delay)
+	if !dogwoodkernel.Sleep(ctx, delay) {
 		return nil, nil
 	}
-	listed, err := duty.list(ctx)
-	if err != nil || duty.hasNew(listed, tried) {
+	listed, err := duty.readList(ctx)
+	if err != nil || duty.hasUntried(listed, tried) {
 		return listed, nil //nolint:nilerr // the context has ended
 	}
-	_, err = duty.beHub(ctx, listed, tried)
+	_, err = duty.serveAsHub(ctx, listed, tried)
 	return nil, err
 }
 
-// list returns the hubs that are listed. It tries until the list is read or the context ends.
-func (duty *Duty) list(ctx context.Context) ([]dogwoodhubs.Daemon, error) {
-	pause := dogwoodkernel.Backoff{First: listAgain, Longest: listLongest}
+// readList returns the listed hubs. It retries until the list is read or the context ends.
+func (duty *Duty) readList(ctx context.Context) ([]dogwoodhubs.Daemon, error) {
+	backoff := dogwoodkernel.Backoff{First: firstListPause, Longest: longestListPause}
 	for {
 		hubs, err := duty.options.List.Hubs(ctx)
 		if err == nil {
 			return hubs, nil
 		}
 		duty.options.Logger.Warn("The list of hubs can't be read.", "error", err)
-		if err := pause.Sleep(ctx); err != nil {
+		if err := backoff.Sleep(ctx); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// joinPause is how long this daemon waits for a larger one to become a hub.
-func (duty *Duty) joinPause() time.Duration {
+// joinDelay returns how long this daemon waits for a larger one to become a hub.
+func (duty *Duty) joinDelay() time.Duration {
 	return dogwoodkernel.Jittered(dogwoodhubs.JoinPause(duty.options.Self.Cores))
 }
 
@@ -172,26 +174,27 @@
 	})
 }
 
-// hasNew tells whether a hub is listed that was not tried.
-func (duty *Duty) hasNew(hubs []dogwoodhubs.Daemon, tried []dogwoodfleet.VM) bool {
+// hasUntried reports whether hubs contains one that was not tried.
+func (duty *Duty) hasUntried(hubs []dogwoodhubs.Daemon, tried []dogwoodfleet.VM) bool {
 	return slices.ContainsFunc(hubs, func(hub dogwoodhubs.Daemon) bool { return !slices.Contains(tried, hub.VM) })
 }
 
 func vms(hubs []dogwoodhubs.Daemon) []dogwoodfleet.VM {
-	listed := make([]dogwoodfleet.VM, 0, len(hubs))
+	names := make([]dogwoodfleet.VM, 0, len(hubs))
 	for _, hub := range hubs {
-		listed = append(listed, hub.VM)
+		names = append(names, hub.VM)
 	}
-	return listed
+	return names
 }
 
-// beHub lists this daemon and does a hub's work until it is spare or the context ends. A daemon
-// that the store turns away becomes no hub: it follows one meanwhile, and tells it so.
-func (duty *Duty) beHub(ctx context.Context, hubs []dogwoodhubs.Daemon, silent []dogwoodfleet.VM) (became bool, err error) {
+// serveAsHub lists this daemon and runs it as a hub until it is spare or the context ends. A
+// daemon that can't be listed doesn't become a hub: it follows one, to which it reports itself
+// as ineligible for a while.
+func (duty *Duty) serveAsHub(ctx context.Context, hubs []dogwoodhubs.Daemon, silent []dogwoodfleet.VM) (became bool, err error) {
 	if !duty.isListed(hubs) || len(silent) > 0 {
 		if err := duty.offer(ctx, silent); err != nil {
 			duty.options.Logger.Warn("Not listed as a hub.", "error", err)
-			duty.options.Leaf.unfit(time.Now())
+			duty.options.Leaf.markIneligible(time.Now())
 			return false, nil
 		}
 	}
@@ -209,11 +212,11 @@
 	return true, nil
 }
 
-// offer lists this daemon, with one more try: the first hubs of all meet when they draw the
-// key of their connections.
+// offer adds this daemon to the list and retries once: the first hubs of a fleet conflict when
+// they create the key of their connections.
 func (duty *Duty) offer(ctx context.Context, silent []dogwoodfleet.VM) error {
 	err := duty.options.List.Offer(ctx, silent)
-	if err == nil || !dogwoodkernel.Sleep(ctx, dogwoodkernel.Jittered(offerAgain)) {
+	if err == nil || !dogwoodkernel.Sleep(ctx, dogwoodkernel.Jittered(offerRetryPause)) {
 		return err
 	}
 	return duty.options.List.Offer(ctx, silent)
--- a/core/duty/dogwoodhub/fleet_test.go
+++ b/core/duty/dogwoodhub/fleet_test.go
@@ -20,50 +20,50 @@
 
 var tableNames = []string{"text", "servers"}
 
-// world is a fleet's store, network and daemons.
-type fleet struct {
+// testFleet simulates a fleet: its daemons, the network between them and the store.
+type testFleet struct {
 	ctx context.Context //nolint:containedctx // the lifetime of the test's fleet
 
-	mutex sync.Mutex
-	nodes []*node
-	byAt  map[netip.AddrPort]*node
-	// listed and reads are the store's rows and how often they were read or written.
+	mutex  sync.Mutex
+	nodes  []*node
+	byPeer map[netip.AddrPort]*node
+	// listed are the hubs in the store's list, and storeCalls counts the reads and writes of it.
 	listed      map[dogwoodfleet.VM]dogwoodhubs.Daemon
 	storeCalls  int
-	storeAway   bool
+	storeDown   bool
 	version     int64
 	rate, calls int
 }
 
-// node is one daemon.
+// node is one daemon of a testFleet.
 type node struct {
-	world  *fleet
+	fleet  *testFleet
 	starts int
 
 	mutex  sync.Mutex
 	self   dogwoodhubs.Daemon
 	tables *tables
 	hub    *Hub
-	dead   bool // its calls and those to it get no answer
+	dead   bool // neither its calls nor those to it are answered
 	frozen bool
-	// turnedAway has the store refuse this daemon.
-	turnedAway bool
-	cancel     context.CancelFunc
-	group      sync.WaitGroup
+	// storeRejects makes the store reject this daemon's calls.
+	storeRejects bool
+	cancel       context.CancelFunc
+	group        sync.WaitGroup
 }
 
-// tables are what one start of a daemon knows of the store.
+// tables are the copies of the store's tables in one instance of a daemon.
 type tables struct {
 	begun  time.Time
 	copies map[string]*dogwoodcopy.Copy
 }
 
 func newTables() *tables {
-	made := &tables{begun: time.Now(), copies: map[string]*dogwoodcopy.Copy{}}
+	tables := &tables{begun: time.Now(), copies: map[string]*dogwoodcopy.Copy{}}
 	for _, name := range tableNames {
-		made.copies[name] = dogwoodcopy.New()
+		tables.copies[name] = dogwoodcopy.New()
 	}
-	return made
+	return tables
 }
 
 func (tables *tables) clock() time.Duration { return time.Since(tables.begun) }
@@ -81,28 +81,28 @@
 	tables.copies[table].Take(answer, false)
 }
 
-func newWorld(t *testing.T, centres, large, small int) *fleet {
-	world := &fleet{ctx: t.Context(), byAt: map[netip.AddrPort]*node{}, listed: map[dogwoodfleet.VM]dogwoodhubs.Daemon{}, version: 1}
+func newTestFleet(t *testing.T, centres, large, small int) *testFleet {
+	fleet := &testFleet{ctx: t.Context(), byPeer: map[netip.AddrPort]*node{}, listed: map[dogwoodfleet.VM]dogwoodhubs.Daemon{}, version: 1}
 	for c := range centres {
 		for i := range large + small {
 			address := netip.AddrFrom4([4]byte{10, byte(c), byte(i / 200), byte(i % 200)})
-			made := &node{world: world, self: dogwoodhubs.Daemon{
+			node := &node{fleet: fleet, self: dogwoodhubs.Daemon{
 				VM:    dogwoodfleet.VM(fmt.Sprintf("%d-%03d", c, i)),
 				Place: dogwoodfleet.Place{Region: "r", DataCentre: dogwoodfleet.DataCentre(fmt.Sprint(c))},
 				Serve: netip.AddrPortFrom(address, 1), Peer: netip.AddrPortFrom(address, 2), Cores: 0.192,
 			}}
 			if i < large {
-				made.self.Cores = 0.8
+				node.self.Cores = 0.8
 			}
-			world.nodes, world.byAt[made.self.Peer] = append(world.nodes, made), made
+			fleet.nodes, fleet.byPeer[node.self.Peer] = append(fleet.nodes, node), node
 		}
 	}
-	return world
+	return fleet
 }
 
-// start starts a daemon anew.
+// start starts a new instance of the daemon.
 func (node *node) start() {
-	ctx, cancel := context.WithCancel(node.world.ctx)
+	ctx, cancel := context.WithCancel(node.fleet.ctx)
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	node.starts++
@@ -119,7 +119,7 @@
 	node.group.Go(func() { _ = duty.Run(ctx) })
 }
 
-// kill ends a daemon without a word.
+// kill ends the daemon without a shutdown.
 func (node *node) kill() {
 	node.mutex.Lock()
 	node.dead = true
@@ -134,11 +134,11 @@
 	return !node.dead && node.hub != nil
 }
 
-// beHub reads the store itself twice a second and answers leaves.
+// beHub runs a hub that answers leaves and reads the store twice a second.
 func (node *node) beHub(ctx context.Context, self dogwoodhubs.Daemon, known *tables) error {
 	hub := NewHub(HubOptions{
-		Self: self, Tables: known, Names: tableNames, Clock: known.clock, Hubs: node.world.hubs, OtherLeaves: node.otherLeaves,
-		Requests: node.world.requests, DataCentres: node.world.centres(), Logger: hclog.NewNullLogger(),
+		Self: self, Tables: known, Names: tableNames, Clock: known.clock, Hubs: node.fleet.hubs, OtherLeaves: node.otherLeaves,
+		Requests: node.fleet.requests, DataCentres: node.fleet.centres(), Logger: hclog.NewNullLogger(),
 	})
 	set := func(hub *Hub) {
 		node.mutex.Lock()
@@ -158,15 +158,15 @@
 	return hub.Run(ctx)
 }
 
-// read has a hub know what the store holds now, as its feed would.
+// read copies the store's current contents into the hub's tables, as its feed would.
 func (node *node) read(known *tables) {
-	node.world.mutex.Lock()
-	away, version := node.world.storeAway, node.world.version
-	node.world.mutex.Unlock()
+	node.fleet.mutex.Lock()
+	down, version := node.fleet.storeDown, node.fleet.version
+	node.fleet.mutex.Unlock()
 	node.mutex.Lock()
 	frozen := node.frozen
 	node.mutex.Unlock()
-	if away || frozen {
+	if down || frozen {
 		return
 	}
 	for _, name := range tableNames {
@@ -179,7 +179,7 @@
 
 func (node *node) otherLeaves() int {
 	leaves := 0
-	for _, other := range node.world.nodes {
+	for _, other := range node.fleet.nodes {
 		other.mutex.Lock()
 		hub := other.hub
 		other.mutex.Unlock()
@@ -190,7 +190,8 @@
 	return leaves
 }
 
-// Position is how much the daemon knows of a table.
+// Position returns the version of a table that the daemon knows, and the age of its last
+// confirmation.
 func (node *node) Position(table string) (int64, time.Duration) {
 	node.mutex.Lock()
 	known := node.tables
@@ -198,19 +199,19 @@
 	return known.Position(table)
 }
 
-// record is the daemon as it is now.
-func (node *node) record() dogwoodhubs.Daemon {
+// daemon returns the daemon's current record.
+func (node *node) daemon() dogwoodhubs.Daemon {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
 	return node.self
 }
 
-// Call carries a call that takes a millisecond each way.
+// Call simulates a call that takes a millisecond each way.
 func (node *node) Call(ctx context.Context, peer netip.AddrPort, _ string, args, reply any) error {
-	node.world.mutex.Lock()
-	node.world.calls++
-	node.world.mutex.Unlock()
-	called := node.world.byAt[peer]
+	node.fleet.mutex.Lock()
+	node.fleet.calls++
+	node.fleet.mutex.Unlock()
+	called := node.fleet.byPeer[peer]
 	time.Sleep(time.Millisecond)
 	called.mutex.Lock()
 	hub, dead, frozen := called.hub, called.dead, called.frozen
@@ -223,7 +224,7 @@
 		return errors.New("refused")
 	}
 	answered := make(chan error, 1)
-	news := new(News) // what comes after the caller has given up must not be seen
+	news := new(News) // the caller must not see an answer that arrives after it has given up
 	node.group.Go(func() { answered <- hub.Receiver().Follow(args.(Question), news) })
 	select {
 	case err := <-answered:
@@ -242,120 +243,120 @@
 	}
 }
 
-// Hubs, Offer and Withdraw are the store's list of hubs. A call takes four milliseconds.
+// Hubs, Offer and Withdraw simulate the store's list of hubs. A call takes four milliseconds.
 func (node *node) Hubs(context.Context) ([]dogwoodhubs.Daemon, error) {
 	var hubs []dogwoodhubs.Daemon
-	if node.isTurnedAway() {
-		return nil, errors.New("turned away")
+	if node.isRejected() {
+		return nil, errors.New("rejected")
 	}
-	err := node.world.store(func(world *fleet) {
-		for _, hub := range world.listed {
-			hub.Instance = "" // the list does not say which start it is
+	err := node.fleet.callStore(func(fleet *testFleet) {
+		for _, hub := range fleet.listed {
+			hub.Instance = "" // the list does not contain the instance
 			hubs = append(hubs, hub)
 		}
 	})
 	return hubs, err
 }
 
-func (node *node) isTurnedAway() bool {
+func (node *node) isRejected() bool {
 	node.mutex.Lock()
 	defer node.mutex.Unlock()
-	return node.turnedAway
+	return node.storeRejects
 }
 
 func (node *node) Offer(_ context.Context, silent []dogwoodfleet.VM) error {
-	if node.isTurnedAway() {
-		return errors.New("turned away")
+	if node.isRejected() {
+		return errors.New("rejected")
 	}
-	return node.world.store(func(world *fleet) {
+	return node.fleet.callStore(func(fleet *testFleet) {
 		for _, vm := range silent {
-			delete(world.listed, vm)
+			delete(fleet.listed, vm)
 		}
-		self := node.record()
-		world.listed[self.VM] = self
+		self := node.daemon()
+		fleet.listed[self.VM] = self
 	})
 }
 
 func (node *node) Withdraw(context.Context) error {
-	return node.world.store(func(world *fleet) { delete(world.listed, node.record().VM) })
+	return node.fleet.callStore(func(fleet *testFleet) { delete(fleet.listed, node.daemon().VM) })
 }
 
-func (world *fleet) store(use func(world *fleet)) error {
+func (fleet *testFleet) callStore(access func(fleet *testFleet)) error {
 	time.Sleep(4 * time.Millisecond)
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	world.storeCalls++
-	if world.storeAway {
-		return errors.New("away")
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
+	fleet.storeCalls++
+	if fleet.storeDown {
+		return errors.New("store down")
 	}
-	use(world)
+	access(fleet)
 	return nil
 }
 
-// hubs lists the hubs alive, as heartbeats would.
-func (world *fleet) hubs() []dogwoodhubs.Daemon {
+// hubs returns the hubs that are alive, as heartbeats would.
+func (fleet *testFleet) hubs() []dogwoodhubs.Daemon {
 	var hubs []dogwoodhubs.Daemon
-	for _, node := range world.nodes {
+	for _, node := range fleet.nodes {
 		if node.isHub() {
-			hubs = append(hubs, node.record())
+			hubs = append(hubs, node.daemon())
 		}
 	}
 	return hubs
 }
 
-// requests spreads the rate evenly over the data centres, and there over the hubs.
-func (world *fleet) requests(time.Time) map[dogwoodfleet.InstanceID]int {
-	hubs, centres := world.hubs(), world.centres()
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
+// requests distributes the rate evenly over the data centres, and in each over its hubs.
+func (fleet *testFleet) requests(time.Time) map[dogwoodfleet.InstanceID]int {
+	hubs, centres := fleet.hubs(), fleet.centres()
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
 	requests := map[dogwoodfleet.InstanceID]int{}
 	for _, hub := range hubs {
-		requests[hub.Instance] = world.rate / centres / len(inPlace(hubs, hub.Place))
+		requests[hub.Instance] = fleet.rate / centres / len(inPlace(hubs, hub.Place))
 	}
 	return requests
 }
 
-// callsMade is how often daemons called each other, storeCallsMade how often the list of hubs
-// was read or written.
-func (world *fleet) callsMade() int {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	return world.calls
+// callsMade returns how often daemons called each other.
+func (fleet *testFleet) callsMade() int {
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
+	return fleet.calls
 }
 
-func (world *fleet) storeCallsMade() int {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	return world.storeCalls
+// storeCallsMade returns how often the list of hubs was read or written.
+func (fleet *testFleet) storeCallsMade() int {
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
+	return fleet.storeCalls
 }
 
-func (world *fleet) centres() int {
+func (fleet *testFleet) centres() int {
 	centres := map[dogwoodfleet.Place]bool{}
-	for _, node := range world.nodes {
-		centres[node.record().Place] = true
+	for _, node := range fleet.nodes {
+		centres[node.daemon().Place] = true
 	}
 	return len(centres)
 }
 
-func (world *fleet) set(change func(world *fleet)) {
-	world.mutex.Lock()
-	defer world.mutex.Unlock()
-	change(world)
+func (fleet *testFleet) update(change func(fleet *testFleet)) {
+	fleet.mutex.Lock()
+	defer fleet.mutex.Unlock()
+	change(fleet)
 }
 
 // startAll starts all daemons within 0.3 s, in an order that mixes sizes and data centres.
-func (world *fleet) startAll() {
-	for i := range world.nodes {
-		world.nodes[(i*37)%len(world.nodes)].start()
-		time.Sleep(300 * time.Millisecond / time.Duration(len(world.nodes)))
+func (fleet *testFleet) startAll() {
+	for i := range fleet.nodes {
+		fleet.nodes[(i*37)%len(fleet.nodes)].start()
+		time.Sleep(300 * time.Millisecond / time.Duration(len(fleet.nodes)))
 	}
 }
 
-// without lists the daemons that live, are no hubs, and know nothing of the store's last proof
-// within the last two seconds.
-func (world *fleet) without() []dogwoodfleet.VM {
-	var without []dogwoodfleet.VM
-	for _, node := range world.nodes {
+// staleNodes returns the VMs of the live leaves that have no confirmation from the last two
+// seconds.
+func (fleet *testFleet) staleNodes() []dogwoodfleet.VM {
+	var stale []dogwoodfleet.VM
+	for _, node := range fleet.nodes {
 		node.mutex.Lock()
 		dead := node.dead
 		node.mutex.Unlock()
@@ -363,28 +364,29 @@
 			continue
 		}
 		if version, age := node.Position(tableNames[0]); version < 0 || age > 2*time.Second {
-			without = append(without, node.record().VM)
+			stale = append(stale, node.daemon().VM)
 		}
 	}
-	return without
+	return stale
 }
 
-func story(t *testing.T, centres, large, small int, body func(t *testing.T, world *fleet)) {
+// runFleet starts a fleet, lets it run for five seconds and then calls body.
+func runFleet(t *testing.T, centres, large, small int, body func(t *testing.T, fleet *testFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		world := newWorld(t, centres, large, small)
-		world.startAll()
+		fleet := newTestFleet(t, centres, large, small)
+		fleet.startAll()
 		time.Sleep(5 * time.Second)
-		body(t, world)
-		for _, node := range world.nodes {
+		body(t, fleet)
+		for _, node := range fleet.nodes {
 			node.kill()
 		}
-		for _, node := range world.nodes {
+		for _, node := range fleet.nodes {
 			node.group.Wait()
 		}
 	})
 }
 
-func hubsIn(world *fleet, centre dogwoodfleet.DataCentre) []dogwoodhubs.Daemon {
-	return slices.DeleteFunc(world.hubs(), func(hub dogwoodhubs.Daemon) bool { return hub.Place.DataCentre != centre })
+func hubsIn(fleet *testFleet, centre dogwoodfleet.DataCentre) []dogwoodhubs.Daemon {
+	return slices.DeleteFunc(fleet.hubs(), func(hub dogwoodhubs.Daemon) bool { return hub.Place.DataCentre != centre })
 }
--- a/core/duty/dogwoodhub/hub.go
+++ b/core/duty/dogwoodhub/hub.go
@@ -16,61 +16,62 @@
 	"dogwoodmux.example/core/state/dogwoodcopy"
 )
 
-// ErrSpare is how a hub ends that is not needed.
+// ErrSpare is returned by Hub.Run when the hub is no longer needed.
 var ErrSpare = errors.New("this hub is not needed any more")
 
 const (
-	// lookEvery is how often a hub looks at its leaves and the other hubs.
-	lookEvery = 250 * time.Millisecond
-	// settleFor is how long a new hub takes the fleet for larger than it looks: all daemons
-	// that started with it have found a hub by then. Until then it may be missing only what
-	// every fleet needs.
-	settleFor = 3 * time.Second
-	// firstLook is how long a new hub promotes nobody: after a loss of power the other hubs of
-	// its data centre may be up a moment later than itself, and two heartbeats until it sees them.
-	firstLook = time.Second
-	// sustained is for how many looks a rate of requests must last to count, a second: after a
-	// loss of power all callers come back at once, and once.
-	sustained = 4
-	// promotedFor is how long a promoted leaf counts as a hub although it has not been heard as
-	// one: a write and a read of the store, and the heartbeats until all know of it.
-	promotedFor = 3 * time.Second
-	// othersFirst is how long hubs are missing before another hub than the first one of the
-	// data centre promotes a leaf: the first one may have no leaf, or not see what is missing.
-	othersFirst = 2 * time.Second
-	// spareAfter is how long a hub must not have been needed to become a leaf: callers come in
-	// bursts, and daemons that were killed are back within some seconds.
+	// checkInterval is how often a hub checks its leaves and the other hubs.
+	checkInterval = 250 * time.Millisecond
+	// settlingTime is how long a new hub assumes that the fleet is larger than what it sees: all
+	// daemons that started with it have found a hub by then. Until then it counts only those hubs
+	// as missing that every fleet needs.
+	settlingTime = 3 * time.Second
+	// promotionDelay is how long a new hub promotes no leaf: after a loss of power the other hubs
+	// of its data centre may start a moment later, and it sees them only after two heartbeats.
+	promotionDelay = time.Second
+	// sustainedChecks is the number of checks for which a rate of requests must last to count, in
+	// total a second: after a loss of power all callers send their requests at once, but only once.
+	sustainedChecks = 4
+	// promotionTTL is how long a promoted leaf counts as a hub before its heartbeats show that it
+	// is one: it needs a write and a read of the store, and the heartbeats must reach all hubs.
+	promotionTTL = 3 * time.Second
+	// fallbackPromotionDelay is how long hubs must be missing in a data centre before a hub other
+	// than its highest-ranked one promotes a leaf: that one may have no leaf or not see the shortage.
+	fallbackPromotionDelay = 2 * time.Second
+	// spareAfter is how long a hub must not have been needed before it becomes a leaf: requests
+	// arrive in bursts, and daemons that were killed are back within some seconds.
 	spareAfter = 30 * time.Second
-	// rateFade is what remains of the highest rate of requests at each look, half after some
-	// nine seconds, so that a pause in a burst costs no hub.
-	rateFade = 0.98
+	// rateDecay is the factor by which the highest rate of requests decays at each check, to half
+	// after some nine seconds, so that no hub becomes a leaf during a pause in a burst.
+	rateDecay = 0.98
 )
 
-// Tables are what a hub tells its leaves of.
+// Tables are the tables whose updates a hub sends to its leaves.
 type Tables interface {
-	// Latest returns what changed of a table after a version, and a channel that is closed at
-	// the next news or proof; false if nothing is known.
+	// Latest returns the changes of a table after a version, and a channel that is closed at the
+	// next change or confirmation. It returns false if nothing is known of the table.
 	Latest(table string, after int64) (dogwoodcopy.Answer, <-chan struct{}, bool)
 }
 
-// HubOptions are what a hub is made from.
+// HubOptions configure a Hub.
 type HubOptions struct {
 	Self   dogwoodhubs.Daemon
 	Tables Tables
-	// Names are the tables that leaves may ask for, at most two; proofs of the first are news.
+	// Names are the tables that leaves may follow, at most two. Each confirmation of the first
+	// counts as an update.
 	Names []string
 	Clock dogwoodfreshness.Clock
-	// Hubs lists the hubs alive, this one included.
+	// Hubs returns the hubs that are alive, including this one.
 	Hubs func() []dogwoodhubs.Daemon
-	// OtherLeaves is how many leaves the other hubs have.
+	// OtherLeaves returns how many leaves the other hubs have.
 	OtherLeaves func() int
-	// Requests is how many requests each hub gave out within the last second.
+	// Requests returns how many requests each hub sent to endpoints within the last second.
 	Requests    func(now time.Time) map[dogwoodfleet.InstanceID]int
 	DataCentres int
 	Logger      hclog.Logger
 }
 
-// Hub answers leaves. It is safe for concurrent use.
+// Hub answers the polls of leaves and promotes leaves to hubs. It is safe for concurrent use.
 type Hub struct {
 	options HubOptions
 
@@ -81,32 +82,32 @@
 	changed chan struct{}
 	rates   map[dogwoodfleet.Place]*rate
 	started time.Time
-	// missing is since when each data centre has had too few hubs.
-	missing map[dogwoodfleet.Place]time.Time
-	needed  time.Time // when this hub was last needed
+	// shortageSince is the time since which each data centre has had too few hubs.
+	shortageSince map[dogwoodfleet.Place]time.Time
+	lastNeeded    time.Time // when this hub was last needed
 }
 
-// rate is that of the requests to the hubs of one data centre.
+// rate is the rate of requests to the hubs of one data centre.
 type rate struct {
-	last  [sustained]float64
-	looks int
-	// highest is the highest rate that lasted, faded.
+	last    [sustainedChecks]float64
+	samples int
+	// highest is the highest sustained rate, with decay.
 	highest float64
 }
 
-// add takes in the rate of one more look.
+// add records the rate at one more check.
 func (rate *rate) add(perSecond float64) {
-	rate.last[rate.looks%sustained] = perSecond
-	rate.looks++
-	rate.highest = max(slices.Min(rate.last[:]), rateFade*rate.highest)
+	rate.last[rate.samples%sustainedChecks] = perSecond
+	rate.samples++
+	rate.highest = max(slices.Min(rate.last[:]), rateDecay*rate.highest)
 }
 
 // leaf is a daemon that follows this hub.
 type leaf struct {
 	dogwoodhubs.Daemon
-	asked    time.Time
-	promoted time.Time // zero if it was not
-	wake     chan struct{}
+	lastPoll   time.Time
+	promotedAt time.Time // zero if never promoted
+	wake       chan struct{}
 }
 
 // NewHub returns a hub without leaves.
@@ -114,16 +115,17 @@
 	now := time.Now()
 	return &Hub{
 		options: options, leaves: map[dogwoodfleet.InstanceID]*leaf{}, changed: make(chan struct{}),
-		rates: map[dogwoodfleet.Place]*rate{}, started: now, needed: now, missing: map[dogwoodfleet.Place]time.Time{},
+		rates: map[dogwoodfleet.Place]*rate{}, started: now, lastNeeded: now, shortageSince: map[dogwoodfleet.Place]time.Time{},
 	}
 }
 
-// Run looks after the leaves until the context ends or the hub is spare.
+// Run checks leaves and hubs at regular intervals until the context ends, or returns ErrSpare if
+// the hub is spare.
 func (hub *Hub) Run(ctx context.Context) error {
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
-		if hub.look(time.Now()) {
+		if hub.check(time.Now()) {
 			return ErrSpare
 		}
 		select {
@@ -134,49 +136,49 @@
 	}
 }
 
-// Leaves is how many daemons follow this hub.
+// Leaves returns how many daemons follow this hub.
 func (hub *Hub) Leaves() int {
 	hub.mutex.Lock()
 	defer hub.mutex.Unlock()
 	return len(hub.leaves)
 }
 
-// Daemons is how many daemons there are, as far as the hubs know.
+// Daemons returns the number of daemons in the fleet as the hubs know it, at least 1.
 func (hub *Hub) Daemons() int {
 	hub.mutex.Lock()
 	defer hub.mutex.Unlock()
 	return max(hub.fleet.Daemons, 1)
 }
 
-// look forgets silent leaves, tells of changes, promotes leaves where hubs are missing, and
-// returns whether this hub itself is spare.
-func (hub *Hub) look(now time.Time) (spare bool) {
-	hubs, others := hub.options.Hubs(), hub.options.OtherLeaves()
+// check drops silent leaves, publishes changes, promotes leaves in data centres with too few
+// hubs, and reports whether this hub itself is spare.
+func (hub *Hub) check(now time.Time) (spare bool) {
+	hubs, otherLeaves := hub.options.Hubs(), hub.options.OtherLeaves()
 	requests := hub.options.Requests(now)
 	hub.mutex.Lock()
 	defer hub.mutex.Unlock()
 	hub.addRates(hubs, requests)
-	maps.DeleteFunc(hub.leaves, func(_ dogwoodfleet.InstanceID, leaf *leaf) bool { return now.Sub(leaf.asked) > silence })
+	maps.DeleteFunc(hub.leaves, func(_ dogwoodfleet.InstanceID, leaf *leaf) bool { return now.Sub(leaf.lastPoll) > leafTTL })
 	needs := dogwoodhubs.Needs{
-		DataCentres: hub.options.DataCentres, Daemons: len(hubs) + len(hub.leaves) + others,
-		Settled: now.Sub(hub.started) > settleFor,
+		DataCentres: hub.options.DataCentres, Daemons: len(hubs) + len(hub.leaves) + otherLeaves,
+		Settled: now.Sub(hub.started) > settlingTime,
 	}
 	hub.publish(hubs, needs.Daemons)
 	byPlace := hub.leavesByPlace()
 	for place, leaves := range byPlace {
-		if now.Sub(hub.started) < firstLook {
+		if now.Sub(hub.started) < promotionDelay {
 			break
 		}
 		hub.promote(now, place, leaves, hubs, needs)
 	}
-	return hub.isSpare(now, hubs, len(byPlace[hub.options.Self.Place]), others, needs)
+	return hub.isSpare(now, hubs, len(byPlace[hub.options.Self.Place]), otherLeaves, needs)
 }
 
-// addRates takes in how many requests came to each data centre.
+// addRates records how many requests arrived at each data centre.
 func (hub *Hub) addRates(hubs []dogwoodhubs.Daemon, requests map[dogwoodfleet.InstanceID]int) {
 	perSecond := map[dogwoodfleet.Place]float64{}
-	for _, each := range hubs {
-		perSecond[each.Place] += float64(requests[each.Instance])
+	for _, daemon := range hubs {
+		perSecond[daemon.Place] += float64(requests[daemon.Instance])
 	}
 	for place := range perSecond {
 		if hub.rates[place] == nil {
@@ -188,7 +190,7 @@
 	}
 }
 
-// rate is the lasting rate of requests to a data centre.
+// rate returns the highest sustained rate of requests to a data centre, with decay.
 func (hub *Hub) rate(place dogwoodfleet.Place) float64 {
 	if rate := hub.rates[place]; rate != nil {
 		return rate.highest
@@ -204,7 +206,7 @@
 	return byPlace
 }
 
-// publish takes in the hubs for the leaves to know, and wakes them if these changed.
+// publish updates the fleet that leaves receive, and wakes their polls if the hubs changed.
 func (hub *Hub) publish(hubs []dogwoodhubs.Daemon, daemons int) {
 	hub.fleet.Daemons = daemons
 	if hub.fleet.Version > 0 && slices.Equal(hubs, hub.fleet.Hubs) {
@@ -216,55 +218,55 @@
 	hub.changed = make(chan struct{})
 }
 
-// promote asks the best leaf of a data centre to become a hub if too few are there.
+// promote asks the best leaf of a data centre to become a hub if there are too few hubs.
 func (hub *Hub) promote(now time.Time, place dogwoodfleet.Place, leaves []*leaf, hubs []dogwoodhubs.Daemon, needs dogwoodhubs.Needs) {
-	there := inPlace(hubs, place)
-	first := len(there) == 0 || !slices.ContainsFunc(there, func(other dogwoodhubs.Daemon) bool {
+	localHubs := inPlace(hubs, place)
+	isFirst := len(localHubs) == 0 || !slices.ContainsFunc(localHubs, func(other dogwoodhubs.Daemon) bool {
 		return dogwoodhubs.Compare(other, hub.options.Self) < 0
 	})
-	var waiting []*leaf
+	var candidates []*leaf
 	for _, leaf := range leaves {
-		if now.Sub(leaf.promoted) < promotedFor {
-			there = append(there, leaf.Daemon)
+		if now.Sub(leaf.promotedAt) < promotionTTL {
+			localHubs = append(localHubs, leaf.Daemon)
 		} else if !leaf.Away {
-			waiting = append(waiting, leaf)
+			candidates = append(candidates, leaf)
 		}
 	}
-	needs.Leaves, needs.RequestsPerSecond = len(waiting), hub.rate(place)
-	if len(waiting) == 0 || dogwoodhubs.Enough(there, needs) {
-		delete(hub.missing, place)
+	needs.Leaves, needs.RequestsPerSecond = len(candidates), hub.rate(place)
+	if len(candidates) == 0 || dogwoodhubs.Enough(localHubs, needs) {
+		delete(hub.shortageSince, place)
 		return
 	}
-	if hub.missing[place].IsZero() {
-		hub.missing[place] = now
+	if hub.shortageSince[place].IsZero() {
+		hub.shortageSince[place] = now
 	}
-	if !first && now.Sub(hub.missing[place]) < othersFirst {
+	if !isFirst && now.Sub(hub.shortageSince[place]) < fallbackPromotionDelay {
 		return
 	}
-	best := slices.MinFunc(waiting, func(one, other *leaf) int { return dogwoodhubs.Compare(one.Daemon, other.Daemon) })
-	best.promoted = now
+	best := slices.MinFunc(candidates, func(a, b *leaf) int { return dogwoodhubs.Compare(a.Daemon, b.Daemon) })
+	best.promotedAt = now
 	close(best.wake)
 	best.wake = make(chan struct{})
-	hub.options.Logger.Info("Promoted a leaf.", "vm", best.VM, "datacentre", place.DataCentre, "hubs", len(there), "rate", needs.RequestsPerSecond)
+	hub.options.Logger.Info("Promoted a leaf.", "vm", best.VM, "datacentre", place.DataCentre, "hubs", len(localHubs), "rate", needs.RequestsPerSecond)
 }
 
 func inPlace(hubs []dogwoodhubs.Daemon, place dogwoodfleet.Place) []dogwoodhubs.Daemon {
-	var there []dogwoodhubs.Daemon
+	var local []dogwoodhubs.Daemon
 	for _, hub := range hubs {
 		if hub.Place == place {
-			there = append(there, hub)
+			local = append(local, hub)
 		}
 	}
-	return there
+	return local
 }
 
-// isSpare reports whether this hub has not been needed for long. Leaves of other hubs count as
-// if they were evenly spread over the data centres.
-func (hub *Hub) isSpare(now time.Time, hubs []dogwoodhubs.Daemon, leaves, others int, needs dogwoodhubs.Needs) bool {
-	needs.Leaves = leaves + others/max(hub.options.DataCentres, 1)
+// isSpare reports whether this hub has not been needed for longer than spareAfter. Leaves of other
+// hubs are counted as if they were evenly distributed over the data centres.
+func (hub *Hub) isSpare(now time.Time, hubs []dogwoodhubs.Daemon, leaves, otherLeaves int, needs dogwoodhubs.Needs) bool {
+	needs.Leaves = leaves + otherLeaves/max(hub.options.DataCentres, 1)
 	needs.RequestsPerSecond = hub.rate(hub.options.Self.Place)
 	if !dogwoodhubs.Spare(hub.options.Self, inPlace(hubs, hub.options.Self.Place), needs) {
-		hub.needed = now
+		hub.lastNeeded = now
 	}
-	return now.Sub(hub.needed) > spareAfter
+	return now.Sub(hub.lastNeeded) > spareAfter
 }
--- a/core/duty/dogwoodhub/leaf.go
+++ b/core/duty/dogwoodhub/leaf.go
@@ -18,46 +18,48 @@
 	"dogwoodmux.example/core/state/dogwoodcopy"
 )
 
-// The reasons for which a leaf stops being one.
+// The reasons for which Leaf.Run ends before its context does.
 var (
-	// ErrPromoted means that a hub asked it to become one.
+	// ErrPromoted means that a hub asked the leaf to become a hub.
 	ErrPromoted = errors.New("promoted to a hub")
-	// ErrAlone means that no hub answers.
+	// ErrAlone means that no hub is listed or that none answered in time.
 	ErrAlone = errors.New("no hub answers")
 )
 
 const (
-	// startPatience is how long a leaf that starts looks for a hub in vain before it takes itself
-	// for alone: it spans the time in which hubs that lost power together with it are back.
-	startPatience = 1200 * time.Millisecond
-	// lostPatience is the same after its hub has failed, which took a while to show.
-	lostPatience = 400 * time.Millisecond
-	// againPause is the mean pause between two rounds: hubs that start refuse connections.
-	againPause = 100 * time.Millisecond
-	// askedNear and askedFar are how many hubs are asked at once, in the leaf's own data centre
-	// and then in others.
-	askedNear = 3
-	askedFar  = 2
-	// unfitFor is how long a leaf that the store turned away is not to be promoted: most such
-	// troubles last some seconds, and another leaf can be a hub meanwhile.
-	unfitFor = 10 * time.Second
+	// startSearchTimeout is how long a leaf that starts searches for a hub before it gives up
+	// with ErrAlone. Hubs that lost power together with it are back within this time.
+	startSearchTimeout = 1200 * time.Millisecond
+	// failoverTimeout is the same after the leaf's hub has failed. It is shorter because the
+	// failure itself took a while to detect.
+	failoverTimeout = 400 * time.Millisecond
+	// searchPause is the mean pause between two rounds of a search: hubs that are starting
+	// refuse connections.
+	searchPause = 100 * time.Millisecond
+	// maxLocalCandidates and maxRemoteCandidates bound the hubs that are polled at once, first
+	// in the leaf's own data centre and then in the others.
+	maxLocalCandidates  = 3
+	maxRemoteCandidates = 2
+	// ineligibleFor is how long a leaf that could not be listed must not be promoted: most such
+	// faults last some seconds, and another leaf can be a hub meanwhile.
+	ineligibleFor = 10 * time.Second
 )
 
-// Feed is where news of tables goes.
+// Feed receives the updates of tables.
 type Feed interface {
-	// Position is how much is known of a table.
+	// Position returns the version of a table that is known, and the age of its last confirmation.
 	Position(table string) (version int64, age time.Duration)
-	// Feed takes in news of a table.
+	// Feed applies an update of a table.
 	Feed(table string, answer dogwoodcopy.Answer)
 }
 
-// LeafOptions are what a leaf is made from.
+// LeafOptions configure a Leaf.
 type LeafOptions struct {
-	// Self is this daemon; Away while it is leaving.
+	// Self returns this daemon, with Away set while it is leaving.
 	Self   func() dogwoodhubs.Daemon
 	Caller Caller
 	Feed   Feed
-	// Names are the tables that it follows, that whose proofs matter first.
+	// Names are the tables that the leaf follows. The first is the one whose confirmations matter.
 	Names  []string
 	Clock  dogwoodfreshness.Clock
 	Logger hclog.Logger
@@ -69,118 +71,118 @@
 
 	mutex sync.Mutex
 	fleet Fleet
-	hub   dogwoodhubs.Daemon // the one that answered last
-	// unfitUntil is until when it can't become a hub.
-	unfitUntil time.Time
+	hub   dogwoodhubs.Daemon // the hub that answered last
+	// ineligibleUntil is the time until which the leaf must not be promoted.
+	ineligibleUntil time.Time
 }
 
-// NewLeaf returns a leaf that knows no hub.
+// NewLeaf returns a leaf that follows no hub yet.
 func NewLeaf(options LeafOptions) *Leaf {
 	return &Leaf{options: options}
 }
 
-// unfit notes that the store turned this daemon away.
-func (leaf *Leaf) unfit(now time.Time) {
+// markIneligible records that this daemon could not be listed as a hub.
+func (leaf *Leaf) markIneligible(now time.Time) {
 	leaf.mutex.Lock()
 	defer leaf.mutex.Unlock()
-	leaf.unfitUntil = now.Add(unfitFor)
+	leaf.ineligibleUntil = now.Add(ineligibleFor)
 }
 
-// self is this daemon, away while it can't become a hub.
+// self returns this daemon, with Away set also while it is ineligible as a hub.
 func (leaf *Leaf) self() dogwoodhubs.Daemon {
 	self := leaf.options.Self()
 	leaf.mutex.Lock()
 	defer leaf.mutex.Unlock()
-	self.Away = self.Away || time.Now().Before(leaf.unfitUntil)
+	self.Away = self.Away || time.Now().Before(leaf.ineligibleUntil)
 	return self
 }
 
-// Fleet is what the last hub told of the others.
+// Fleet returns the fleet as the hub that answered last reported it.
 func (leaf *Leaf) Fleet() Fleet {
 	leaf.mutex.Lock()
 	defer leaf.mutex.Unlock()
 	return leaf.fleet
 }
 
-// Hub is the hub that answered last, if there is one.
+// Hub returns the hub that answered last, or false if none has.
 func (leaf *Leaf) Hub() (dogwoodhubs.Daemon, bool) {
 	leaf.mutex.Lock()
 	defer leaf.mutex.Unlock()
 	return leaf.hub, leaf.hub.Instance != ""
 }
 
-// Run follows one hub after the other, beginning with those that are listed. It returns
+// Run follows one hub after another, beginning with the listed ones. It returns
 // ErrPromoted, ErrAlone or the context's error.
 func (leaf *Leaf) Run(ctx context.Context, listed []dogwoodhubs.Daemon) error {
-	leaf.forget()
+	leaf.reset()
 	if len(listed) == 0 {
 		return ErrAlone
 	}
-	since, patience := time.Now(), startPatience
-	var left dogwoodfleet.VM // the hub that failed last
+	begun, timeout := time.Now(), startSearchTimeout
+	var failed dogwoodfleet.VM // the hub that failed last
 	for ctx.Err() == nil {
-		hub, news, found := leaf.attach(ctx, listed, left)
+		hub, news, found := leaf.findHub(ctx, listed, failed)
 		if found {
 			err := leaf.follow(ctx, hub, news)
 			if errors.Is(err, ErrPromoted) {
 				return err
 			}
 			leaf.options.Logger.Info("Looking for another hub.", "hub", hub.VM, "error", err)
-			since, patience, left = time.Now(), lostPatience, hub.VM
+			begun, timeout, failed = time.Now(), failoverTimeout, hub.VM
 			continue
 		}
-		if time.Since(since) > patience {
+		if time.Since(begun) > timeout {
 			return ErrAlone
 		}
-		left = "" // it may be back
-		if !dogwoodkernel.Sleep(ctx, dogwoodkernel.Jittered(againPause)) {
+		failed = "" // it may be back
+		if !dogwoodkernel.Sleep(ctx, dogwoodkernel.Jittered(searchPause)) {
 			break
 		}
 	}
 	return ctx.Err()
 }
 
-// forget drops what was known of hubs when this daemon last was a leaf.
-func (leaf *Leaf) forget() {
+// reset drops the hubs that are known from the last time when this daemon was a leaf.
+func (leaf *Leaf) reset() {
 	leaf.mutex.Lock()
 	defer leaf.mutex.Unlock()
 	leaf.fleet, leaf.hub = Fleet{}, dogwoodhubs.Daemon{}
 }
 
-// attach finds a hub that answers: one of the leaf's own data centre, drawn by chance, or one of
-// the first ones of the others. Leaves of a data centre without a hub all go to these, so that
-// they see them all and promote the best.
-func (leaf *Leaf) attach(ctx context.Context, listed []dogwoodhubs.Daemon, left dogwoodfleet.VM) (dogwoodhubs.Daemon, News, bool) {
+// findHub returns a hub that answers: a random one in the leaf's own data centre, or else one of
+// the highest-ranked hubs of the others. All leaves of a data centre without a hub go to these
+// few, which therefore see all of the leaves and can promote the best.
+func (leaf *Leaf) findHub(ctx context.Context, listed []dogwoodhubs.Daemon, failed dogwoodfleet.VM) (dogwoodhubs.Daemon, News, bool) {
 	hubs := leaf.Fleet().Hubs
 	if len(hubs) == 0 {
 		hubs = listed
 	}
 	self := leaf.options.Self()
-	hubs = slices.DeleteFunc(slices.Clone(hubs), func(hub dogwoodhubs.Daemon) bool { return hub.VM == left || hub.VM == self.VM })
-	near := inPlace(hubs, self.Place)
-	rand.Shuffle(len(near), func(i, j int) { near[i], near[j] = near[j], near[i] })
-	if hub, news, found := leaf.askAny(ctx, near[:min(len(near), askedNear)]); found {
+	hubs = slices.DeleteFunc(slices.Clone(hubs), func(hub dogwoodhubs.Daemon) bool { return hub.VM == failed || hub.VM == self.VM })
+	local := inPlace(hubs, self.Place)
+	rand.Shuffle(len(local), func(i, j int) { local[i], local[j] = local[j], local[i] })
+	if hub, news, found := leaf.pollAny(ctx, local[:min(len(local), maxLocalCandidates)]); found {
 		return hub, news, true
 	}
-	far := slices.DeleteFunc(hubs, func(hub dogwoodhubs.Daemon) bool { return hub.Place == self.Place })
-	slices.SortFunc(far, dogwoodhubs.Compare)
-	return leaf.askAny(ctx, far[:min(len(far), askedFar)])
+	remote := slices.DeleteFunc(hubs, func(hub dogwoodhubs.Daemon) bool { return hub.Place == self.Place })
+	slices.SortFunc(remote, dogwoodhubs.Compare)
+	return leaf.pollAny(ctx, remote[:min(len(remote), maxRemoteCandidates)])
 }
 
-// askAny asks some hubs at once and returns the first that answers. A first question is
-// answered without waiting for news, so those that are gone show soon.
-func (leaf *Leaf) askAny(ctx context.Context, hubs []dogwoodhubs.Daemon) (dogwoodhubs.Daemon, News, bool) {
+// pollAny polls some hubs at once and returns the first that answers. Hubs answer a first poll
+// without waiting for an update, so those that are gone are detected soon.
+func (leaf *Leaf) pollAny(ctx context.Context, hubs []dogwoodhubs.Daemon) (dogwoodhubs.Daemon, News, bool) {
 	type answer struct {
 		hub  dogwoodhubs.Daemon
 		news News
 	}
-	ctx, cancel := context.WithTimeout(ctx, answerWithin)
+	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
 	answers := make(chan answer, len(hubs))
 	var group errgroup.Group
 	for _, hub := range hubs {
 		group.Go(func() error {
-			news, err := leaf.ask(ctx, hub, 0)
+			news, err := leaf.poll(ctx, hub, 0)
 			if err != nil {
 				leaf.options.Logger.Debug("A hub does not answer.", "hub", hub.VM, "error", err)
 				return nil
@@ -190,46 +192,46 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // its functions log their errors
+	_ = group.Wait() // errors are logged above
 	select {
-	case first := <-answers:
-		return first.hub, first.news, true
+	case earliest := <-answers:
+		return earliest.hub, earliest.news, true
 	default:
 		return dogwoodhubs.Daemon{}, News{}, false
 	}
 }
 
-// follow asks one hub until it fails.
+// follow polls one hub until the hub fails or the leaf should stop following it.
 func (leaf *Leaf) follow(ctx context.Context, hub dogwoodhubs.Daemon, news News) error {
 	leaf.options.Logger.Info("Following a hub.", "hub", hub.VM)
-	var version uint64 // each hub counts its own lists
+	var version uint64 // each hub numbers the versions of its own list
 	for {
 		if news.Fleet != nil {
 			version = news.Fleet.Version
 		}
-		leaf.take(hub, news.Fleet)
+		leaf.recordFleet(hub, news.Fleet)
 		if news.Promoted {
 			return ErrPromoted
 		}
-		if leaf.shouldMove(hub) {
-			return Error.New("there is a hub in the leaf's own data centre")
+		if leaf.shouldSwitch(hub) {
+			return Error.New("a hub is available in the leaf's own data centre")
 		}
 		var err error
-		if news, err = leaf.askInTime(ctx, hub, version); err != nil {
+		if news, err = leaf.pollWithTimeout(ctx, hub, version); err != nil {
 			return err
 		}
 	}
 }
 
-func (leaf *Leaf) askInTime(ctx context.Context, hub dogwoodhubs.Daemon, version uint64) (News, error) {
-	ctx, cancel := context.WithTimeout(ctx, holdFor+answerWithin)
+func (leaf *Leaf) pollWithTimeout(ctx context.Context, hub dogwoodhubs.Daemon, version uint64) (News, error) {
+	ctx, cancel := context.WithTimeout(ctx, maxHold+answerTimeout)
 	defer cancel()
-	return leaf.ask(ctx, hub, version)
+	return leaf.poll(ctx, hub, version)
 }
 
-// take notes what a hub told of the fleet. The list of hubs does not say which start of a hub
-// it is; the hub itself does.
-func (leaf *Leaf) take(hub dogwoodhubs.Daemon, fleet *Fleet) {
+// recordFleet records the fleet that a hub reported, and that hub as the one followed. The hub's
+// record is taken from its own report, because the list of hubs does not contain the instance.
+func (leaf *Leaf) recordFleet(hub dogwoodhubs.Daemon, fleet *Fleet) {
 	leaf.mutex.Lock()
 	defer leaf.mutex.Unlock()
 	if fleet != nil {
@@ -243,19 +245,19 @@
 	leaf.hub = hub
 }
 
-// shouldMove tells whether the leaf follows a hub of another data centre although its own has
+// shouldSwitch reports whether the leaf follows a hub of another data centre although its own has
 // one.
-func (leaf *Leaf) shouldMove(hub dogwoodhubs.Daemon) bool {
+func (leaf *Leaf) shouldSwitch(hub dogwoodhubs.Daemon) bool {
 	return hub.Place != leaf.options.Self().Place && len(inPlace(leaf.Fleet().Hubs, leaf.options.Self().Place)) > 0
 }
 
-// ask asks the hub once and feeds what it tells.
-func (leaf *Leaf) ask(ctx context.Context, hub dogwoodhubs.Daemon, version uint64) (News, error) {
+// poll sends one poll to the hub and feeds the table updates of its answer.
+func (leaf *Leaf) poll(ctx context.Context, hub dogwoodhubs.Daemon, version uint64) (News, error) {
 	question := Question{Leaf: leaf.self(), Fleet: version}
-	asked, known := leaf.options.Clock(), map[string]int64{}
+	sent, versions := leaf.options.Clock(), map[string]int64{}
 	for _, name := range leaf.options.Names {
 		after, age := leaf.options.Feed.Position(name)
-		known[name] = after
+		versions[name] = after
 		question.Tables = append(question.Tables, Position{Table: name, After: after, Age: age})
 	}
 	var news News
@@ -263,8 +265,8 @@
 		return news, Error.Wrap(err)
 	}
 	for _, table := range news.Tables {
-		if after, wanted := known[table.Table]; wanted {
-			leaf.options.Feed.Feed(table.Table, table.Heard(asked, after))
+		if after, wanted := versions[table.Table]; wanted {
+			leaf.options.Feed.Feed(table.Table, table.Heard(sent, after))
 		}
 	}
 	return news, nil
--- a/core/duty/dogwoodhub/messages.go
+++ b/core/duty/dogwoodhub/messages.go
@@ -1,12 +1,12 @@
-// Package dogwoodhub joins leaves to hubs (dogwoodhubs): a leaf keeps one link, to a hub, and
-// one question there that the hub holds back until there is news. The answer holds what
-// changed in the store's tables, with a proof of how old it is, and the hubs that callers may
-// use. The question itself tells the hub that the leaf lives. So a leaf costs the same in a
-// fleet of twenty and of five hundred, and the store is not asked by it at all.
+// Package dogwoodhub connects leaves to hubs (dogwoodhubs). A leaf keeps one connection to one
+// hub and one long poll there, which the hub holds until there is an update. The answer contains
+// the changes in the store's tables, the time of the store's last confirmation, and the hubs that
+// callers may use. The poll also serves as the leaf's heartbeat. A leaf therefore costs the same
+// in a fleet of twenty daemons as in one of five hundred, and it does not query the store.
 //
-// Nobody appoints hubs for good: a hub that sees too few in its data centre promotes the best
-// of its leaves, one that is not needed any more becomes a leaf, and a daemon that finds no hub
-// offers itself (Duty).
+// The role of a hub is not permanent: a hub that sees too few hubs in a data centre promotes the
+// best of its leaves there, a hub that is no longer needed becomes a leaf, and a daemon that
+// finds no hub offers itself (Duty).
 package dogwoodhub
 
 import (
@@ -23,56 +23,57 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("hub")
 
-// Name is what the receiver is registered as with the peers' server.
+// Name is the name under which the receiver is registered with the peers' server.
 const Name = "Hub"
 
 const (
-	// holdFor is how long a hub holds a question back while there is no news. Each proof of the
-	// store is news, and one comes every second, so an answer is seldom held back so long.
-	holdFor = 1200 * time.Millisecond
-	// answerWithin is the time that an answer may take besides: ways and a busy small VM. A hub
-	// that is frozen is left after this and holdFor.
-	answerWithin = 400 * time.Millisecond
-	// silence is how long a leaf may ask nothing before its hub forgets it: two questions, and
-	// the time in which it would have found another hub.
-	silence = 3 * time.Second
+	// maxHold is how long a hub holds a poll while there is no update. Each confirmation by the
+	// store is an update, and one arrives every second, so a poll is seldom held that long.
+	maxHold = 1200 * time.Millisecond
+	// answerTimeout is how long an answer may take in addition to the time for which it is held,
+	// because of the network and of busy small VMs. A leaf leaves a frozen hub after the sum of
+	// this and maxHold.
+	answerTimeout = 400 * time.Millisecond
+	// leafTTL is the time without a poll after which a hub drops a leaf: it covers two polls and
+	// the time in which the leaf would have found another hub.
+	leafTTL = 3 * time.Second
 )
 
-// Position is how much of a table a leaf knows.
+// Position is a leaf's version of a table and how old that is.
 type Position struct {
 	Table string
-	// After is the version that it knows, -1 for nothing.
+	// After is the version that the leaf knows, -1 for none.
 	After int64
-	// Age is that of its last proof.
+	// Age is the age of the last confirmation that the leaf knows.
 	Age time.Duration
 }
 
-// Question is what a leaf asks its hub. It also tells that the leaf lives.
+// Question is a leaf's poll of its hub. It is also the leaf's heartbeat.
 type Question struct {
 	Leaf   dogwoodhubs.Daemon
 	Tables []Position
-	// Fleet is the version of the list of hubs that it knows; 0 for none.
+	// Fleet is the version of the list of hubs that the leaf knows, 0 for none.
 	Fleet uint64
 }
 
-// TableNews is what a hub knows of a table beyond the leaf's position.
+// TableNews is an update of a table: what the hub knows beyond the leaf's position.
 type TableNews struct {
 	Table string
 	dogwoodcopy.Told
 }
 
-// Fleet is what a hub knows of the others.
+// Fleet is the fleet as a hub sees it.
 type Fleet struct {
 	Version uint64
 	Hubs    []dogwoodhubs.Daemon
-	// Daemons is how many there are, hubs and leaves.
+	// Daemons is the number of daemons, hubs and leaves together.
 	Daemons int
 }
 
-// News is a hub's answer.
+// News is a hub's answer to a poll.
 type News struct {
 	Tables []TableNews
-	// Fleet is nil if the leaf knows it.
+	// Fleet is nil if the leaf already has this version.
 	Fleet *Fleet
 	// Promoted asks the leaf to become a hub.
 	Promoted bool
--- a/core/duty/dogwoodhub/receiver.go
+++ b/core/duty/dogwoodhub/receiver.go
@@ -8,79 +8,81 @@
 	"dogwoodmux.example/core/state/dogwoodcopy"
 )
 
-// proofStep is how much later a proof must be than the leaf's to be told at once.
-const proofStep = 200 * time.Millisecond
+// minConfirmationStep is how much later than the leaf's last confirmation a new one must be to
+// be sent at once.
+const minConfirmationStep = 200 * time.Millisecond
 
-// Receiver returns what leaves call, to be registered as Name.
+// Receiver returns the RPC receiver that leaves call, to be registered as Name.
 func (hub *Hub) Receiver() *Receiver {
 	return &Receiver{hub: hub}
 }
 
-// Receiver answers leaves.
+// Receiver answers the polls of leaves.
 type Receiver struct {
 	hub *Hub
 }
 
-// Follow answers as soon as there is news for the leaf, or after holdFor.
+// Follow answers as soon as there is an update for the leaf, or after maxHold.
 func (receiver *Receiver) Follow(question Question, news *News) error {
 	hub := receiver.hub
-	arrived, timer := hub.options.Clock(), time.NewTimer(holdFor)
+	arrived, timer := hub.options.Clock(), time.NewTimer(maxHold)
 	defer timer.Stop()
-	hub.attend(question.Leaf)
-	for over := false; ; {
-		told, isNews, watch := hub.news(question, arrived)
-		if over || isNews {
-			*news = told
+	hub.recordLeaf(question.Leaf)
+	for timedOut := false; ; {
+		update, isUpdate, signals := hub.updateFor(question, arrived)
+		if timedOut || isUpdate {
+			*news = update
 			return nil
 		}
 		select {
-		case <-watch.tables[0]:
-		case <-watch.tables[1]:
-		case <-watch.fleet:
-		case <-watch.promoted:
+		case <-signals.tables[0]:
+		case <-signals.tables[1]:
+		case <-signals.fleet:
+		case <-signals.promoted:
 		case <-timer.C:
-			over = true
+			timedOut = true
 		}
 	}
 }
 
-// watch are the channels of which one is closed when there may be news.
-type watch struct {
+// signals are channels, one of which is closed when there may be an update.
+type signals struct {
 	tables          [2]<-chan struct{}
 	fleet, promoted <-chan struct{}
 }
 
-// news is what the leaf does not know.
-func (hub *Hub) news(question Question, arrived time.Duration) (news News, isNews bool, watch watch) {
-	for i, position := range question.Tables[:min(len(question.Tables), len(watch.tables))] {
+// updateFor returns what the hub knows and the leaf does not, whether that is worth an answer at
+// once, and the signals to wait for otherwise.
+func (hub *Hub) updateFor(question Question, arrived time.Duration) (update News, isUpdate bool, signals signals) {
+	for i, position := range question.Tables[:min(len(question.Tables), len(signals.tables))] {
 		if !slices.Contains(hub.options.Names, position.Table) {
-			continue // another version's question
+			continue // sent by a daemon of another software version
 		}
-		answer, took, ok := hub.options.Tables.Latest(position.Table, position.After)
-		watch.tables[i] = took
+		answer, changed, ok := hub.options.Tables.Latest(position.Table, position.After)
+		signals.tables[i] = changed
 		if !ok {
 			continue
 		}
-		newer := answer.Proven - (arrived - position.Age)
-		isNews = isNews || answer.Whole || len(answer.Rows) > 0 || i == 0 && newer > proofStep
-		news.Tables = append(news.Tables, TableNews{Table: position.Table, Told: dogwoodcopy.Tell(answer, arrived)})
+		advance := answer.Proven - (arrived - position.Age)
+		isUpdate = isUpdate || answer.Whole || len(answer.Rows) > 0 || i == 0 && advance > minConfirmationStep
+		update.Tables = append(update.Tables, TableNews{Table: position.Table, Told: dogwoodcopy.Tell(answer, arrived)})
 	}
 	hub.mutex.Lock()
 	defer hub.mutex.Unlock()
-	watch.fleet = hub.changed
+	signals.fleet = hub.changed
 	if hub.fleet.Version != question.Fleet {
 		fleet := hub.fleet
-		news.Fleet, isNews = &fleet, true
+		update.Fleet, isUpdate = &fleet, true
 	}
 	if leaf := hub.leaves[question.Leaf.Instance]; leaf != nil {
-		watch.promoted = leaf.wake
-		news.Promoted = time.Since(leaf.promoted) < promotedFor
+		signals.promoted = leaf.wake
+		update.Promoted = time.Since(leaf.promotedAt) < promotionTTL
 	}
-	return news, isNews || news.Promoted, watch
+	return update, isUpdate || update.Promoted, signals
 }
 
-// attend notes that a leaf lives. A question without a name tells of no daemon.
-func (hub *Hub) attend(daemon dogwoodhubs.Daemon) {
+// recordLeaf records that a leaf is alive. A poll that names no instance is ignored.
+func (hub *Hub) recordLeaf(daemon dogwoodhubs.Daemon) {
 	if daemon.Instance == "" {
 		return
 	}
@@ -91,5 +93,5 @@
 		known = &leaf{wake: make(chan struct{})}
 		hub.leaves[daemon.Instance] = known
 	}
-	known.Daemon, known.asked = daemon, time.Now()
+	known.Daemon, known.lastPoll = daemon, time.Now()
 }
--- a/core/duty/dogwoodmembership/membership.go
+++ b/core/duty/dogwoodmembership/membership.go
@@ -1,5 +1,6 @@
-// Package dogwoodmembership is the duty that keeps a daemon's members up to date: it sends
-// heartbeats, answers those of others, reads the platform's list and looks at the ages.
+// Package dogwoodmembership is the duty that keeps a daemon's view of the other members up to
+// date: it sends heartbeats, answers those of others, reads the platform's list of VMs and checks
+// how old the last heartbeats are.
 package dogwoodmembership
 
 import (
@@ -22,18 +23,18 @@
 var Error = errs.Class("membership")
 
 const (
-	// beatWithin bounds one beat's call. A peer that has not answered by then is tried with
-	// the beat after; a second beat does not wait behind it.
-	beatWithin = time.Second
-	// listEvery is how often the platform's list is read: an endpoint that it shows as
-	// leaving gets no new work after this and the list's own lag. At 500 daemons it makes
-	// 250 reads a second of the list, most answered "not changed".
-	listEvery = 2 * time.Second
-	// Name is what the receiver is registered as with the peers' server.
+	// heartbeatTimeout bounds the call of one heartbeat. A peer that has not answered by then is
+	// sent the next heartbeat. Until then no second one is queued for it.
+	heartbeatTimeout = time.Second
+	// listInterval is how often the platform's list is read: an endpoint that it shows as
+	// leaving gets no new work after this interval plus the list's own lag. 500 daemons make
+	// 250 reads of the list a second, most of which are answered with "not changed".
+	listInterval = 2 * time.Second
+	// Name is the name under which the receiver is registered with the peers' server.
 	Name = "Member"
 )
 
-var beatsSent = expvar.NewInt("MemberBeatsSent")
+var heartbeatsSent = expvar.NewInt("MemberBeatsSent")
 
 // Caller calls other daemons.
 type Caller interface {
@@ -50,52 +51,52 @@
 	Members *dogwoodmember.Members
 	Caller  Caller
 	List    List
-	// Logger is nil for none.
+	// Logger may be nil, then nothing is logged.
 	Logger hclog.Logger
 }
 
-// Duty keeps members up to date while Run runs.
+// Duty keeps Members up to date while Run runs.
 type Duty struct {
 	options Options
-	// now asks for a beat before its time.
-	now chan struct{}
+	// sendNow requests a heartbeat before the interval ends.
+	sendNow chan struct{}
 
 	mutex    sync.Mutex
 	inFlight map[netip.AddrPort]bool
 }
 
-// New returns the duty.
+// New returns a duty that does nothing until Run is called.
 func New(options Options) *Duty {
 	if options.Logger == nil {
 		options.Logger = hclog.NewNullLogger()
 	}
-	return &Duty{options: options, now: make(chan struct{}, 1), inFlight: map[netip.AddrPort]bool{}}
+	return &Duty{options: options, sendNow: make(chan struct{}, 1), inFlight: map[netip.AddrPort]bool{}}
 }
 
-// Run beats, ticks and reads the list until the context ends.
+// Run sends heartbeats, ticks the members and reads the list until the context ends.
 func (duty *Duty) Run(ctx context.Context) error {
 	var group errgroup.Group
-	group.Go(func() error { return duty.beats(ctx) })
-	group.Go(func() error { return duty.ticks(ctx) })
-	group.Go(func() error { return duty.list(ctx) })
+	group.Go(func() error { return duty.sendHeartbeats(ctx) })
+	group.Go(func() error { return duty.runTicks(ctx) })
+	group.Go(func() error { return duty.readLists(ctx) })
 	return group.Wait()
 }
 
-// Leave marks this daemon as leaving and tells its neighbours at once.
+// Leave marks this daemon as leaving and notifies its neighbours at once.
 func (duty *Duty) Leave() {
 	duty.options.Members.Leave()
-	duty.beatNow()
+	duty.requestHeartbeat()
 }
 
-// beatNow brings the next beat forward.
-func (duty *Duty) beatNow() {
+// requestHeartbeat makes the next heartbeat due now.
+func (duty *Duty) requestHeartbeat() {
 	select {
-	case duty.now <- struct{}{}:
+	case duty.sendNow <- struct{}{}:
 	default:
 	}
 }
 
-// Receiver returns what other daemons call, to be registered as Name.
+// Receiver returns the RPC receiver that other daemons call, to be registered as Name.
 func (duty *Duty) Receiver() *Receiver {
 	return &Receiver{members: duty.options.Members}
 }
@@ -105,47 +106,48 @@
 	members *dogwoodmember.Members
 }
 
-// Beat takes in a heartbeat.
+// Beat handles a heartbeat.
 func (receiver *Receiver) Beat(beat dogwoodmember.Beat, reply *dogwoodmember.BeatReply) error {
 	*reply = receiver.members.Hear(beat, time.Now())
 	return nil
 }
 
-// Introduce takes in records that this daemon asked for in its answer to a beat, and
-// answers with those that the caller lacks.
+// Introduce adds records that this daemon requested in its answer to a heartbeat, and answers
+// with those that the caller lacks.
 func (receiver *Receiver) Introduce(introduction dogwoodmember.Introduction, reply *dogwoodmember.Introduction) error {
 	*reply = receiver.members.Introduce(introduction)
 	return nil
 }
 
-func (duty *Duty) beats(ctx context.Context) error {
+func (duty *Duty) sendHeartbeats(ctx context.Context) error {
 	var group sync.WaitGroup
 	defer group.Wait()
 	for {
 		beat, targets := duty.options.Members.NextBeat(time.Now())
 		for _, target := range targets {
-			if duty.begin(target.Peer) {
+			if duty.markInFlight(target.Peer) {
 				group.Go(func() {
-					defer duty.end(target.Peer)
-					duty.beat(ctx, beat, target)
+					defer duty.clearInFlight(target.Peer)
+					duty.sendHeartbeat(ctx, beat, target)
 				})
 			}
 		}
-		// Beats of daemons that started together spread out.
-		wait := time.NewTimer(jittered(dogwoodmember.BeatEvery))
+		// The jitter spreads out the heartbeats of daemons that started together.
+		timer := time.NewTimer(jittered(dogwoodmember.BeatEvery))
 		select {
-		case <-wait.C:
-		case <-duty.now:
-			wait.Stop()
+		case <-timer.C:
+		case <-duty.sendNow:
+			timer.Stop()
 		case <-ctx.Done():
-			wait.Stop()
+			timer.Stop()
 			return nil
 		}
 	}
 }
 
-// begin keeps one beat in flight for each peer: a silent one must not gather calls.
-func (duty *Duty) begin(peer netip.AddrPort) bool {
+// markInFlight reports whether no heartbeat to the peer is in flight, and marks one if so: calls
+// to a silent peer must not pile up.
+func (duty *Duty) markInFlight(peer netip.AddrPort) bool {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	if duty.inFlight[peer] {
@@ -155,19 +157,19 @@
 	return true
 }
 
-func (duty *Duty) end(peer netip.AddrPort) {
+func (duty *Duty) clearInFlight(peer netip.AddrPort) {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	delete(duty.inFlight, peer)
 }
 
-func (duty *Duty) beat(ctx context.Context, beat dogwoodmember.Beat, target dogwoodmember.Target) {
-	ctx, cancel := context.WithTimeout(ctx, beatWithin)
+func (duty *Duty) sendHeartbeat(ctx context.Context, beat dogwoodmember.Beat, target dogwoodmember.Target) {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	beatsSent.Add(1)
+	heartbeatsSent.Add(1)
 	var reply dogwoodmember.BeatReply
 	if err := duty.options.Caller.Call(ctx, target.Peer, Name+".Beat", beat, &reply); err != nil {
-		duty.options.Logger.Trace("Beat failed.", "vm", target.VM, "error", err)
+		duty.options.Logger.Trace("Heartbeat failed.", "vm", target.VM, "error", err)
 		return
 	}
 	introduction := duty.options.Members.HearReply(reply, time.Now())
@@ -176,13 +178,13 @@
 	}
 	var answer dogwoodmember.Introduction
 	if err := duty.options.Caller.Call(ctx, target.Peer, Name+".Introduce", introduction, &answer); err != nil {
-		duty.options.Logger.Debug("Introduction failed.", "vm", target.VM, "error", err)
+		duty.options.Logger.Debug("Member records not exchanged.", "vm", target.VM, "error", err)
 		return
 	}
 	duty.options.Members.Introduce(answer)
 }
 
-func (duty *Duty) ticks(ctx context.Context) error {
+func (duty *Duty) runTicks(ctx context.Context) error {
 	ticker := time.NewTicker(dogwoodmember.TickEvery)
 	defer ticker.Stop()
 	for {
@@ -195,9 +197,10 @@
 	}
 }
 
-// list reads the list. Daemons that were all started at once would not know each other
-// until their second beat if the first list did not bring one forward.
-func (duty *Duty) list(ctx context.Context) error {
+// readLists reads the list at regular intervals. The first list triggers a heartbeat at once:
+// without it daemons that all start at the same time would not know each other until their second
+// heartbeat.
+func (duty *Duty) readLists(ctx context.Context) error {
 	first := true
 	for {
 		listed, err := duty.options.List.VMs(ctx)
@@ -207,21 +210,21 @@
 			duty.options.Members.SetListed(listed)
 			if first {
 				first = false
-				duty.beatNow()
+				duty.requestHeartbeat()
 			}
 		}
-		wait := time.NewTimer(jittered(listEvery))
+		timer := time.NewTimer(jittered(listInterval))
 		select {
-		case <-wait.C:
+		case <-timer.C:
 		case <-ctx.Done():
-			wait.Stop()
+			timer.Stop()
 			return nil
 		}
 	}
 }
 
-// jittered spreads a period by a tenth both ways.
+// jittered returns the period, randomly varied by up to a tenth in either direction.
 func jittered(period time.Duration) time.Duration {
-	const share = 10
-	return period - period/share + rand.N(2*period/share)
+	const jitterDivisor = 10
+	return period - period/jitterDivisor + rand.N(2*period/jitterDivisor)
 }
--- a/core/duty/dogwoodmembership/membership_test.go
+++ b/core/duty/dogwoodmembership/membership_test.go
@@ -18,22 +18,22 @@
 	"dogwoodmux.example/core/state/dogwoodmember"
 )
 
-// network carries the daemons' calls in one process and loses what a test wants lost.
+// network delivers the daemons' calls within one process and drops those that a test selects.
 type network struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 	nodes  map[netip.AddrPort]*node
-	// lost is the share of calls that get no answer.
-	lost float64
-	// measured is true while bytes are counted, which takes long.
-	measured bool
-	// cut tells whether bytes from one daemon reach the other.
+	// lossRate is the probability with which each request and each answer is lost.
+	lossRate float64
+	// countBytes is true while bytes are counted, which is slow.
+	countBytes bool
+	// cut reports whether bytes from one daemon to the other are lost; nil if none are.
 	cut   func(from, to *node) bool
 	calls int
 	bytes int
 }
 
-// node is a daemon as far as membership goes.
+// node is a daemon that does nothing but membership.
 type node struct {
 	members *dogwoodmember.Members
 	duty    *Duty
@@ -44,7 +44,7 @@
 	group   sync.WaitGroup
 }
 
-// Call carries a call: its request and its answer must both get through.
+// Call simulates a call: its request and its answer must both be delivered.
 func (node *node) Call(ctx context.Context, peer netip.AddrPort, method string, args, reply any) error {
 	target, sent, answered := node.network.route(node, peer)
 	node.network.count(method, args)
@@ -78,21 +78,22 @@
 	if target == nil || target.down || from.down {
 		return nil, false, false
 	}
-	sent, answered = network.random.Float64() >= network.lost, network.random.Float64() >= network.lost
+	sent, answered = network.random.Float64() >= network.lossRate, network.random.Float64() >= network.lossRate
 	if network.cut != nil {
 		sent, answered = sent && !network.cut(from, target), answered && !network.cut(target, from)
 	}
 	return target, sent, answered
 }
 
-// count adds the size of what net/rpc writes: its header and the value, types once told.
+// count adds the size of what net/rpc writes: its header and the value, without the type
+// descriptions, which gob sends only once.
 func (network *network) count(method string, value any) {
 	const sequenceAndLengths = 8
 	network.mutex.Lock()
 	network.calls++
-	measured := network.measured
+	countBytes := network.countBytes
 	network.mutex.Unlock()
-	if !measured {
+	if !countBytes {
 		return
 	}
 	var buffer bytes.Buffer
@@ -105,10 +106,10 @@
 	network.bytes += buffer.Len() - types + len(method) + sequenceAndLengths
 }
 
-func (network *network) setLost(lost float64) {
+func (network *network) setLossRate(lossRate float64) {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
-	network.lost = lost
+	network.lossRate = lossRate
 }
 
 func (network *network) setCut(cut func(from, to *node) bool) {
@@ -117,7 +118,7 @@
 	network.cut = cut
 }
 
-// List is the same for all and does not change.
+// list is a list of VMs that is the same for all daemons and does not change.
 type list []dogwoodfleet.ListedVM
 
 func (list list) VMs(context.Context) ([]dogwoodfleet.ListedVM, error) { return list, nil }
@@ -131,6 +132,7 @@
 	return dogwoodtopology.NeighboursIn(byTopology.topology, self, members)
 }
 
+// site is a set of daemons with the network between them.
 type site struct {
 	network *network
 	nodes   []*node
@@ -161,7 +163,7 @@
 	return site
 }
 
-// start starts a daemon anew on its VM.
+// start starts a new instance of a daemon on its VM.
 func (site *site) start(i int) *node {
 	vm := site.list[i]
 	options := site.options
@@ -194,24 +196,24 @@
 	}
 }
 
-// sees tells whether daemon a takes daemon b for alive.
-func (site *site) sees(a, b int) bool {
+// seesAlive reports whether daemon a considers daemon b alive.
+func (site *site) seesAlive(a, b int) bool {
 	return site.nodes[a].members.AliveInstance(site.nodes[b].member.Instance)
 }
 
-// wantSeen checks, between all daemons that the test names, who takes whom for alive.
-func (site *site) wantSeen(t *testing.T, when string, want func(a, b int) bool, daemons ...int) {
+// checkAlive checks which daemons each of the given ones considers alive.
+func (site *site) checkAlive(t *testing.T, when string, want func(a, b int) bool, daemons ...int) {
 	t.Helper()
 	for _, a := range daemons {
 		for b := range site.nodes {
-			if got := site.sees(a, b); got != want(a, b) {
-				t.Errorf("%s: daemon %d takes %d for alive: got %v, want %v", when, a, b, got, want(a, b))
+			if got := site.seesAlive(a, b); got != want(a, b) {
+				t.Errorf("%s: daemon %d considers %d alive: got %v, want %v", when, a, b, got, want(a, b))
 			}
 		}
 	}
 }
 
-// observers are daemons other than the one that dies, daemon 1.
+// observers returns daemons other than daemon 1, which is killed.
 func observers(daemons int) []int {
 	if daemons == 2 {
 		return []int{0}
@@ -219,7 +221,7 @@
 	return []int{0, daemons / 2, daemons - 1}
 }
 
-func all(daemons int) []int {
+func allDaemons(daemons int) []int {
 	numbers := make([]int, daemons)
 	for i := range numbers {
 		numbers[i] = i
@@ -227,10 +229,10 @@
 	return numbers
 }
 
-// An entry VM loses its power. Its share of the endpoints has no owner until the others
-// know; requests for these wait. All must know within 3 s, in the mesh of today and in the
-// sparser topology of a larger data centre.
-func TestDeadDaemonIsSeenWithinThreeSeconds(t *testing.T) {
+// An entry VM loses power. Its share of the endpoints has no owner until the others detect the
+// failure, and requests for these endpoints wait. All daemons must detect it within 3 s, in the
+// mesh of a small fleet and in the sparser topology of a larger one.
+func TestDeadDaemonIsDetectedWithinThreeSeconds(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		daemons  int
@@ -246,26 +248,26 @@
 			synctest.Test(t, func(t *testing.T) {
 				site := newSite(t, test.daemons, test.topology)
 				defer site.stop()
-				site.network.setLost(0.01)
+				site.network.setLossRate(0.01)
 				time.Sleep(30 * time.Second)
 				always := func(int, int) bool { return true }
-				site.wantSeen(t, "at first", always, all(test.daemons)...)
+				site.checkAlive(t, "at first", always, allDaemons(test.daemons)...)
 				for range 4 {
 					site.kill(1)
 					time.Sleep(3 * time.Second)
-					site.wantSeen(t, "3 s after the death", func(_, b int) bool { return b != 1 }, observers(test.daemons)...)
+					site.checkAlive(t, "3 s after the death", func(_, b int) bool { return b != 1 }, observers(test.daemons)...)
 					site.nodes[1] = site.start(1)
 					time.Sleep(7 * time.Second)
-					site.wantSeen(t, "after the restart", always, all(test.daemons)...)
+					site.checkAlive(t, "after the restart", always, allDaemons(test.daemons)...)
 				}
 			})
 		})
 	}
 }
 
-// A switch drops one packet in fifty for minutes. Each false alarm would move a share of
-// the endpoints to other owners and back, with a settling time each.
-func TestLostBeatsDoNotFlap(t *testing.T) {
+// A switch drops one packet in fifty for minutes. Each false detection of a failure would move a
+// share of the endpoints to other owners and back, with a settling time each way.
+func TestLostHeartbeatsCauseNoFlapping(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		daemons  int
@@ -282,7 +284,7 @@
 				site := newSite(t, test.daemons, test.topology)
 				defer site.stop()
 				time.Sleep(10 * time.Second)
-				site.network.setLost(0.02)
+				site.network.setLossRate(0.02)
 				for range test.minutes * 60 {
 					time.Sleep(time.Second)
 					for a, node := range site.nodes {
@@ -296,10 +298,10 @@
 	}
 }
 
-// Something between two VMs has lost track of one direction: A's bytes reach B and B's do
-// not reach A. Were A to take B for dead, both would own the same endpoints and grant each
-// slot twice. Others hear both, so both stay alive everywhere.
-func TestOneSidedSilence(t *testing.T) {
+// The link between two VMs fails in one direction: A's bytes reach B, but B's don't reach A. If A
+// considered B dead, both would own the same endpoints and grant each slot twice. The other
+// daemons receive heartbeats from both, so both must stay alive everywhere.
+func TestOneWayLinkFailure(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		site := newSite(t, 8, nil)
@@ -309,15 +311,15 @@
 		site.network.setCut(func(a, b *node) bool { return a == from && b == to })
 		for range 60 {
 			time.Sleep(time.Second)
-			site.wantSeen(t, "during the silence", func(int, int) bool { return true }, all(8)...)
+			site.checkAlive(t, "during the one-way failure", func(int, int) bool { return true }, allDaemons(8)...)
 		}
 	})
 }
 
-// Regions lose each other for minutes. Each side must go on with the daemons that it
-// reaches, and find the others within seconds when the link is back, by tries that are rare
+// The link between regions fails for minutes. Each side must continue with the daemons that it
+// reaches, and find the others within seconds after the link is back, with calls that are rare
 // and spread out.
-func TestCutOffPartGoesOnAndRejoins(t *testing.T) {
+func TestPartitionedRegionsContinueAndRejoin(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		site := newSite(t, 8, nil)
@@ -327,7 +329,7 @@
 		site.network.setCut(func(a, b *node) bool { return side(a) != side(b) })
 		time.Sleep(3 * time.Second)
 		same := func(a, b int) bool { return (a < 3) == (b < 3) }
-		site.wantSeen(t, "cut off", same, all(8)...)
+		site.checkAlive(t, "partitioned", same, allDaemons(8)...)
 		site.network.mutex.Lock()
 		before := site.network.calls
 		site.network.mutex.Unlock()
@@ -335,21 +337,21 @@
 		site.network.mutex.Lock()
 		got := float64(site.network.calls-before) / (5 * 60)
 		site.network.mutex.Unlock()
-		// 13 beats within the sides twice a second, each counted with its answer, and 30 tries
+		// 13 heartbeats within the sides twice a second, each counted with its answer, and 30 calls
 		// across every two seconds.
 		if limit := 13*2*2*1.15 + 30/2*1.15; got > limit {
-			t.Errorf("got %.0f calls and answers a second while cut off, want at most %.0f", got, limit)
+			t.Errorf("got %.0f calls and answers a second while partitioned, want at most %.0f", got, limit)
 		}
-		site.wantSeen(t, "still cut off", same, all(8)...)
+		site.checkAlive(t, "still partitioned", same, allDaemons(8)...)
 		site.network.setCut(nil)
 		time.Sleep(5 * time.Second)
-		site.wantSeen(t, "joined again", func(int, int) bool { return true }, all(8)...)
+		site.checkAlive(t, "after rejoining", func(int, int) bool { return true }, allDaemons(8)...)
 	})
 }
 
-// A daemon is paused for twenty seconds and wakes. Were it to judge by the age of its news,
-// it would take all others for dead and itself for the owner of every endpoint.
-func TestPausedDaemonDoesNotTakeOthersForDead(t *testing.T) {
+// A daemon is paused for twenty seconds and resumes. If it went by the age of the heartbeats that
+// it last received, it would consider all others dead and itself the owner of every endpoint.
+func TestResumedDaemonDoesNotConsiderOthersDead(t *testing.T) {
 	t.Parallel()
 	members := dogwoodmember.New(dogwoodmember.Options{Self: dogwoodmember.Member{VM: "a", Instance: "a1"}})
 	other := dogwoodmember.New(dogwoodmember.Options{Self: dogwoodmember.Member{VM: "b", Instance: "b1"}})
@@ -363,9 +365,9 @@
 		at   time.Duration
 		want int
 	}{
-		{name: "heard just now", at: 100 * time.Millisecond, want: 2},
-		{name: "just awake", at: 20 * time.Second, want: 2},
-		{name: "awake and still silent", at: 20*time.Second + 100*time.Millisecond, want: 2},
+		{name: "heartbeat just received", at: 100 * time.Millisecond, want: 2},
+		{name: "just resumed", at: 20 * time.Second, want: 2},
+		{name: "resumed and still no heartbeat", at: 20*time.Second + 100*time.Millisecond, want: 2},
 	}
 	for _, test := range tests {
 		members.Tick(now.Add(test.at))
@@ -377,13 +379,13 @@
 		members.Tick(now.Add(at))
 	}
 	if got := len(members.Alive()); got != 1 {
-		t.Errorf("silent for long: got %d alive, want 1", got)
+		t.Errorf("no heartbeat for long: got %d alive, want 1", got)
 	}
 }
 
-// A daemon is stopped in good order: the others must send it no new work within a second,
-// although it still answers.
-func TestLeavingIsKnownAtOnce(t *testing.T) {
+// A daemon is stopped gracefully. Within a second the others must know that it is leaving, so that
+// they send it no new work although it still answers.
+func TestLeavingIsAnnouncedAtOnce(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		site := newSite(t, 8, nil)
@@ -401,8 +403,8 @@
 	})
 }
 
-// For control a daemon may spend 3 KB a second. A mesh of 25 daemons passes that with
-// heartbeats alone, and so does a ring with chords.
+// A daemon may send 3 KB of control traffic a second. Heartbeats alone exceed that in a mesh of 25
+// daemons and also in a ring with chords of the same size.
 func TestHeartbeatBytes(t *testing.T) {
 	t.Parallel()
 	const budget = 3000
@@ -422,14 +424,14 @@
 			defer site.stop()
 			time.Sleep(4 * time.Second)
 			site.network.mutex.Lock()
-			site.network.measured, site.network.calls = true, 0
+			site.network.countBytes, site.network.calls = true, 0
 			site.network.mutex.Unlock()
 			const seconds = 4
 			time.Sleep(seconds * time.Second)
 			site.network.mutex.Lock()
 			plain := site.network.bytes / test.daemons / seconds
-			// Worked out: a call, its answer and the acknowledgement of that are segments with 52
-			// bytes of TCP and IP headers each.
+			// Headers are calculated: a call, its answer and the acknowledgement of the answer are
+			// segments with 52 bytes of TCP and IP headers each.
 			const headers, messagesInCall = 3 * 52, 2
 			perSecond := plain + site.network.calls/messagesInCall*headers/test.daemons/seconds
 			site.network.mutex.Unlock()
--- a/core/duty/dogwoodwitness/witness.go
+++ b/core/duty/dogwoodwitness/witness.go
@@ -1,9 +1,9 @@
-// Package dogwoodwitness asks the other daemons what they remember of a call that may run
-// once, while the platform's store can't tell.
+// Package dogwoodwitness asks the other daemons what they remember of a call that may run only
+// once, while the platform's store can't answer that.
 //
-// Load pattern: an outage of the store during which callers send again what they got no
-// answer to. Without it the refusal says "not run" of calls that another daemon ran, and
-// their callers make them a second time under a new key.
+// Load pattern: an outage of the store during which callers resend the calls that were not
+// answered. Without this package the refusal would say "not run" for calls that another daemon
+// ran, and their callers would make them a second time under a new key.
 package dogwoodwitness
 
 import (
@@ -17,19 +17,21 @@
 )
 
 const (
-	// Name is what the receiver is registered as with the peers' server.
+	// Name is the name under which the receiver is registered with the peers' server.
 	Name = "Claim"
-	// mostAsked bounds the daemons that are asked for one call. Beyond it, as at 500
-	// daemons, an outage with a thousand such calls a second would become half a million
-	// calls a second between daemons; the call's outcome is then said to be unknown.
-	mostAsked = 32
+	// maxPeers bounds the number of daemons that are asked about one call. With 500 daemons, an
+	// outage with a thousand such calls a second would cause half a million calls a second
+	// between daemons. Above the bound the call's outcome is reported as unknown.
+	maxPeers = 32
 )
 
-// Members tells of the other daemons.
+// Members reports on the other daemons.
 type Members interface {
-	// Peers are all other daemons that are listed or heard, dead ones among them.
+	// Peers returns all other daemons that are listed or known from heartbeats, including dead
+	// ones.
 	Peers() []dogwoodmember.Target
-	// Lost is when a start of another daemon was last replaced or forgotten.
+	// Lost returns when an instance of another daemon was last replaced or dropped, zero for
+	// never.
 	Lost() time.Time
 }
 
@@ -38,30 +40,33 @@
 	Call(ctx context.Context, peer netip.AddrPort, method string, args, reply any) error
 }
 
-// Options are what witnesses are made from.
+// Options configure Witnesses.
 type Options struct {
 	Members Members
 	Caller  Caller
-	// KeepFor is how long claims are kept: a daemon lost within it may have sent the call.
+	// KeepFor is how long claims are kept: a daemon that was lost less than this ago may have
+	// sent the call.
 	KeepFor time.Duration
 }
 
-// Witnesses asks the other daemons. It is safe for concurrent use.
+// Witnesses asks the other daemons about calls. It is safe for concurrent use.
 type Witnesses struct {
 	options Options
 }
 
 var _ dogwoodclaim.Witnesses = (*Witnesses)(nil)
 
-// New returns witnesses.
+// New returns Witnesses with these options.
 func New(options Options) *Witnesses {
 	return &Witnesses{options: options}
 }
 
-// Recall asks all other daemons. complete is false if one of them can't tell.
+// Recall asks all other daemons what they remember of a call. A daemon that can't be reached
+// counts as having forgotten it. Recall returns false if there are more than maxPeers daemons, or
+// if a daemon that was lost recently may have sent the call.
 func (witnesses *Witnesses) Recall(ctx context.Context, question dogwoodclaim.Question) ([]dogwoodclaim.Testimony, bool) {
 	peers := witnesses.options.Members.Peers()
-	if len(peers) > mostAsked {
+	if len(peers) > maxPeers {
 		return nil, false
 	}
 	testimonies := make([]dogwoodclaim.Testimony, len(peers))
@@ -79,7 +84,7 @@
 	return testimonies, lost.IsZero() || time.Since(lost) > witnesses.options.KeepFor
 }
 
-// Testifier answers from a daemon's own memory.
+// Testifier answers questions about calls from this daemon's own claims.
 type Testifier interface {
 	Testify(question dogwoodclaim.Question) dogwoodclaim.Testimony
 }
@@ -90,13 +95,13 @@
 	members Members
 }
 
-// NewReceiver returns what to register as Name.
+// NewReceiver returns the receiver to register as Name.
 func NewReceiver(claims Testifier, members Members) *Receiver {
 	return &Receiver{claims: claims, members: members}
 }
 
-// Recall tells what this daemon remembers. A daemon that has seen another one go says so:
-// the asking one may have started after that.
+// Recall reports what this daemon remembers of a call. It sets Forgot also if this daemon has
+// lost another one recently: the daemon that asks may have started later and not know that.
 func (receiver *Receiver) Recall(question dogwoodclaim.Question, testimony *dogwoodclaim.Testimony) error {
 	*testimony = receiver.claims.Testify(question)
 	lost := receiver.members.Lost()
