--- a/core/duty/dogwoodboard/board.go
+++ b/core/duty/dogwoodboard/board.go
@@ -1,13 +1,14 @@
-// Package dogwoodboard keeps the boards of all daemons alike: each daemon announces the
-// work that it gives out to every other, so that each places requests with a view of the
+// Package dogwoodboard replicates the work of all daemons: each daemon announces the work
+// that it places to every other daemon, so that each places requests with a view of the
 // whole pool.
 //
-// An owner that places for all would see as much, at the price of a call for each request
-// and of a time without one whenever it dies, freezes or is cut off. Announcements cost no
-// waiting, and a daemon that is lost takes only the sight of its own work with it, until
-// that work's deadlines pass. They grow with the square of the daemons that announce, so only
-// hubs do (dogwoodhubs). A leaf to which callers come asks its hub for the whole view while
-// they do, and announces its own work to that hub, which passes it on.
+// A single owner that places all requests would have the same view, but would cost a call
+// for each request and an outage whenever it dies, freezes or is cut off. Announcements add
+// no latency to a request, and the loss of a daemon hides only that daemon's work, until the
+// deadlines of that work pass. The number of announcements grows with the square of the
+// announcing daemons, so only hubs announce to each other (dogwoodhubs). While a leaf
+// receives requests it polls its hub for the whole view, and it announces its own work to
+// that hub, which forwards it to the other hubs.
 package dogwoodboard
 
 import (
@@ -25,24 +26,25 @@
 )
 
 const (
-	// Name is what the receiver is registered as with the peers' server.
+	// Name is the name under which the receiver is registered with the peers' server.
 	Name = "Board"
-	// tellEvery is how often a daemon tells whether it serves when nothing else is to be
-	// said: callers are sent to one that can't serve for this much longer.
-	tellEvery = 300 * time.Millisecond
-	// lookEvery is how often a leaf's link looks whether its daemon has become a hub.
-	lookEvery = time.Second
-	// tellWithin bounds one announcement; what it held is sent again, whole.
-	tellWithin = time.Second
-	// gather is how long news waits for more: a part of the way to another data centre.
-	gather = 300 * time.Microsecond
-	// afterFailure is the pause after an announcement that failed.
-	afterFailure = 200 * time.Millisecond
-	// expireEvery is how often work that has ended without a word is looked for.
-	expireEvery = time.Second
-	// heardWithin is how old a peer's last announcement may be for its word that it serves
-	// to count: several announcements, and the time that one may take.
-	heardWithin = 2 * time.Second
+	// announceInterval is how often a hub announces whether it serves when it has no other
+	// update. Callers may be sent to a daemon for this long after it has stopped serving.
+	announceInterval = 300 * time.Millisecond
+	// roleCheckInterval is how often a leaf's link checks whether its daemon has become a hub.
+	roleCheckInterval = time.Second
+	// announceTimeout bounds one announcement. After a failure the next one lists all work.
+	announceTimeout = time.Second
+	// batchDelay is how long an update waits for others before it is announced: a fraction
+	// of the latency to another data centre.
+	batchDelay = 300 * time.Microsecond
+	// failureBackoff is the pause after an announcement that failed.
+	failureBackoff = 200 * time.Millisecond
+	// expireInterval is how often work whose end was never announced is expired.
+	expireInterval = time.Second
+	// reportTTL is how long a peer's announcement that it serves remains valid: several
+	// announcement intervals and the duration of one announcement.
+	reportTTL = 2 * time.Second
 )
 
 // Caller calls other daemons.
@@ -56,21 +58,22 @@
 	Address  netip.AddrPort
 }
 
-// Item is work as it is announced. Moments are told as durations from now, since the
-// daemons' clocks differ.
+// Item is announced work. Times are sent as durations relative to now, since the daemons'
+// clocks differ.
 type Item struct {
 	Work dogwoodpacking.Work
 	Age  time.Duration
 	Left time.Duration
 }
 
-// Avoid is an endpoint that a daemon could not reach.
+// Avoid is an endpoint that a daemon could not reach, and for how long to avoid it.
 type Avoid struct {
 	Endpoint dogwoodfleet.EndpointID
 	For      time.Duration
 }
 
-// Pace is the pace at which an engine was last seen to write, over that of one that is well.
+// Pace is the last measured time of a decoding step of an engine, relative to that of a
+// healthy engine.
 type Pace struct {
 	Endpoint dogwoodfleet.EndpointID
 	Pace     float64
@@ -79,12 +82,12 @@
 // Batch is one announcement.
 type Batch struct {
 	From dogwoodfleet.InstanceID
-	// Whole means that Items is all the work of the daemon.
+	// Whole is true if Items lists all work of the daemon.
 	Whole bool
 	// Serves is false while the daemon can't serve callers.
 	Serves bool
-	// Leaves is how many daemons follow this one, Requests how many it gave out itself within
-	// the last second.
+	// Leaves is the number of daemons that follow this one, Requests the number of requests
+	// that it sent itself within the last second.
 	Leaves, Requests int
 	Items            []Item
 	Ended            []dogwoodpacking.WorkID
@@ -92,67 +95,68 @@
 	Paces            []Pace
 }
 
-// Options are what a duty is made from.
+// Options configure a Duty.
 type Options struct {
 	Self   dogwoodfleet.InstanceID
 	Board  *dogwoodpacking.Board
 	Caller Caller
-	// Peers lists the other hubs that are alive; for a leaf its hub.
+	// Peers lists the other hubs that are alive, or for a leaf its hub.
 	Peers func() []Peer
-	// IsLeaf tells whether this daemon is a leaf now, Leaves how many follow it; nil for a fleet
-	// that has no leaves.
+	// IsLeaf reports whether this daemon is a leaf now. Leaves returns the number of daemons
+	// that follow it. Both are nil for a fleet without leaves.
 	IsLeaf func() bool
 	Leaves func() int
-	// Expected is how many daemons there should be, this one included.
+	// Expected returns the number of daemons that should be running, this one included.
 	Expected func() int
-	// Senders are the daemons that take callers; nil for all.
+	// Senders returns the daemons that accept callers; nil if all do.
 	Senders func() dogwoodpacking.Senders
 	// Watch returns a channel that is closed when the peers change.
 	Watch func() <-chan struct{}
-	// Serves tells whether this daemon can serve callers.
+	// Serves reports whether this daemon can serve callers.
 	Serves func() bool
 	Logger hclog.Logger
 }
 
-// Duty announces this daemon's work and takes in that of others.
+// Duty announces this daemon's work and applies the announcements of others.
 type Duty struct {
 	options Options
 
-	mutex sync.Mutex
-	own   map[dogwoodpacking.WorkID]dogwoodpacking.Work
-	links map[dogwoodfleet.InstanceID]*link
-	heard map[dogwoodfleet.InstanceID]heard
-	view  leafView
+	mutex       sync.Mutex
+	own         map[dogwoodpacking.WorkID]dogwoodpacking.Work
+	links       map[dogwoodfleet.InstanceID]*link
+	peerReports map[dogwoodfleet.InstanceID]peerReport
+	view        leafView
 }
 
-type heard struct {
-	at     time.Time
-	serves bool
-	// leaves and requests are as in Batch.
+// peerReport is the state that a peer last announced.
+type peerReport struct {
+	received time.Time
+	serves   bool
+	// leaves and requests have the same meaning as in Batch.
 	leaves, requests int
 }
 
-// New returns a duty.
+// New returns a Duty that announces once Run is called.
 func New(options Options) *Duty {
 	return &Duty{
-		options: options,
-		own:     map[dogwoodpacking.WorkID]dogwoodpacking.Work{},
-		links:   map[dogwoodfleet.InstanceID]*link{},
-		heard:   map[dogwoodfleet.InstanceID]heard{},
-		view:    leafView{wanted: make(chan struct{}, 1)},
+		options:     options,
+		own:         map[dogwoodpacking.WorkID]dogwoodpacking.Work{},
+		links:       map[dogwoodfleet.InstanceID]*link{},
+		peerReports: map[dogwoodfleet.InstanceID]peerReport{},
+		view:        leafView{requested: make(chan struct{}, 1)},
 	}
 }
 
-// Run announces until the context ends.
+// Run connects to the peers and announces until the context ends.
 func (duty *Duty) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	ticker := time.NewTicker(expireEvery)
+	ticker := time.NewTicker(expireInterval)
 	defer ticker.Stop()
-	group.Go(func() error { return duty.keepView(ctx) })
+	group.Go(func() error { return duty.refreshView(ctx) })
 	for {
 		changed := duty.options.Watch()
 		peers := duty.options.Peers()
-		duty.setSeen(len(peers) + 1)
+		duty.updateVisible(len(peers) + 1)
 		if duty.options.Senders != nil {
 			duty.options.Board.SetSenders(duty.options.Senders())
 		} else {
@@ -165,12 +169,13 @@
 		case <-changed:
 		case now := <-ticker.C:
 			duty.options.Board.Expire(now)
-			duty.forget(now)
+			duty.expireReports(now)
 		}
 	}
 }
 
-// connect starts a link to each new peer and ends those of peers that are gone.
+// connect starts a link to each new peer, and ends the links to peers that are gone and
+// removes their work.
 func (duty *Duty) connect(ctx context.Context, group *errgroup.Group, peers []Peer) {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
@@ -181,10 +186,10 @@
 			continue
 		}
 		linkContext, cancel := context.WithCancel(ctx)
-		made := newLink(peer, cancel)
-		duty.links[peer.Instance] = made
+		link := newLink(peer, cancel)
+		duty.links[peer.Instance] = link
 		group.Go(func() error {
-			duty.tell(linkContext, made)
+			duty.runLink(linkContext, link)
 			return nil
 		})
 	}
@@ -194,13 +199,14 @@
 		}
 		link.cancel()
 		delete(duty.links, instance)
-		delete(duty.heard, instance)
+		delete(duty.peerReports, instance)
 		duty.options.Board.RemoveHolder(instance, nil)
 	}
 }
 
-// setSeen tells the board of how many daemons it has the work.
-func (duty *Duty) setSeen(daemons int) {
+// updateVisible sets the number of daemons whose work the board holds. For a leaf with a
+// fresh view these are all daemons.
+func (duty *Duty) updateVisible(daemons int) {
 	if duty.isLeaf() && duty.view.isFresh(time.Now()) {
 		daemons = duty.options.Expected()
 	}
@@ -211,57 +217,57 @@
 	return duty.options.IsLeaf != nil && duty.options.IsLeaf()
 }
 
-// forget drops what was heard long ago: leaves that once announced work here.
-func (duty *Duty) forget(now time.Time) {
+// expireReports drops old reports, such as those of leaves that no longer announce here.
+func (duty *Duty) expireReports(now time.Time) {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	maps.DeleteFunc(duty.heard, func(_ dogwoodfleet.InstanceID, heard heard) bool { return now.Sub(heard.at) > heardWithin })
+	maps.DeleteFunc(duty.peerReports, func(_ dogwoodfleet.InstanceID, report peerReport) bool { return now.Sub(report.received) > reportTTL })
 }
 
-// OtherLeaves is how many daemons follow the other hubs.
+// OtherLeaves returns the number of daemons that follow the other hubs.
 func (duty *Duty) OtherLeaves() int {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	leaves := 0
 	for instance := range duty.links {
-		leaves += duty.heard[instance].leaves
+		leaves += duty.peerReports[instance].leaves
 	}
 	return leaves
 }
 
-// Requests is how many requests each hub gave out within the last second. Those of leaves are
-// borne by the leaves.
+// Requests returns the number of requests that each hub sent within the last second. The
+// requests of leaves are not counted, since the leaves handle them.
 func (duty *Duty) Requests(now time.Time) map[dogwoodfleet.InstanceID]int {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	requests := map[dogwoodfleet.InstanceID]int{duty.options.Self: duty.options.Board.OwnSent(now)}
 	for instance := range duty.links {
-		requests[instance] = duty.heard[instance].requests
+		requests[instance] = duty.peerReports[instance].requests
 	}
 	return requests
 }
 
-// Place finds a place for a request and announces it.
+// Place assigns a request to an endpoint and announces the work.
 func (duty *Duty) Place(now time.Time, ask *dogwoodpacking.Ask) (dogwoodpacking.Placement, dogwoodpacking.Refusal) {
 	if duty.isLeaf() && ask.Prompt > 0 {
-		duty.view.want(now)
+		duty.view.request(now)
 	}
 	ask.Holder = duty.options.Self
 	placement, refusal := duty.options.Board.Place(now, ask)
 	if refusal == dogwoodpacking.Placed {
-		duty.note(placement.Work)
+		duty.recordWork(placement.Work)
 	}
 	return placement, refusal
 }
 
-// Writes notes the first token of a request.
+// Writes records the first token of a request and announces it.
 func (duty *Duty) Writes(id dogwoodpacking.WorkID, predicted, seen time.Duration) {
 	if work, ok := duty.options.Board.Writes(time.Now(), id, predicted, seen); ok {
-		duty.note(work)
+		duty.recordWork(work)
 	}
 }
 
-// End notes the end of a request.
+// End records the end of a request and announces it.
 func (duty *Duty) End(id dogwoodpacking.WorkID) {
 	duty.options.Board.End(id)
 	duty.mutex.Lock()
@@ -272,13 +278,14 @@
 	}
 }
 
-// Failed notes that an endpoint failed a request of this daemon.
+// Failed records that an endpoint failed a request of this daemon.
 func (duty *Duty) Failed(now time.Time, endpoint dogwoodfleet.EndpointID) {
 	duty.options.Board.Failed(now, endpoint)
 }
 
-// Paced notes a short pause between two events of an answer that an engine wrote. All daemons
-// learn of it: each alone would have to meet an engine that turns slow a few times.
+// Paced records a short pause between two events of an engine's answer. The resulting pace is
+// announced: otherwise each daemon would have to send a few requests to an engine that has
+// become slow before it detects that.
 func (duty *Duty) Paced(endpoint dogwoodfleet.EndpointID, pause time.Duration) {
 	pace := duty.options.Board.Paced(endpoint, pause)
 	if pace <= 0 {
@@ -287,39 +294,41 @@
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	for _, link := range duty.links {
-		link.paced(endpoint, pace)
+		link.setPace(endpoint, pace)
 	}
 }
 
-// Avoid keeps new work of all daemons from an endpoint that can't be reached.
-func (duty *Duty) Avoid(now time.Time, endpoint dogwoodfleet.EndpointID, how time.Duration) {
-	duty.options.Board.Avoid(now, endpoint, how)
+// Avoid makes all daemons avoid an unreachable endpoint for new work, for the duration given.
+func (duty *Duty) Avoid(now time.Time, endpoint dogwoodfleet.EndpointID, duration time.Duration) {
+	duty.options.Board.Avoid(now, endpoint, duration)
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	for _, link := range duty.links {
-		link.avoid(Avoid{Endpoint: endpoint, For: how})
+		link.avoid(Avoid{Endpoint: endpoint, For: duration})
 	}
 }
 
-// Changed returns a channel that is closed when a place may have come free.
+// Changed returns a channel that is closed when a slot may have become free.
 func (duty *Duty) Changed() <-chan struct{} {
 	return duty.options.Board.Changed()
 }
 
-// Other reports whether the service has an endpoint that the ask does not avoid.
+// Other reports whether the service has an endpoint in force that the request does not
+// ask to avoid.
 func (duty *Duty) Other(ask *dogwoodpacking.Ask) bool {
 	return duty.options.Board.Other(ask)
 }
 
-// Serves reports whether a peer said lately that it serves callers.
+// Serves reports whether a peer recently announced that it serves callers.
 func (duty *Duty) Serves(instance dogwoodfleet.InstanceID) bool {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	heard := duty.heard[instance]
-	return heard.serves && time.Since(heard.at) < heardWithin
+	report := duty.peerReports[instance]
+	return report.serves && time.Since(report.received) < reportTTL
 }
 
-func (duty *Duty) note(work dogwoodpacking.Work) {
+// recordWork stores this daemon's work and queues it for each peer.
+func (duty *Duty) recordWork(work dogwoodpacking.Work) {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	duty.own[work.ID] = work
@@ -328,8 +337,8 @@
 	}
 }
 
-// whole lists all of this daemon's work.
-func (duty *Duty) whole() []dogwoodpacking.Work {
+// ownWork lists all work of this daemon.
+func (duty *Duty) ownWork() []dogwoodpacking.Work {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
 	works := make([]dogwoodpacking.Work, 0, len(duty.own))
--- a/core/duty/dogwoodboard/board_test.go
+++ b/core/duty/dogwoodboard/board_test.go
@@ -18,25 +18,25 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// mesh carries calls between duties in one process, and can be cut.
+// mesh carries the calls between duties in one process. While it is cut, all calls fail.
 type mesh struct {
 	mutex     sync.Mutex
 	receivers map[netip.AddrPort]*Receiver
 	cut       bool
 	calls     map[netip.AddrPort]int
-	// hubOf is the hub of each daemon that is a leaf.
+	// hubOf holds the hub of each daemon that is a leaf.
 	hubOf map[int]int
-	// viewed is how often leaves asked for the view.
-	viewed int
+	// viewCalls counts the leaves' queries of the view.
+	viewCalls int
 }
 
-func (mesh *mesh) views() int {
+func (mesh *mesh) countViewCalls() int {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
-	return mesh.viewed
+	return mesh.viewCalls
 }
 
-// peersOf lists whom a daemon announces to: the other hubs, or a leaf's hub.
+// peersOf lists the daemons that a daemon announces to: the other hubs, or a leaf's hub.
 func (mesh *mesh) peersOf(index int, peers []Peer) []Peer {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -52,12 +52,12 @@
 	return others
 }
 
-// makeLeaf has daemon 2 be a leaf of hub 0, and waits until both have noticed.
+// makeLeaf turns daemon 2 into a leaf of hub 0 and waits until both have detected it.
 func (mesh *mesh) makeLeaf() {
 	mesh.mutex.Lock()
 	mesh.hubOf[2] = 0
 	mesh.mutex.Unlock()
-	time.Sleep(lookEvery + expireEvery)
+	time.Sleep(roleCheckInterval + expireInterval)
 }
 
 func (mesh *mesh) isLeaf(index int) bool {
@@ -67,7 +67,7 @@
 	return isLeaf
 }
 
-// callsTo returns how often the node was called.
+// callsTo returns the number of calls to a node.
 func (mesh *mesh) callsTo(index int) int {
 	mesh.mutex.Lock()
 	defer mesh.mutex.Unlock()
@@ -89,7 +89,7 @@
 	time.Sleep(time.Millisecond)
 	if method == Name+".View" {
 		mesh.mutex.Lock()
-		mesh.viewed++
+		mesh.viewCalls++
 		mesh.mutex.Unlock()
 		return receiver.View(args.(dogwoodfleet.InstanceID), reply.(*View))
 	}
@@ -102,15 +102,15 @@
 	mesh.cut = cut
 }
 
-// node is one daemon's board and duty.
+// node holds the board and the duty of one daemon.
 type node struct {
 	board  *dogwoodpacking.Board
 	duty   *Duty
 	serves atomic.Bool
 }
 
-// meshOf starts duties that all know each other and returns them with the mesh.
-func meshOf(ctx context.Context, group *sync.WaitGroup, count int) ([]*node, *mesh) {
+// startMesh starts duties that are all connected and returns them with the mesh.
+func startMesh(ctx context.Context, group *sync.WaitGroup, count int) ([]*node, *mesh) {
 	mesh := &mesh{
 		receivers: map[netip.AddrPort]*Receiver{}, calls: map[netip.AddrPort]int{}, hubOf: map[int]int{},
 	}
@@ -123,32 +123,33 @@
 	}
 	var nodes []*node
 	for i := range count {
-		made := &node{board: dogwoodpacking.NewBoard(peers[i].Instance)}
-		made.serves.Store(true)
-		made.board.SetEndpoints([]dogwoodpacking.Endpoint{{
+		node := &node{board: dogwoodpacking.NewBoard(peers[i].Instance)}
+		node.serves.Store(true)
+		node.board.SetEndpoints([]dogwoodpacking.Endpoint{{
 			Endpoint: dogwoodfleet.Endpoint{ID: "e", Service: "s", InForce: true}, Slots: 100,
 		}})
-		made.duty = New(Options{
-			Self: peers[i].Instance, Board: made.board, Caller: mesh,
+		node.duty = New(Options{
+			Self: peers[i].Instance, Board: node.board, Caller: mesh,
 			Peers: func() []Peer { return mesh.peersOf(i, peers) }, IsLeaf: func() bool { return mesh.isLeaf(i) },
-			Watch: func() <-chan struct{} { return nil }, Serves: made.serves.Load,
+			Watch: func() <-chan struct{} { return nil }, Serves: node.serves.Load,
 			Expected: func() int { return count }, Logger: hclog.NewNullLogger(),
 		})
-		mesh.receivers[peers[i].Address] = made.duty.Receiver()
-		nodes = append(nodes, made)
+		mesh.receivers[peers[i].Address] = node.duty.Receiver()
+		nodes = append(nodes, node)
 	}
-	for _, made := range nodes {
-		group.Go(func() { _ = made.duty.Run(ctx) })
+	for _, node := range nodes {
+		group.Go(func() { _ = node.duty.Run(ctx) })
 	}
 	return nodes, mesh
 }
 
-func story(t *testing.T, count int, body func(t *testing.T, nodes []*node, mesh *mesh)) {
+// runMesh runs a test body on a started mesh in a synctest bubble.
+func runMesh(t *testing.T, count int, body func(t *testing.T, nodes []*node, mesh *mesh)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
-		nodes, mesh := meshOf(ctx, &group, count)
+		nodes, mesh := startMesh(ctx, &group, count)
 		time.Sleep(time.Second)
 		body(t, nodes, mesh)
 		cancel()
@@ -156,7 +157,7 @@
 	})
 }
 
-// place gives work to the endpoint for some time.
+// place assigns a request without a prompt to the endpoint.
 func (node *node) place(id string) {
 	node.placePrompt(id, 0)
 }
@@ -166,8 +167,9 @@
 	node.duty.Place(now, &dogwoodpacking.Ask{ID: dogwoodpacking.WorkID(id), Service: "s", Prompt: tokens, Until: now.Add(10 * time.Second)})
 }
 
-// sees is how much work the node knows at the endpoint, by the slots that are left there.
-func (node *node) sees() int {
+// visibleWork returns how much work the node knows of at the endpoint: it counts the slots
+// that are free there.
+func (node *node) visibleWork() int {
 	now, free := time.Now(), 0
 	for ; ; free++ {
 		ask := &dogwoodpacking.Ask{ID: dogwoodpacking.WorkID(fmt.Sprintf("probe%d", free)), Service: "s", Until: now.Add(time.Second)}
@@ -178,35 +180,35 @@
 	for i := range free {
 		node.board.End(dogwoodpacking.WorkID(fmt.Sprintf("probe%d", i)))
 	}
-	const most = 150 // the slots and what an endpoint queues besides
-	return most - free
+	const capacity = 150 // the slots and the endpoint's queue
+	return capacity - free
 }
 
-// What one daemon gives out is seen by all within some milliseconds, and so is its end.
-func TestWorkIsSeenByAll(t *testing.T) {
-	story(t, 8, func(t *testing.T, nodes []*node, _ *mesh) {
+// All daemons learn of work and of its end within a few milliseconds.
+func TestWorkIsVisibleToAllDaemons(t *testing.T) {
+	runMesh(t, 8, func(t *testing.T, nodes []*node, _ *mesh) {
 		nodes[0].place("w1")
 		nodes[1].place("w2")
 		time.Sleep(5 * time.Millisecond)
 		for i, node := range nodes {
-			if got := node.sees(); got != 2 {
+			if got := node.visibleWork(); got != 2 {
 				t.Errorf("node %d: got %d requests, want 2", i, got)
 			}
 		}
 		nodes[0].duty.End("w1")
 		time.Sleep(5 * time.Millisecond)
-		if got := nodes[7].sees(); got != 1 {
+		if got := nodes[7].visibleWork(); got != 1 {
 			t.Errorf("after an end: got %d requests, want 1", got)
 		}
 	})
 }
 
-// Two daemons take callers and one is a leaf. If each request were told there too, the
-// announcements would grow with the square of the daemons. It must hear nothing and say
-// nothing, know all that runs as soon as a caller comes to it, and what it gives out must be
-// seen by all hubs.
-func TestALeafHearsNothingUntilCallersCome(t *testing.T) {
-	story(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
+// Two daemons are hubs and one is a leaf. If each request were announced to leaves too, the
+// number of announcements would grow with the square of the daemons. The leaf must receive
+// and send nothing while it is idle, learn of all running work as soon as it receives a
+// request, and announce its own work to all hubs.
+func TestLeafIsSilentUntilItReceivesRequests(t *testing.T) {
+	runMesh(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
 		mesh.makeLeaf()
 		before := mesh.callsTo(2)
 		const requests, seconds = 50, 5
@@ -220,95 +222,96 @@
 			t.Errorf("got %d announcements to a leaf, want none", got)
 		}
 		nodes[0].place("w1")
-		time.Sleep(tellEvery)
+		time.Sleep(announceInterval)
 		nodes[2].placePrompt("leaf", 1000)
 		time.Sleep(10 * time.Millisecond)
 		for i, node := range nodes {
-			if got := node.sees(); got != 2 {
-				t.Errorf("daemon %d: got %d requests, want that of the hub and that of the leaf", i, got)
+			if got := node.visibleWork(); got != 2 {
+				t.Errorf("daemon %d: got %d requests, want one of the hub and one of the leaf", i, got)
 			}
 		}
 		nodes[2].duty.End("leaf")
 		time.Sleep(10 * time.Millisecond)
 		for i, node := range nodes[:2] {
-			if got := node.sees(); got != 1 {
+			if got := node.visibleWork(); got != 1 {
 				t.Errorf("hub %d after the leaf's request has ended: got %d requests, want 1", i, got)
 			}
 		}
-		time.Sleep(viewFor + viewEvery)
+		time.Sleep(viewIdleTimeout + viewInterval)
 		before = mesh.callsTo(0)
-		time.Sleep(tellEvery / 2)
+		time.Sleep(announceInterval / 2)
 		quiet := mesh.callsTo(0) - before
-		if quiet > 1 { // the other hub tells that it serves
+		if quiet > 1 { // the other hub announces that it serves
 			t.Errorf("got %d calls to the leaf's hub after its last caller, want none of the leaf", quiet)
 		}
 	})
 }
 
-// Hubs are promoted as the callers' requests need. What callers ask of leaves, the platform's
-// own tests above all, needs no hub; counted, it had twenty leaves promoted.
-func TestRequestsOfLeavesNeedNoHubs(t *testing.T) {
-	story(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
+// The number of hubs follows the number of callers' requests. Requests to leaves, mostly the
+// platform's own tests, need no hub: when they were counted, twenty leaves were promoted.
+func TestLeafRequestsDoNotCountForHubs(t *testing.T) {
+	runMesh(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
 		mesh.makeLeaf()
 		for i := range 10 {
 			nodes[2].place(fmt.Sprint("leaf", i))
 			nodes[0].place(fmt.Sprint("hub", i))
 		}
-		time.Sleep(2 * tellEvery)
+		time.Sleep(2 * announceInterval)
 		for i, node := range nodes[:2] {
 			if got := node.duty.Requests(time.Now()); got["0"] != 10 || got["1"] != 0 || got["2"] != 0 {
 				t.Errorf("hub %d: got %v requests in the last second, want 10 of hub 0", i, got)
 			}
 		}
-		time.Sleep(time.Second + 2*tellEvery)
+		time.Sleep(time.Second + 2*announceInterval)
 		if got := nodes[1].duty.Requests(time.Now()); got["0"] != 0 {
 			t.Errorf("got %v requests a second later, want none", got)
 		}
 	})
 }
 
-// The platform tests each daemon with a plain call every second. Leaves must not ask for the view
-// of the pool for these.
-func TestPlainCallsNeedNoView(t *testing.T) {
-	story(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
+// The platform tests each daemon with a plain call every second. Leaves must not query the
+// view of the pool for these calls.
+func TestPlainCallsQueryNoView(t *testing.T) {
+	runMesh(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
 		mesh.makeLeaf()
-		before := mesh.views()
+		before := mesh.countViewCalls()
 		for i := range 5 {
 			nodes[2].place(fmt.Sprint("test", i))
 			time.Sleep(time.Second)
 		}
-		if got := mesh.views() - before; got > 0 {
-			t.Errorf("got %d questions for the view, want none", got)
+		if got := mesh.countViewCalls() - before; got > 0 {
+			t.Errorf("got %d queries of the view, want none", got)
 		}
 	})
 }
 
-// A leaf becomes a hub, and hubs must know that it serves and what it gives out.
-func TestALeafThatBecomesAHubAnnounces(t *testing.T) {
-	story(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
+// When a leaf becomes a hub, the other hubs must learn that it serves and which work it has.
+func TestLeafThatBecomesHubAnnounces(t *testing.T) {
+	runMesh(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
 		mesh.makeLeaf()
-		time.Sleep(heardWithin)
+		time.Sleep(reportTTL)
 		if nodes[1].duty.Serves("2") {
-			t.Error("got that a leaf serves callers, want that hubs do")
+			t.Error("got a leaf reported as serving callers, want only hubs")
 		}
 		mesh.mutex.Lock()
 		clear(mesh.hubOf)
 		mesh.mutex.Unlock()
-		time.Sleep(lookEvery + expireEvery)
+		time.Sleep(roleCheckInterval + expireInterval)
 		nodes[2].place("w1")
 		time.Sleep(5 * time.Millisecond)
 		for i, node := range nodes[:2] {
-			if got := node.sees(); got != 1 || !node.duty.Serves("2") {
-				t.Errorf("hub %d: got %d requests and serves %v, want 1 of a new hub that serves", i, got, node.duty.Serves("2"))
+			if got := node.visibleWork(); got != 1 || !node.duty.Serves("2") {
+				t.Errorf("hub %d: got %d requests and serves %v, want 1 request of a new hub that serves", i, got, node.duty.Serves("2"))
 			}
 		}
 	})
 }
 
-// Daemons lose each other for a while, and ends of requests are never heard. When they are
-// back each must see just what runs, or engines would look full for ever.
-func TestALostAnnouncementIsMadeUpFor(t *testing.T) {
-	story(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
+// The daemons can't reach each other for a while, and the ends of requests are not delivered.
+// After that each daemon must know exactly the work that runs, or engines would appear full
+// for ever.
+func TestLostAnnouncementIsRepaired(t *testing.T) {
+	runMesh(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
 		nodes[0].place("w1")
 		nodes[0].place("w2")
 		time.Sleep(10 * time.Millisecond)
@@ -320,38 +323,39 @@
 		mesh.setCut(false)
 		time.Sleep(time.Second)
 		for i, node := range nodes {
-			if got := node.sees(); got != 3 {
+			if got := node.visibleWork(); got != 3 {
 				t.Errorf("node %d: got %d requests, want 3", i, got)
 			}
 		}
 	})
 }
 
-// A daemon loses the store and can't serve callers; another one dies. Within two seconds
-// nobody may be sent to either.
-func TestWhoServes(t *testing.T) {
-	story(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
+// One daemon loses the store and can't serve callers, another one dies. After two seconds no
+// caller may be sent to either.
+func TestServesExcludesUnfitAndSilentPeers(t *testing.T) {
+	runMesh(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
 		if !nodes[0].duty.Serves("1") {
-			t.Error("got a peer that does not serve, want that it does")
+			t.Error("got a peer reported as not serving, want serving")
 		}
 		nodes[1].serves.Store(false)
 		time.Sleep(time.Second)
 		if nodes[0].duty.Serves("1") {
-			t.Error("got that a peer serves that says it does not")
+			t.Error("got a peer reported as serving that announced that it does not serve")
 		}
 		mesh.setCut(true)
-		time.Sleep(heardWithin + time.Second)
+		time.Sleep(reportTTL + time.Second)
 		if nodes[0].duty.Serves("2") {
-			t.Error("got that a silent peer serves")
+			t.Error("got a silent peer reported as serving")
 		}
 	})
 }
 
-// An engine turns five times slower. The one daemon that has a stream there sees it within a
-// second or two; the others sent their drafts there until each had seen it for itself.
-func TestAllLearnThatAnEngineIsSlow(t *testing.T) {
+// An engine becomes five times slower. The one daemon that has a stream there detects it
+// within a second or two. Without announced paces the others sent drafts there until each
+// had detected it separately.
+func TestAllDaemonsLearnOfSlowEngine(t *testing.T) {
 	engine := &dogwoodenginetime.Engine{Slots: 16, MemoryTokens: 400_000, Step: 2 * time.Millisecond, TokensPerSecond: 150_000, Chunk: 2048, Stride: 34}
-	story(t, 3, func(t *testing.T, nodes []*node, _ *mesh) {
+	runMesh(t, 3, func(t *testing.T, nodes []*node, _ *mesh) {
 		var endpoints []dogwoodpacking.Endpoint
 		for _, id := range []dogwoodfleet.EndpointID{"slow", "well"} {
 			endpoints = append(endpoints, dogwoodpacking.Endpoint{
@@ -368,7 +372,7 @@
 		}
 		for range 5 {
 			nodes[0].duty.Paced("slow", 5*engine.Pass(1, 0))
-			time.Sleep(2 * tellEvery)
+			time.Sleep(2 * announceInterval)
 		}
 		for i, node := range nodes {
 			ask := &dogwoodpacking.Ask{
@@ -377,7 +381,7 @@
 			}
 			placement, refusal := node.board.Place(time.Now(), ask)
 			if refusal != dogwoodpacking.Placed || placement.Endpoint.ID != "well" {
-				t.Errorf("daemon %d: got %q and refusal %q, want the engine that is well", i, placement.Endpoint.ID, refusal)
+				t.Errorf("daemon %d: got %q and refusal %q, want the healthy engine", i, placement.Endpoint.ID, refusal)
 			}
 		}
 	})
--- a/core/duty/dogwoodboard/leafview.go
+++ b/core/duty/dogwoodboard/leafview.go
@@ -10,35 +10,36 @@
 )
 
 const (
-	// viewEvery is how often a leaf to which callers come asks for the view.
-	viewEvery = 500 * time.Millisecond
-	// viewFor is how long after its last request it goes on.
-	viewFor = 3 * time.Second
-	// viewWithin bounds one question.
-	viewWithin = 500 * time.Millisecond
-	// viewFresh is the age up to which a leaf places by its view as a hub does.
-	viewFresh = 1500 * time.Millisecond
+	// viewInterval is how often a leaf that receives requests queries its hub's view.
+	viewInterval = 500 * time.Millisecond
+	// viewIdleTimeout is how long after its last request a leaf continues to query.
+	viewIdleTimeout = 3 * time.Second
+	// viewTimeout bounds one query.
+	viewTimeout = 500 * time.Millisecond
+	// maxViewAge is the age up to which a leaf's view counts as complete, like a hub's.
+	maxViewAge = 1500 * time.Millisecond
 )
 
-// leafView is a leaf's view of the pool, which it has only while prompts come to it: two
-// hundred leaves that are each told of every request would cost more than the requests. Plain
-// calls are short and go by what the leaf itself gave out: the platform's own tests are such
-// calls, come to each daemon every second, and had all leaves ask for the view all the time.
+// leafView tracks a leaf's view of the pool, which the leaf fetches only while it receives
+// prompts: sending every request to two hundred leaves would cost more than the requests.
+// Plain calls are short and need no view, so the leaf places them by the work that it
+// placed itself. The platform's tests send each daemon a plain call every second: when plain
+// calls needed a view, all leaves queried permanently.
 type leafView struct {
-	wanted chan struct{}
+	requested chan struct{}
 
-	mutex  sync.Mutex
-	used   time.Time // when a request last wanted it
-	pulled time.Time // when it was last taken in
+	mutex   sync.Mutex
+	used    time.Time // when a request last needed the view
+	fetched time.Time // when the view was last fetched
 }
 
-// want notes that a request is placed.
-func (view *leafView) want(now time.Time) {
+// request records that a request needs the view, and starts the queries.
+func (view *leafView) request(now time.Time) {
 	view.mutex.Lock()
 	view.used = now
 	view.mutex.Unlock()
 	select {
-	case view.wanted <- struct{}{}:
+	case view.requested <- struct{}{}:
 	default:
 	}
 }
@@ -46,48 +47,48 @@
 func (view *leafView) isUsed(now time.Time) bool {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
-	return now.Sub(view.used) < viewFor
+	return now.Sub(view.used) < viewIdleTimeout
 }
 
 func (view *leafView) isFresh(now time.Time) bool {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
-	return now.Sub(view.pulled) < viewFresh
+	return now.Sub(view.fetched) < maxViewAge
 }
 
-func (view *leafView) took(now time.Time) {
+func (view *leafView) setFetched(now time.Time) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
-	view.pulled = now
+	view.fetched = now
 }
 
-// keepView asks the hub for its view while requests want one, until the context ends.
-func (duty *Duty) keepView(ctx context.Context) error {
+// refreshView queries the hub's view while requests need it, until the context ends.
+func (duty *Duty) refreshView(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-duty.view.wanted:
+		case <-duty.view.requested:
 		}
 		for duty.isLeaf() && duty.view.isUsed(time.Now()) {
-			duty.pullView(ctx)
-			if !dogwoodkernel.Sleep(ctx, viewEvery) {
+			duty.fetchView(ctx)
+			if !dogwoodkernel.Sleep(ctx, viewInterval) {
 				return nil
 			}
 		}
 	}
 }
 
-func (duty *Duty) pullView(ctx context.Context) {
+func (duty *Duty) fetchView(ctx context.Context) {
 	peers := duty.options.Peers()
 	if len(peers) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, viewWithin)
+	ctx, cancel := context.WithTimeout(ctx, viewTimeout)
 	defer cancel()
 	var view View
 	if err := duty.options.Caller.Call(ctx, peers[0].Address, Name+".View", duty.options.Self, &view); err != nil {
-		duty.options.Logger.Debug("The hub did not tell its view.", "peer", peers[0].Instance, "error", err)
+		duty.options.Logger.Debug("The hub's view could not be fetched.", "peer", peers[0].Instance, "error", err)
 		return
 	}
 	now := time.Now()
@@ -95,7 +96,7 @@
 	for _, item := range view.Items {
 		works = append(works, item.work(now))
 	}
-	duty.view.took(now)
-	duty.setSeen(len(peers) + 1)
+	duty.view.setFetched(now)
+	duty.updateVisible(len(peers) + 1)
 	duty.options.Board.Replace(now, works)
 }
--- a/core/duty/dogwoodboard/link.go
+++ b/core/duty/dogwoodboard/link.go
@@ -10,8 +10,9 @@
 	"dogwoodmux.example/core/dogwoodkernel"
 )
 
-// link gathers what one peer has not been told yet. What comes while an announcement is
-// under way goes out together with the next one, so a slow peer gets fewer and larger ones.
+// link queues the updates that have not been announced to one peer yet. Updates that arrive
+// during an announcement are sent together in the next one, so a slow peer receives fewer and
+// larger announcements.
 type link struct {
 	peer   Peer
 	cancel context.CancelFunc
@@ -55,8 +56,8 @@
 	link.signal()
 }
 
-// paced waits for other news: it is worth no announcement of its own.
-func (link *link) paced(endpoint dogwoodfleet.EndpointID, pace float64) {
+// setPace queues a pace without a signal: it is sent with the next announcement.
+func (link *link) setPace(endpoint dogwoodfleet.EndpointID, pace float64) {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
 	link.paces[endpoint] = pace
@@ -69,8 +70,8 @@
 	}
 }
 
-// take empties the link into an announcement.
-func (link *link) take() (batch Batch, works []dogwoodpacking.Work) {
+// drain moves the queued updates into an announcement.
+func (link *link) drain() (batch Batch, works []dogwoodpacking.Work) {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
 	batch = Batch{Whole: link.whole, Ended: link.ended, Avoid: link.avoided}
@@ -86,27 +87,28 @@
 	return batch, works
 }
 
-// lost has the next announcement tell all: what this one held may not have come.
-func (link *link) lost() {
+// resync makes the next announcement list all work, since the updates of the failed one may
+// not have arrived.
+func (link *link) resync() {
 	link.mutex.Lock()
 	defer link.mutex.Unlock()
 	link.whole = true
 }
 
-// tell announces to one peer until the context ends.
-func (duty *Duty) tell(ctx context.Context, link *link) {
+// runLink announces to one peer until the context ends.
+func (duty *Duty) runLink(ctx context.Context, link *link) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		// A slot that is freed and taken again at once is told in one announcement.
-		if !duty.await(ctx, link, timer) || !dogwoodkernel.Sleep(ctx, gather) {
+		// The delay lets a slot that is freed and taken again be sent in one announcement.
+		if !duty.awaitDue(ctx, link, timer) || !dogwoodkernel.Sleep(ctx, batchDelay) {
 			return
 		}
-		pause := tellEvery
+		pause := announceInterval
 		if err := duty.announce(ctx, link); err != nil {
 			duty.options.Logger.Debug("An announcement failed.", "peer", link.peer.Instance, "error", err)
-			link.lost()
-			pause = afterFailure
+			link.resync()
+			pause = failureBackoff
 			if !dogwoodkernel.Sleep(ctx, pause) {
 				return
 			}
@@ -115,9 +117,9 @@
 	}
 }
 
-// await returns when it is time for an announcement, false when the context has ended. A leaf
-// announces only news.
-func (duty *Duty) await(ctx context.Context, link *link, timer *time.Timer) bool {
+// awaitDue waits until an announcement is due and returns true, or false when the context has
+// ended. A leaf announces only when it has an update.
+func (duty *Duty) awaitDue(ctx context.Context, link *link, timer *time.Timer) bool {
 	for {
 		select {
 		case <-ctx.Done():
@@ -128,17 +130,18 @@
 			if !duty.isLeaf() {
 				return true
 			}
-			timer.Reset(lookEvery)
+			timer.Reset(roleCheckInterval)
 		}
 	}
 }
 
+// announce sends the queued updates to one peer, or all work if the link has to resync.
 func (duty *Duty) announce(ctx context.Context, link *link) error {
-	ctx, cancel := context.WithTimeout(ctx, tellWithin)
+	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
-	batch, works := link.take()
+	batch, works := link.drain()
 	if batch.Whole {
-		works = duty.whole()
+		works = duty.ownWork()
 	}
 	batch.From, batch.Serves = duty.options.Self, duty.options.Serves()
 	if duty.options.Leaves != nil {
@@ -147,7 +150,7 @@
 	now := time.Now()
 	batch.Requests = duty.options.Board.OwnSent(now)
 	for _, work := range works {
-		batch.Items = append(batch.Items, itemOf(work, now))
+		batch.Items = append(batch.Items, newItem(work, now))
 	}
 	var reply bool
 	return duty.options.Caller.Call(ctx, link.peer.Address, Name+".Tell", batch, &reply)
--- a/core/duty/dogwoodboard/news_test.go
+++ b/core/duty/dogwoodboard/news_test.go
@@ -9,15 +9,15 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Guards against news between daemons that are lost for good with one call that failed.
+// A single failed call between daemons must not lose an update permanently.
 func TestLostNewsAreToldAgain(t *testing.T) {
-	t.Run("the end of a leaf's request", theEndOfALeafsRequest)
-	t.Run("a leaf's news that a hub passes on", newsThatAHubPassesOn)
-	t.Run("an endpoint to avoid", anEndpointToAvoid)
+	t.Run("the end of a leaf's request", checkEndOfLeafRequest)
+	t.Run("a leaf's update that a hub forwards", checkForwardedUpdate)
+	t.Run("an endpoint to avoid", checkEndpointToAvoid)
 }
 
-func theEndOfALeafsRequest(t *testing.T) {
-	story(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
+func checkEndOfLeafRequest(t *testing.T) {
+	runMesh(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
 		mesh.makeLeaf()
 		nodes[2].place("leaf")
 		time.Sleep(10 * time.Millisecond)
@@ -26,14 +26,14 @@
 		time.Sleep(200 * time.Millisecond)
 		mesh.setCut(false)
 		time.Sleep(3 * time.Second)
-		if got := nodes[0].sees(); got != 0 {
+		if got := nodes[0].visibleWork(); got != 0 {
 			t.Errorf("got %d requests at the hub, want none", got)
 		}
 	})
 }
 
-func newsThatAHubPassesOn(t *testing.T) {
-	story(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
+func checkForwardedUpdate(t *testing.T) {
+	runMesh(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
 		mesh.makeLeaf()
 		nodes[2].place("before")
 		time.Sleep(10 * time.Millisecond)
@@ -45,19 +45,19 @@
 		mesh.setCut(false)
 		time.Sleep(3 * time.Second)
 		for i, node := range nodes[:2] {
-			if got := node.sees(); got != 1 {
+			if got := node.visibleWork(); got != 1 {
 				t.Errorf("hub %d: got %d requests, want 1", i, got)
 			}
 		}
 		if got := nodes[1].board.Works("x"); len(got) != 1 || got[0].ID != "leaf" {
-			t.Errorf("got %v at the other hub, want the second", got)
+			t.Errorf("got %v at the other hub, want only the leaf's second request", got)
 		}
 	})
 }
 
-func anEndpointToAvoid(t *testing.T) {
+func checkEndpointToAvoid(t *testing.T) {
 	for _, cut := range []bool{false, true} {
-		story(t, 2, func(t *testing.T, nodes []*node, mesh *mesh) {
+		runMesh(t, 2, func(t *testing.T, nodes []*node, mesh *mesh) {
 			var endpoints []dogwoodpacking.Endpoint
 			for _, id := range []dogwoodfleet.EndpointID{"e", "f"} {
 				endpoints = append(endpoints, dogwoodpacking.Endpoint{Endpoint: dogwoodfleet.Endpoint{ID: id, Service: "s", InForce: true}, Slots: 100})
@@ -71,13 +71,13 @@
 			mesh.setCut(false)
 			time.Sleep(time.Second)
 			for i, node := range nodes {
-				at := map[dogwoodfleet.EndpointID]int{}
+				placedAt := map[dogwoodfleet.EndpointID]int{}
 				for number := range 10 {
 					ask := &dogwoodpacking.Ask{ID: dogwoodpacking.WorkID(fmt.Sprint(i, number)), Service: "s", Until: time.Now().Add(time.Second)}
 					placement, _ := node.board.Place(time.Now(), ask)
-					at[placement.Endpoint.ID]++
+					placedAt[placement.Endpoint.ID]++
 				}
-				if got := at["e"]; got != 0 {
+				if got := placedAt["e"]; got != 0 {
 					t.Errorf("cut %t, daemon %d: got %d of 10 requests placed at the endpoint to avoid, want none", cut, i, got)
 				}
 			}
--- a/core/duty/dogwoodboard/receiver.go
+++ b/core/duty/dogwoodboard/receiver.go
@@ -7,32 +7,32 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Receiver returns what other daemons call, to be registered as Name.
+// Receiver returns the RPC receiver that other daemons call; register it as Name.
 func (duty *Duty) Receiver() *Receiver {
 	return &Receiver{duty: duty}
 }
 
-// Receiver takes announcements.
+// Receiver handles the calls of other daemons.
 type Receiver struct {
 	duty *Duty
 }
 
-// Tell takes in an announcement.
+// Tell applies an announcement of another daemon.
 func (receiver *Receiver) Tell(batch Batch, reply *bool) error {
 	duty, now := receiver.duty, time.Now()
 	works := make([]dogwoodpacking.Work, 0, len(batch.Items))
-	kept := make(map[dogwoodpacking.WorkID]bool, len(batch.Items))
+	listed := make(map[dogwoodpacking.WorkID]bool, len(batch.Items))
 	for _, item := range batch.Items {
 		works = append(works, item.work(now))
-		kept[item.Work.ID] = true
+		listed[item.Work.ID] = true
 	}
-	duty.hear(now, &batch, works)
+	duty.recordReport(now, &batch, works)
 	board := duty.options.Board
 	for _, work := range works {
 		board.Put(now, work)
 	}
 	if batch.Whole {
-		board.RemoveHolder(batch.From, kept)
+		board.RemoveHolder(batch.From, listed)
 	}
 	for _, id := range batch.Ended {
 		board.Remove(id)
@@ -47,23 +47,24 @@
 	return nil
 }
 
-// work returns the item's work with its moments on this daemon's clock.
+// work returns the item's work with its times converted to this daemon's clock.
 func (item *Item) work(now time.Time) dogwoodpacking.Work {
 	work := item.Work
 	work.Begun, work.Until = now.Add(-item.Age), now.Add(item.Left)
 	return work
 }
 
-func itemOf(work dogwoodpacking.Work, now time.Time) Item {
+func newItem(work dogwoodpacking.Work, now time.Time) Item {
 	return Item{Work: work, Age: now.Sub(work.Begun), Left: work.Until.Sub(now)}
 }
 
-// hear notes who announced. A leaf's news are passed on to the other hubs: it tells this one
-// alone, and they would take the places that it took for free.
-func (duty *Duty) hear(now time.Time, batch *Batch, works []dogwoodpacking.Work) {
+// recordReport records a peer's announced state. A hub forwards the updates of a leaf to the
+// other hubs: the leaf announces to this hub only, and the others would consider the slots
+// free that the leaf has taken.
+func (duty *Duty) recordReport(now time.Time, batch *Batch, works []dogwoodpacking.Work) {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	duty.heard[batch.From] = heard{at: now, serves: batch.Serves, leaves: batch.Leaves, requests: batch.Requests}
+	duty.peerReports[batch.From] = peerReport{received: now, serves: batch.Serves, leaves: batch.Leaves, requests: batch.Requests}
 	if duty.links[batch.From] != nil || duty.isLeaf() {
 		return
 	}
@@ -78,21 +79,21 @@
 			link.avoid(avoid)
 		}
 		for _, pace := range batch.Paces {
-			link.paced(pace.Endpoint, pace.Pace)
+			link.setPace(pace.Endpoint, pace.Pace)
 		}
 	}
 }
 
-// View is what a daemon knows of the pool's work.
+// View lists the work in the pool that a daemon knows of.
 type View struct {
 	Items []Item
 }
 
-// View answers a leaf with the work of all daemons but its own.
-func (receiver *Receiver) View(asker dogwoodfleet.InstanceID, view *View) error {
+// View returns to a leaf the work of all other daemons.
+func (receiver *Receiver) View(leaf dogwoodfleet.InstanceID, view *View) error {
 	now := time.Now()
-	for _, work := range receiver.duty.options.Board.Works(asker) {
-		view.Items = append(view.Items, itemOf(work, now))
+	for _, work := range receiver.duty.options.Board.Works(leaf) {
+		view.Items = append(view.Items, newItem(work, now))
 	}
 	return nil
 }
--- a/core/duty/dogwoodchanges/changes.go
+++ b/core/duty/dogwoodchanges/changes.go
@@ -1,10 +1,10 @@
-// Package dogwoodchanges is the duty that brings the change log to every daemon: the one
-// that accepts a change pushes it to all, each asks another at random for news, and all
-// read the store at a low rate, so that a push that failed is made good twice over.
+// Package dogwoodchanges distributes the change log to every daemon: the daemon that accepts
+// a change pushes it to all others, each daemon exchanges updates with a random peer, and all
+// read the store at a low rate. So two mechanisms repair a push that failed.
 //
-// Load pattern: 26,000 changes a day at the size we design for, 0.3 a second, to be in
-// force everywhere within 3 s. Without the exchange between peers, that would take 500
-// daemons that read the store twice a second, half of all the reads that it bears.
+// Load pattern: the design load is 26,000 changes a day, or 0.3 a second, each to be in force
+// everywhere within 3 s. Without the exchange between peers, 500 daemons would have to read
+// the store twice a second, which is half of all the reads that the store can handle.
 package dogwoodchanges
 
 import (
@@ -29,30 +29,33 @@
 var Error = errs.Class("changes")
 
 const (
-	// Name is what the receiver is registered as with the peers' server.
+	// Name is the name under which the receiver is registered with the peers' server.
 	Name = "Change"
-	// pushWithin bounds one push. A peer that misses both tries has the exchange.
-	pushWithin = 500 * time.Millisecond
-	// pushTries is how often a push is tried. Where one call in five is lost, the exchange
-	// alone left a daemon behind for over 3 s in one fleet of some thousands.
+	// pushTimeout bounds one push. A peer that misses all tries receives the change through
+	// the exchange.
+	pushTimeout = 500 * time.Millisecond
+	// pushTries is the number of tries of a push. Where one call in five was lost, the exchange
+	// alone left a daemon behind for over 3 s in one of several thousand fleets.
 	pushTries = 2
-	// pushesAtOnce bounds the pushes in flight: those to 500 daemons take ten rounds.
-	pushesAtOnce = 50
-	// exchangeEvery is how often a daemon exchanges news with another at random. News doubles
-	// with each round, so that 8 daemons have it in three rounds if the pusher died, and the
-	// cost is two small calls a second whatever the number of daemons.
-	exchangeEvery = 500 * time.Millisecond
-	exchangeIn    = 500 * time.Millisecond
-	// pollEvery is how often the store is read: 50 reads a second for 500 daemons.
-	pollEvery = 10 * time.Second
-	// keepEvery is how often provisional take-outs are tried to be kept. The store's breaker
-	// makes a try during an outage cost nothing.
-	keepEvery = 2 * time.Second
-	// startEvery is the wait between tries to learn the log at the start.
-	startEvery = 200 * time.Millisecond
-	// startTries is how often a daemon that knows of no other looks for one at the start.
-	startTries = 5
-	callWithin = 2 * time.Second
+	// maxConcurrentCalls bounds the calls to peers in flight: a push to 500 daemons takes ten
+	// rounds.
+	maxConcurrentCalls = 50
+	// exchangeInterval is how often a daemon exchanges updates with a random peer. The number of
+	// daemons that have an update doubles with each round, so 8 daemons have it after three
+	// rounds if the pusher died. The cost is two small calls a second, whatever the number of
+	// daemons.
+	exchangeInterval = 500 * time.Millisecond
+	exchangeTimeout  = 500 * time.Millisecond
+	// pollInterval is how often the store is read: 50 reads a second for 500 daemons.
+	pollInterval = 10 * time.Second
+	// keepInterval is how often a daemon tries to write provisional take-outs to the log. During
+	// an outage the store's breaker makes such a try cost nothing.
+	keepInterval = 2 * time.Second
+	// startRetryInterval is the wait between tries to load the log at the start.
+	startRetryInterval = 200 * time.Millisecond
+	// peerLookupTries is how often a daemon without known peers checks for one at the start.
+	peerLookupTries = 5
+	callTimeout     = 2 * time.Second
 )
 
 // Caller calls other daemons.
@@ -60,16 +63,16 @@
 	Call(ctx context.Context, peer netip.AddrPort, method string, args, reply any) error
 }
 
-// Members tells of the other daemons.
+// Members lists the daemons and receives the view in force.
 type Members interface {
 	Self() dogwoodmember.Member
 	Alive() []dogwoodmember.Member
-	// Peers are all other daemons that are listed or heard, in every region.
+	// Peers returns all other daemons in every region that are listed or that send heartbeats.
 	Peers() []dogwoodmember.Target
 	SetView(view dogwoodchange.View)
 }
 
-// Options configure the duty.
+// Options configure a Duty.
 type Options struct {
 	Log     *dogwoodchange.Log
 	Members Members
@@ -78,48 +81,49 @@
 	Logger hclog.Logger
 }
 
-// Duty spreads the log while Run runs.
+// Duty distributes the log while Run runs.
 type Duty struct {
-	options Options
-	ready   chan struct{}
-	once    sync.Once
-	told    told
+	options     Options
+	ready       chan struct{}
+	once        sync.Once
+	replication replication
 }
 
-// New returns the duty.
+// New returns a Duty.
 func New(options Options) *Duty {
 	if options.Logger == nil {
 		options.Logger = hclog.NewNullLogger()
 	}
-	return &Duty{options: options, ready: make(chan struct{}), told: newTold()}
+	return &Duty{options: options, ready: make(chan struct{}), replication: newReplication()}
 }
 
-// Ready is closed once this daemon has the highest state of the store and its peers; it
-// must not serve before, or it might admit by a text that was replaced long ago.
+// Ready returns a channel that is closed once this daemon has the latest state of the store and
+// its peers. The daemon must not serve before that, or it might admit requests by an operators'
+// text that was replaced long ago.
 func (duty *Duty) Ready() <-chan struct{} {
 	return duty.ready
 }
 
-// Run learns the log, then spreads and repairs it until the context ends.
+// Run loads the log, then distributes and repairs it until the context ends.
 func (duty *Duty) Run(ctx context.Context) error {
 	var group errgroup.Group
-	group.Go(func() error { return duty.follow(ctx) })
-	group.Go(func() error { return duty.push(ctx) })
+	group.Go(func() error { return duty.publishViews(ctx) })
+	group.Go(func() error { return duty.pushAccepted(ctx) })
 	group.Go(func() error {
-		if duty.start(ctx) != nil {
+		if duty.loadLog(ctx) != nil {
 			return nil
 		}
 		var repairs errgroup.Group
-		repairs.Go(func() error { return every(ctx, exchangeEvery, duty.exchangeWithOne) })
-		repairs.Go(func() error { return every(ctx, pollEvery, duty.poll) })
-		repairs.Go(func() error { return every(ctx, keepEvery, duty.keep) })
+		repairs.Go(func() error { return runPeriodically(ctx, exchangeInterval, duty.exchangeWithRandom) })
+		repairs.Go(func() error { return runPeriodically(ctx, pollInterval, duty.poll) })
+		repairs.Go(func() error { return runPeriodically(ctx, keepInterval, duty.keepProvisional) })
 		return repairs.Wait()
 	})
 	return group.Wait()
 }
 
-// follow gives each new view to the members, which derive the endpoints from it.
-func (duty *Duty) follow(ctx context.Context) error {
+// publishViews passes each new view to the members, which derive the endpoints from it.
+func (duty *Duty) publishViews(ctx context.Context) error {
 	for {
 		changed := duty.options.Log.Watch()
 		duty.options.Members.SetView(duty.options.Log.Current())
@@ -131,16 +135,16 @@
 	}
 }
 
-// start tries until the log is learnt from the store, or, while that is down, from a peer
-// that is ready itself.
-func (duty *Duty) start(ctx context.Context) error {
-	for range startTries {
-		// The list of daemons may not have been read yet. The store alone may give an old
-		// state that peers know better than.
+// loadLog retries until it has loaded the log from the store or, while the store is down, from
+// a ready peer.
+func (duty *Duty) loadLog(ctx context.Context) error {
+	for range peerLookupTries {
+		// The list of daemons may not have been read yet, and the store alone may return an
+		// older state than the peers have.
 		if len(duty.options.Members.Peers()) > 0 {
 			break
 		}
-		if err := sleep(ctx, startEvery); err != nil {
+		if err := sleep(ctx, startRetryInterval); err != nil {
 			return err
 		}
 	}
@@ -149,45 +153,45 @@
 		fromPeer := duty.exchangeWithAll(ctx)
 		if fromStore || fromPeer {
 			duty.once.Do(func() { close(duty.ready) })
-			duty.options.Logger.Info("Log is learnt.",
+			duty.options.Logger.Info("The log is loaded.",
 				"version", duty.options.Log.Current().Version, "store", fromStore, "peer", fromPeer)
 			return nil
 		}
-		if err := sleep(ctx, jittered(startEvery)); err != nil {
+		if err := sleep(ctx, jittered(startRetryInterval)); err != nil {
 			return err
 		}
 	}
 }
 
 func (duty *Duty) catchUp(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return Error.Wrap(duty.options.Log.CatchUp(ctx))
 }
 
-// exchangeWithAll reports whether a peer that is ready has told its state.
+// exchangeWithAll exchanges updates with all peers and reports whether a ready one answered.
 func (duty *Duty) exchangeWithAll(ctx context.Context) bool {
 	var mutex sync.Mutex
-	heard := false
+	readyAnswered := false
 	var group errgroup.Group
-	group.SetLimit(pushesAtOnce)
+	group.SetLimit(maxConcurrentCalls)
 	for _, peer := range duty.options.Members.Peers() {
 		group.Go(func() error {
 			if ready, err := duty.exchange(ctx, peer.Peer); err == nil && ready {
 				mutex.Lock()
 				defer mutex.Unlock()
-				heard = true
+				readyAnswered = true
 			}
 			return nil
 		})
 	}
 	_ = group.Wait()
-	return heard
+	return readyAnswered
 }
 
-// exchangeWithOne asks a living daemon at random for its news and gives it ours.
-func (duty *Duty) exchangeWithOne(ctx context.Context) {
-	others := duty.living()
+// exchangeWithRandom exchanges updates with a random daemon that is alive.
+func (duty *Duty) exchangeWithRandom(ctx context.Context) {
+	others := duty.aliveOthers()
 	if len(others) == 0 {
 		return
 	}
@@ -197,18 +201,19 @@
 	}
 }
 
-// exchange is one call when both have the same state and two when the peer is behind.
+// exchange merges a peer's update and reports whether the peer is ready. A peer that is behind
+// is sent what it lacks in a second call.
 func (duty *Duty) exchange(ctx context.Context, peer netip.AddrPort) (ready bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, exchangeIn)
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	mine := duty.options.Log.Current()
-	ask := Ask{Version: mine.Version, Provisional: len(mine.Provisional)}
+	current := duty.options.Log.Current()
+	ask := Ask{Version: current.Version, Provisional: len(current.Provisional)}
 	var told Told
 	if err := duty.options.Caller.Call(ctx, peer, Name+".Exchange", ask, &told); err != nil {
 		return false, Error.Wrap(err)
 	}
 	duty.options.Log.Merge(told.News)
-	if told.News.Version < mine.Version || len(told.News.Provisional) < len(mine.Provisional) {
+	if told.News.Version < current.Version || len(told.News.Provisional) < len(current.Provisional) {
 		news := duty.options.Log.Since(told.News.Version)
 		var version uint64
 		if err := duty.options.Caller.Call(ctx, peer, Name+".Push", news, &version); err != nil {
@@ -218,8 +223,8 @@
 	return told.Ready, nil
 }
 
-// push tells all other daemons of what this one accepted.
-func (duty *Duty) push(ctx context.Context) error {
+// pushAccepted pushes the changes that this daemon accepts to all others until the context ends.
+func (duty *Duty) pushAccepted(ctx context.Context) error {
 	pushed := duty.options.Log.Current().Version
 	for {
 		select {
@@ -230,12 +235,12 @@
 		news := duty.options.Log.Since(pushed)
 		pushed = news.Version
 		var group errgroup.Group
-		group.SetLimit(pushesAtOnce)
+		group.SetLimit(maxConcurrentCalls)
 		for _, peer := range duty.options.Members.Peers() {
 			group.Go(func() error {
 				for range pushTries {
 					if duty.pushTo(ctx, peer, news) {
-						duty.told.note(news)
+						duty.replication.record(news)
 						break
 					}
 				}
@@ -246,10 +251,10 @@
 	}
 }
 
-// pushTo pushes once and reports whether the peer has the news. A peer that lacks what came
-// before leaves the news aside and says where it stands; it is sent the rest.
+// pushTo pushes an update and reports whether the peer has it. A peer that lacks earlier changes
+// returns a lower version than that of the update, and is then sent all changes after its own.
 func (duty *Duty) pushTo(ctx context.Context, peer dogwoodmember.Target, news dogwoodchange.News) bool {
-	ctx, cancel := context.WithTimeout(ctx, pushWithin)
+	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
 	var version uint64
 	err := duty.options.Caller.Call(ctx, peer.Peer, Name+".Push", news, &version)
@@ -263,23 +268,23 @@
 }
 
 func (duty *Duty) poll(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := duty.options.Log.Poll(ctx); err != nil {
 		duty.options.Logger.Debug("Store not read.", "error", err)
 	}
 }
 
-func (duty *Duty) keep(ctx context.Context) {
+func (duty *Duty) keepProvisional(ctx context.Context) {
 	if len(duty.options.Log.Current().Provisional) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	duty.options.Log.KeepProvisional(ctx)
 }
 
-func (duty *Duty) living() []dogwoodmember.Member {
+func (duty *Duty) aliveOthers() []dogwoodmember.Member {
 	self := duty.options.Members.Self().VM
 	return slices.DeleteFunc(slices.Clone(duty.options.Members.Alive()), func(member dogwoodmember.Member) bool {
 		return member.VM == self
@@ -299,18 +304,19 @@
 	Leaving bool
 	// Behind is true if another daemon has a higher version in force.
 	Behind bool
-	// Problem says why the daemon could not be asked; its other fields are then empty.
+	// Problem is the error if the daemon could not be queried; all other fields but VM are then
+	// empty.
 	Problem string `json:",omitempty"`
 }
 
-// Statuses asks every daemon for what it has in force, in the order of their VMs' names.
+// Statuses queries every daemon for its status and returns them sorted by the VMs' names.
 func (duty *Duty) Statuses(ctx context.Context) []Status {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	statuses := []Status{duty.status()}
 	var mutex sync.Mutex
 	var group errgroup.Group
-	group.SetLimit(pushesAtOnce)
+	group.SetLimit(maxConcurrentCalls)
 	for _, peer := range duty.options.Members.Peers() {
 		group.Go(func() error {
 			status := Status{VM: peer.VM}
@@ -352,7 +358,7 @@
 	}
 }
 
-func every(ctx context.Context, period time.Duration, step func(ctx context.Context)) error {
+func runPeriodically(ctx context.Context, period time.Duration, step func(ctx context.Context)) error {
 	for sleep(ctx, jittered(period)) == nil {
 		step(ctx)
 	}
@@ -370,8 +376,9 @@
 	}
 }
 
-// jittered spreads a period by a tenth both ways, so that daemons do not act in step.
+// jittered varies a period randomly by up to a tenth in both directions, so that daemons do not
+// act in lockstep.
 func jittered(period time.Duration) time.Duration {
-	const share = 10
-	return period - period/share + rand.N(2*period/share)
+	const divisor = 10
+	return period - period/divisor + rand.N(2*period/divisor)
 }
--- a/core/duty/dogwoodchanges/receiver.go
+++ b/core/duty/dogwoodchanges/receiver.go
@@ -4,7 +4,7 @@
 	"dogwoodmux.example/core/state/dogwoodchange"
 )
 
-// Ask is how far the asking daemon is.
+// Ask is the query of an exchange: it holds the state of the daemon that sends it.
 type Ask struct {
 	Version     uint64
 	Provisional int
@@ -13,28 +13,28 @@
 // Told is the answer to Ask.
 type Told struct {
 	News dogwoodchange.News
-	// Ready is true if the answering daemon has learnt the log itself.
+	// Ready is true if the answering daemon has loaded the log itself.
 	Ready bool
 }
 
-// Receiver answers other daemons.
+// Receiver handles the calls of other daemons.
 type Receiver struct {
 	duty *Duty
 }
 
-// Receiver returns what other daemons call, to be registered as Name.
+// Receiver returns the RPC receiver that other daemons call; register it as Name.
 func (duty *Duty) Receiver() *Receiver {
 	return &Receiver{duty: duty}
 }
 
-// Push takes in news and answers the version that is in force after it.
+// Push merges an update and returns the version that is in force after that.
 func (receiver *Receiver) Push(news dogwoodchange.News, version *uint64) error {
 	receiver.duty.options.Log.Merge(news)
 	*version = receiver.duty.options.Log.Current().Version
 	return nil
 }
 
-// Exchange tells what the asking daemon lacks.
+// Exchange returns the changes that the asking daemon lacks.
 func (receiver *Receiver) Exchange(ask Ask, told *Told) error {
 	told.News = receiver.duty.options.Log.Since(ask.Version)
 	select {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// Status tells what is in force here.
+// Status returns what this daemon has in force.
 func (receiver *Receiver) Status(_ bool, status *Status) error {
 	*status = receiver.duty.status()
 	return nil
--- a/core/duty/dogwoodquotas/benchmark_test.go
+++ b/core/duty/dogwoodquotas/benchmark_test.go
@@ -12,7 +12,7 @@
 	"dogwoodmux.example/core/duty/dogwoodquotas"
 )
 
-// counter counts what a connection would carry.
+// counter counts the bytes that a connection would carry.
 type counter int
 
 func (written *counter) Write(data []byte) (int, error) {
@@ -20,9 +20,9 @@
 	return len(data), nil
 }
 
-// BenchmarkMessageBytes gives the bytes of each message between daemons, as net/rpc's
-// codec writes them on a connection that has carried one before. The call's own header,
-// TCP and IP come on top.
+// BenchmarkMessageBytes reports the size of each message between daemons, as net/rpc's codec
+// writes it on a connection that has carried a message of its type before. The call's header,
+// TCP and IP are not included.
 func BenchmarkMessageBytes(b *testing.B) {
 	request := dogwoodfleet.Request{
 		ID: "laurentide-12-8842", Customer: "congregation-17", Service: "redacteur", Model: "clerk-7b", PromptTokens: 1200, MaxTokens: 256,
--- a/core/duty/dogwoodquotas/quotas.go
+++ b/core/duty/dogwoodquotas/quotas.go
@@ -1,6 +1,6 @@
-// Package dogwoodquotas joins the entries' meters with the customers' homes: it sends what
-// is due, answers for the customers whose home this daemon is, and refuses requests over
-// their customer's limit before they ask for a slot.
+// Package dogwoodquotas connects the meters of the entry daemons with the customers' homes: it
+// sends the due reports, grants shares to the customers whose home this daemon is, and rejects
+// requests over their customer's limit before they ask for a slot.
 package dogwoodquotas
 
 import (
@@ -25,16 +25,16 @@
 var Error = errs.Class("quotas")
 
 const (
-	// scanEvery is how often the meter is asked what is due: half the shortest time between
-	// two reports.
-	scanEvery = 250 * time.Millisecond
-	// reportTime bounds a report; shares outlive a lost one.
-	reportTime = time.Second
-	// forgetEvery is how often customers without traffic are dropped, and the shares of
-	// daemons that are gone.
-	forgetEvery = 5 * time.Second
-	// reportsAtOnce bounds the calls of one scan.
-	reportsAtOnce = 32
+	// scanInterval is how often the meter is checked for due reports: half the shortest time
+	// between two reports.
+	scanInterval = 250 * time.Millisecond
+	// reportTimeout bounds one report. Shares remain valid if a report is lost.
+	reportTimeout = time.Second
+	// cleanUpInterval is how often customers without traffic are dropped, and the shares of
+	// daemons that are gone revoked.
+	cleanUpInterval = 5 * time.Second
+	// maxConcurrentReports bounds the calls of one scan in flight.
+	maxConcurrentReports = 32
 )
 
 // Member is a daemon that may be a customer's home.
@@ -48,14 +48,14 @@
 	Call(ctx context.Context, peer netip.AddrPort, method string, args, reply any) error
 }
 
-// Slots is what gives requests their place at an endpoint.
+// Slots grants requests their slots at endpoints.
 type Slots interface {
 	Acquire(ctx context.Context, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error)
 	ToldCold(ctx context.Context, endpoint dogwoodfleet.Endpoint, instance dogwoodfleet.InstanceID)
 	Release(ctx context.Context, grant dogwoodowner.Grant, release dogwoodowner.Release)
 }
 
-// Options are what Quotas is made from.
+// Options configure Quotas.
 type Options struct {
 	Self   dogwoodfleet.InstanceID
 	Text   func() *dogwoodsettings.Text
@@ -64,7 +64,7 @@
 	Logger hclog.Logger
 }
 
-// Quotas keeps the customers' limits at this daemon. It is safe for concurrent use.
+// Quotas enforces the customers' limits at this daemon. It is safe for concurrent use.
 type Quotas struct {
 	options Options
 
@@ -76,14 +76,15 @@
 	daemons int
 }
 
-// New returns quotas without any share yet.
+// New returns Quotas without any shares yet.
 func New(options Options) *Quotas {
 	quotas := &Quotas{options: options, home: dogwoodquota.NewHome(), daemons: 1}
 	quotas.meter = dogwoodquota.NewMeter(quotas.limitLocked)
 	return quotas
 }
 
-// limitLocked reads the text in force; the limits are worked out once for each text.
+// limitLocked returns a customer's limit in the operators' text in force. The limits are computed
+// once for each text. The caller holds the mutex.
 func (quotas *Quotas) limitLocked(customer dogwoodfleet.Customer) dogwoodquota.Rate {
 	if text := quotas.options.Text(); text != quotas.text {
 		quotas.text = text
@@ -96,7 +97,7 @@
 	return quotas.limits[customer]
 }
 
-// Admit lets a request in, or refuses it as not run.
+// Admit returns nil if it admits a request, else a refusal that marks the request as not run.
 func (quotas *Quotas) Admit(request *dogwoodfleet.Request) *dogwoodowner.Refusal {
 	quotas.mutex.Lock()
 	defer quotas.mutex.Unlock()
@@ -109,7 +110,7 @@
 	}
 }
 
-// Limited wraps slots so that first tries over their customer's limit are refused.
+// Limited wraps slots so that first tries over their customer's limit are rejected.
 func (quotas *Quotas) Limited(slots Slots) Slots {
 	return &limited{Slots: slots, quotas: quotas}
 }
@@ -119,7 +120,7 @@
 	quotas *Quotas
 }
 
-// Acquire refuses what is over the limit, else asks for a slot.
+// Acquire rejects a first try over the limit, else asks for a slot.
 func (limited *limited) Acquire(ctx context.Context, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error) {
 	if ask.Try <= 1 {
 		if refusal := limited.quotas.Admit(&ask.Request); refusal != nil {
@@ -129,27 +130,27 @@
 	return limited.Slots.Acquire(ctx, ask)
 }
 
-// Keep sends the reports that are due until the context ends.
+// Keep sends the due reports and cleans up until the context ends.
 func (quotas *Quotas) Keep(ctx context.Context) error {
-	ticker := time.NewTicker(scanEvery)
+	ticker := time.NewTicker(scanInterval)
 	defer ticker.Stop()
-	forgotten := time.Now()
+	cleanedUp := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			quotas.send(ctx, now)
-			if now.Sub(forgotten) >= forgetEvery {
-				forgotten = now
-				quotas.forget(now)
+			quotas.sendDue(ctx, now)
+			if now.Sub(cleanedUp) >= cleanUpInterval {
+				cleanedUp = now
+				quotas.cleanUp(now)
 			}
 		}
 	}
 }
 
-// forget drops what lapsed and what daemons hold that are gone.
-func (quotas *Quotas) forget(now time.Time) {
+// cleanUp revokes the shares of daemons that are gone and drops customers without traffic.
+func (quotas *Quotas) cleanUp(now time.Time) {
 	alive := quotas.options.Alive()
 	quotas.mutex.Lock()
 	defer quotas.mutex.Unlock()
@@ -159,8 +160,8 @@
 	quotas.home.Forget(now)
 }
 
-// send groups the due reports by home and takes the answers.
-func (quotas *Quotas) send(ctx context.Context, now time.Time) {
+// sendDue sends the due reports, grouped by home.
+func (quotas *Quotas) sendDue(ctx context.Context, now time.Time) {
 	alive := quotas.options.Alive()
 	quotas.mutex.Lock()
 	quotas.daemons = max(len(alive), 1)
@@ -179,23 +180,24 @@
 		byHome[home] = append(byHome[home], report)
 	}
 	var group errgroup.Group
-	group.SetLimit(reportsAtOnce)
+	group.SetLimit(maxConcurrentReports)
 	for home, reports := range byHome {
 		group.Go(func() error {
 			quotas.report(ctx, alive[home], reports)
 			return nil
 		})
 	}
-	_ = group.Wait() // what was not answered is reported again
+	_ = group.Wait() // unanswered reports become due again
 }
 
+// report sends reports to a home and applies the shares that it returns.
 func (quotas *Quotas) report(ctx context.Context, home Member, reports []dogwoodquota.Report) {
 	args := ReportArgs{Entry: quotas.options.Self, Reports: reports}
 	var reply ReportReply
 	if home.Instance == quotas.options.Self {
-		reply.Shares = quotas.grant(&args)
+		reply.Shares = quotas.grantShares(&args)
 	} else {
-		ctx, cancel := context.WithTimeout(ctx, reportTime)
+		ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 		defer cancel()
 		if err := quotas.options.Caller.Call(ctx, home.Peer, "Quota.Report", args, &reply); err != nil {
 			quotas.options.Logger.Debug("report of demand failed", "home", home.Instance, "error", err)
@@ -209,7 +211,8 @@
 	}
 }
 
-func (quotas *Quotas) grant(args *ReportArgs) []dogwoodquota.Share {
+// grantShares returns the shares that this daemon, as the home, grants for reports.
+func (quotas *Quotas) grantShares(args *ReportArgs) []dogwoodquota.Share {
 	quotas.mutex.Lock()
 	defer quotas.mutex.Unlock()
 	now := time.Now()
@@ -220,13 +223,13 @@
 	return shares
 }
 
-// ReportArgs is an entry's report to a home.
+// ReportArgs holds the reports of an entry daemon to a home.
 type ReportArgs struct {
 	Entry   dogwoodfleet.InstanceID
 	Reports []dogwoodquota.Report
 }
 
-// ReportReply is the home's answer.
+// ReportReply holds the shares that the home grants.
 type ReportReply struct {
 	Shares []dogwoodquota.Share
 }
@@ -236,13 +239,13 @@
 	quotas *Quotas
 }
 
-// NewReceiver returns the receiver to register as "Quota".
+// NewReceiver returns the RPC receiver; register it as "Quota".
 func NewReceiver(quotas *Quotas) *Receiver {
 	return &Receiver{quotas: quotas}
 }
 
-// Report takes an entry's demand and returns its shares.
+// Report applies the demand of an entry daemon and returns its shares.
 func (receiver *Receiver) Report(args ReportArgs, reply *ReportReply) error {
-	reply.Shares = receiver.quotas.grant(&args)
+	reply.Shares = receiver.quotas.grantShares(&args)
 	return nil
 }
--- a/core/duty/dogwoodquotas/quotas_test.go
+++ b/core/duty/dogwoodquotas/quotas_test.go
@@ -17,7 +17,8 @@
 	"dogwoodmux.example/core/duty/dogwoodquotas"
 )
 
-// network joins quotas by their addresses.
+// network carries the calls between daemons' quotas, by address. While it is down, all calls
+// fail.
 type network struct {
 	mutex     sync.Mutex
 	receivers map[netip.AddrPort]*dogwoodquotas.Receiver
@@ -34,10 +35,11 @@
 	return receiver.Report(args.(dogwoodquotas.ReportArgs), reply.(*dogwoodquotas.ReportReply))
 }
 
-// admitted sends a customer's requests at a rate through all entries in turn.
-func admitted(entries []*dogwoodquotas.Quotas, perSecond int, lasting time.Duration) int {
+// countAdmitted sends a customer's requests at a rate through all entry daemons in turn and returns
+// how many were admitted.
+func countAdmitted(entries []*dogwoodquotas.Quotas, perSecond int, duration time.Duration) int {
 	count := 0
-	for i := range int(lasting.Seconds()) * perSecond {
+	for i := range int(duration.Seconds()) * perSecond {
 		request := dogwoodfleet.Request{Customer: "one", PromptTokens: 1000}
 		if entries[i%len(entries)].Admit(&request) == nil {
 			count++
@@ -47,9 +49,9 @@
 	return count
 }
 
-// A customer sends three times its limit through four daemons; then the daemons can't
-// reach each other. With the limit at each daemon it would get four times the limit; with
-// nothing shared in the outage it would get either that or nothing.
+// A customer sends three times its limit through four daemons, and then the daemons can't reach
+// each other. If each daemon applied the whole limit, the customer would get four times its
+// limit. Without shares that remain valid in the outage it would get either that or nothing.
 func TestLimitHoldsAcrossDaemonsAndThroughAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -74,31 +76,33 @@
 			group.Go(func() { _ = entry.Keep(ctx) })
 		}
 		time.Sleep(time.Second)
-		admitted(entries, 120, 10*time.Second)
-		if got, least, most := admitted(entries, 120, 20*time.Second), 20*30, 20*42; got < least || got > most {
-			t.Errorf("three times over: got %d in 20 s, want %d to %d", got, least, most)
+		countAdmitted(entries, 120, 10*time.Second)
+		if got, minimum, maximum := countAdmitted(entries, 120, 20*time.Second), 20*30, 20*42; got < minimum || got > maximum {
+			t.Errorf("at three times the limit: got %d in 20 s, want %d to %d", got, minimum, maximum)
 		}
 		network.mutex.Lock()
 		network.down = true
 		network.mutex.Unlock()
-		if got, most := admitted(entries, 120, 20*time.Second), 20*42; got == 0 || got > most {
-			t.Errorf("in the outage: got %d in 20 s, want some and at most %d", got, most)
+		if got, maximum := countAdmitted(entries, 120, 20*time.Second), 20*42; got == 0 || got > maximum {
+			t.Errorf("in the outage: got %d in 20 s, want some and at most %d", got, maximum)
 		}
 		cancel()
 		group.Wait()
 	})
 }
 
-type countingSlots struct{ asked int }
+// countingSlots counts the requests that ask for a slot.
+type countingSlots struct{ acquired int }
 
 func (slots *countingSlots) Acquire(context.Context, *dogwoodowner.Ask) (dogwoodowner.Grant, error) {
-	slots.asked++
+	slots.acquired++
 	return dogwoodowner.Grant{}, nil
 }
 func (*countingSlots) ToldCold(context.Context, dogwoodfleet.Endpoint, dogwoodfleet.InstanceID) {}
 func (*countingSlots) Release(context.Context, dogwoodowner.Grant, dogwoodowner.Release)        {}
 
-// A customer that seldom calls may have two requests at once at an entry without a share.
+// A customer that seldom sends requests may send two at once through an entry daemon without a
+// share. The others must be rejected as not run.
 func TestRefusalOverTheLimitSaysNotRun(t *testing.T) {
 	text := &dogwoodsettings.Text{Customers: []dogwoodsettings.Customer{{Name: "one", RequestsPerSecond: 1}}}
 	quotas := dogwoodquotas.New(dogwoodquotas.Options{
@@ -114,7 +118,7 @@
 	if refusal == nil || refusal.Reason != dogwoodfleet.ReasonLimit || !refusal.NotRun || refusal.RetryAfter <= 0 {
 		t.Errorf("got %+v, want a refusal over the limit, not run, with a time to retry", refusal)
 	}
-	if got, want := slots.asked, 2; got != want {
-		t.Errorf("asks that went on: got %d, want %d", got, want)
+	if got, want := slots.acquired, 2; got != want {
+		t.Errorf("requests that asked for a slot: got %d, want %d", got, want)
 	}
 }
--- a/core/duty/dogwoodreader/fed_test.go
+++ b/core/duty/dogwoodreader/fed_test.go
@@ -9,14 +9,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// After a loss of power a daemon starts, and waits to be told by a hub what the store holds. A moment
-// later it finds that it is a hub itself. Each moment until it then asks the store is one in which it
-// refuses all callers, and all of them have come back at once.
-func TestADaemonThatBecomesAHubAsksTheStoreAtOnce(t *testing.T) {
+// A daemon starts after a power loss and waits for the store's contents from a hub. A moment later it
+// becomes a hub itself. It must query the store at once: until then it rejects all callers, which
+// have all returned at the same time.
+func TestNewHubQueriesTheStoreAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const becomesHub = 12 * time.Millisecond
 		store := newStore()
-		daemon := &daemon{store: store, begun: time.Now()}
+		daemon := &daemon{store: store, started: time.Now()}
 		hub := make(chan struct{})
 		daemon.Reader = New(Options{
 			Store: daemon, Caller: daemons{}, Clock: daemon.clock, Readers: func() []Peer { return nil },
@@ -43,8 +43,8 @@
 		if err := group.Wait(); err != nil {
 			t.Fatal(err)
 		}
-		if got, want := time.Since(daemon.begun), becomesHub; got != want {
-			t.Errorf("got the table %s after the start, want %s: when it became a hub", got, want)
+		if got, want := time.Since(daemon.started), becomesHub; got != want {
+			t.Errorf("got the table %s after the start, want %s, when the daemon became a hub", got, want)
 		}
 	})
 }
--- a/core/duty/dogwoodreader/reader.go
+++ b/core/duty/dogwoodreader/reader.go
@@ -1,20 +1,21 @@
-// Package dogwoodreader reads the tables of a store, or has a peer tell what it read, or is
-// fed by the hub of a daemon that is a leaf (dogwoodhub).
+// Package dogwoodreader reads the tables of a store: from the store itself, from a peer that
+// reads it, or, on a leaf, from the updates of the leaf's hub (dogwoodhub).
 //
-// Load pattern: every daemon must know of each change within moments and prove every second
-// that it has missed none. Asked by each daemon, the store has as many questions as daemons
-// times changes. So a few daemons read the store, and the others ask one of these, which
-// answers as soon as it knows of a change.
+// Load pattern: every daemon must learn of each change almost at once and confirm every second
+// that it has missed none. If each daemon queried the store, the store would receive as many
+// queries as daemons times changes. So a few daemons read the store, and the others query one
+// of these, which answers as soon as it learns of a change.
 //
-// What a peer tells is as good a proof as the store's own answer, if it is older by the way:
-// the asking daemon takes the moment at which it asked, on its own clock, less the age that
-// the store's last proof then had at the peer. So neither the way nor a daemon that stands
-// still can make a proof look younger than it is. A peer passes on only what the store told
-// it itself, and nothing once that is older than staleAfter.
+// A peer's answer is as good a confirmation as the store's own, but it is older by the network
+// latency: the querying daemon dates it to the time at which it sent the query, on its own
+// clock, minus the age that the store's last confirmation had at the peer when the query
+// arrived. So neither latency nor a suspended daemon can make a confirmation look younger than
+// it is. A peer forwards only what it received from the store itself, and nothing once that is
+// older than staleAfter.
 //
-// A reader that dies, freezes or loses the store shows within holdFor and answerWithin; from
-// then on the daemon asks the store itself and tries another reader later. So no daemon
-// needs another one to serve.
+// A reader that dies, freezes or loses the store is detected within maxHold plus
+// answerAllowance; from then on the daemon queries the store itself and tries another reader
+// later. So no daemon depends on another one to serve.
 package dogwoodreader
 
 import (
@@ -35,40 +36,44 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("reader")
 
-// errStale is a reader's answer when it has not heard from the store lately.
-var errStale = errors.New("not heard from the store lately")
+// errStale reports that a reader, or the hub of a fed daemon, has no recent answer from the
+// store.
+var errStale = errors.New("no recent answer from the store")
 
 const (
-	// Name is what the receiver is registered as with the peers' server.
+	// Name is the name under which the receiver is registered with the peers' server.
 	Name = "Reader"
-	// holdFor is how long a reader holds a question back while nothing changes. With the
-	// second after which a reader asks the store again, a proof is 1.4 s old at most, under
-	// the 1.6 s up to which a daemon tells callers that the text does not allow a request.
-	holdFor = 400 * time.Millisecond
-	// answerWithin is the time that an answer may take besides: ways and a busy small VM. A
-	// reader that is frozen is left after this and holdFor, well before the two seconds in
-	// which a change must be in force.
-	answerWithin = 400 * time.Millisecond
-	// awaitSlice is how often a daemon that is fed looks how old its last proof is.
-	awaitSlice = 200 * time.Millisecond
-	// staleAfter is how long ago the store may last have answered a reader for it to tell others:
-	// a second's wait in the store, the 0.4 s for which changes are gathered before that, and the
-	// time that a slow answer takes.
+	// maxHold is how long a reader holds a query while nothing changes. A reader queries the
+	// store again after a second, so a confirmation is at most 1.4 s old. That is below the
+	// 1.6 s up to which a daemon may answer callers that the operators' text does not allow a
+	// request.
+	maxHold = 400 * time.Millisecond
+	// answerAllowance is the time that an answer may take in addition to maxHold: network
+	// latency and the delay of a busy small VM. A frozen reader is dropped after both, well
+	// before the two seconds within which a change must be in force.
+	answerAllowance = 400 * time.Millisecond
+	// feedCheckInterval is how often a fed daemon checks the age of its last confirmation.
+	feedCheckInterval = 200 * time.Millisecond
+	// staleAfter is the age of the store's last answer to a reader at which the reader stops
+	// answering others: a second's wait in the store, the 0.4 s for which changes are gathered
+	// before that, and the duration of a slow answer.
 	staleAfter = 1800 * time.Millisecond
-	// fedStaleAfter is the age of the last proof at which a daemon that is fed takes the store for
-	// lost: that at its hub, and the time for which the hub may hold back its answer.
+	// fedStaleAfter is the age of the last confirmation at which a fed daemon considers the
+	// store lost: the greatest age at its hub, plus the time for which the hub may hold its
+	// answer.
 	fedStaleAfter = 3 * time.Second
-	// leaveFor is how long a reader that failed is not asked again, leaveStaleFor one that has
-	// not heard from the store lately: it may have lost its own reader a moment ago.
-	leaveFor      = 5 * time.Second
-	leaveStaleFor = time.Second
+	// failedBackoff is how long a reader that failed is not queried again. staleBackoff is that
+	// time for a reader without a recent answer from the store: it may have lost its own reader
+	// a moment ago.
+	failedBackoff = 5 * time.Second
+	staleBackoff  = time.Second
 )
 
-// Source is a store.
+// Source answers queries for the tables of a store.
 type Source interface {
-	// Whole reads a table.
+	// Whole returns a whole table.
 	Whole(ctx context.Context, table string) (dogwoodcopy.Answer, error)
-	// Changes waits for changes of a table after a version.
+	// Changes waits up to the given time for changes of a table after a version.
 	Changes(ctx context.Context, table string, after int64, wait time.Duration) (dogwoodcopy.Answer, error)
 }
 
@@ -83,171 +88,174 @@
 	Address  netip.AddrPort
 }
 
-// Options are what a reader is made from.
+// Options configure a Reader.
 type Options struct {
 	Store  Source
 	Caller Caller
-	// Clock is the one that proofs are on.
+	// Clock is the clock by which confirmations are dated.
 	Clock dogwoodfreshness.Clock
-	// Readers lists the daemons that this one may ask, the best first; none if it is to ask
-	// the store.
+	// Readers lists the daemons that this one may query, in order of preference; none if it
+	// must query the store.
 	Readers func() []Peer
-	// Fed tells whether answers come by Feed, so that nobody is to be asked, with a channel that is
-	// closed when that may have changed; nil for never.
+	// Fed reports whether this daemon is fed: answers arrive through Feed, and it queries neither
+	// the store nor a peer. It also returns a channel that is closed when that may have changed.
+	// Fed is nil for a daemon that is never fed.
 	Fed    func() (fed bool, changed <-chan struct{})
 	Logger hclog.Logger
 }
 
-// Reader is a Source that asks the store or a peer. It is safe for concurrent use.
+// Reader is a Source that queries the store or a peer, or is fed. It is safe for concurrent
+// use.
 type Reader struct {
 	options Options
 
-	mutex    sync.Mutex
-	copies   map[string]*dogwoodcopy.Copy
-	answered map[string]time.Duration              // when the store itself last answered about a table
-	left     map[dogwoodfleet.InstanceID]time.Time // readers that failed, and when they may be asked again
-	asked    dogwoodfleet.InstanceID               // the reader asked last, for the log
+	mutex        sync.Mutex
+	copies       map[string]*dogwoodcopy.Copy
+	answeredAt   map[string]time.Duration              // when the store itself last answered a query for a table
+	backoffUntil map[dogwoodfleet.InstanceID]time.Time // when readers that failed may be queried again
+	lastQueried  dogwoodfleet.InstanceID               // the reader queried last, for the log
 }
 
-// New returns a reader.
+// New returns a Reader without any table yet.
 func New(options Options) *Reader {
 	return &Reader{
-		options: options, copies: map[string]*dogwoodcopy.Copy{}, answered: map[string]time.Duration{}, left: map[dogwoodfleet.InstanceID]time.Time{},
+		options: options, copies: map[string]*dogwoodcopy.Copy{}, answeredAt: map[string]time.Duration{}, backoffUntil: map[dogwoodfleet.InstanceID]time.Time{},
 	}
 }
 
-// Whole reads a table, as it is fed, or from a peer that reads it or else from the store.
+// Whole returns a whole table: as fed if this daemon is fed, otherwise from a peer that reads
+// the store or else from the store.
 func (reader *Reader) Whole(ctx context.Context, table string) (dogwoodcopy.Answer, error) {
-	const never = -1
-	if answer, fed, err := reader.await(ctx, table, never, fedStaleAfter); fed {
+	const noVersion = -1
+	if answer, fed, err := reader.awaitFeed(ctx, table, noVersion, fedStaleAfter); fed {
 		return answer, err
 	}
-	if answer, _, ok := reader.askPeer(ctx, table, never); ok {
+	if answer, _, ok := reader.queryPeer(ctx, table, noVersion); ok {
 		return answer, nil
 	}
 	answer, err := reader.options.Store.Whole(ctx, table)
 	if err != nil {
 		return answer, err
 	}
-	reader.takeDirect(table, answer)
+	reader.applyStoreAnswer(table, answer)
 	return answer, nil
 }
 
-// Changes waits for changes of a table, as it is fed, at a peer that reads it or else in the
-// store.
+// Changes waits for changes of a table after a version: as fed if this daemon is fed, otherwise
+// from a peer that reads the store or else from the store.
 func (reader *Reader) Changes(ctx context.Context, table string, after int64, wait time.Duration) (dogwoodcopy.Answer, error) {
-	if answer, fed, err := reader.await(ctx, table, after, wait); fed {
+	if answer, fed, err := reader.awaitFeed(ctx, table, after, wait); fed {
 		return answer, err
 	}
-	answer, asked, ok := reader.askPeer(ctx, table, after)
+	answer, queried, ok := reader.queryPeer(ctx, table, after)
 	if ok {
 		return answer, nil
 	}
-	if asked {
-		// The last proof is old already, so this question must not wait for a change.
+	if queried {
+		// The last confirmation is already old, so this query must not wait for a change.
 		wait = 0
 	}
 	answer, err := reader.options.Store.Changes(ctx, table, after, wait)
 	if err != nil {
 		return answer, err
 	}
-	reader.takeDirect(table, answer)
+	reader.applyStoreAnswer(table, answer)
 	return answer, nil
 }
 
-// takeDirect takes in what the store itself answered.
-func (reader *Reader) takeDirect(table string, answer dogwoodcopy.Answer) {
+// applyStoreAnswer applies an answer of the store itself.
+func (reader *Reader) applyStoreAnswer(table string, answer dogwoodcopy.Answer) {
 	reader.mutex.Lock()
-	reader.answered[table] = reader.options.Clock()
+	reader.answeredAt[table] = reader.options.Clock()
 	reader.mutex.Unlock()
-	reader.table(table).Take(answer, true)
+	reader.copyOf(table).Take(answer, true)
 }
 
-// staleIn is how long what this daemon knows of a table may still be told to others; zero or
+// freshFor returns how much longer this daemon may forward what it knows of a table; zero or
 // less if it may not.
-func (reader *Reader) staleIn(table string) time.Duration {
+func (reader *Reader) freshFor(table string) time.Duration {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	return staleAfter - (reader.options.Clock() - reader.answered[table])
+	return staleAfter - (reader.options.Clock() - reader.answeredAt[table])
 }
 
-// askPeer asks the first peer that has not failed lately. It returns whether there is one,
-// and whether it answered.
-func (reader *Reader) askPeer(ctx context.Context, table string, after int64) (answer dogwoodcopy.Answer, asked, ok bool) {
-	peer, found := reader.choose(time.Now())
+// queryPeer queries the first peer that has not failed recently. It reports whether there is
+// one, and whether it answered.
+func (reader *Reader) queryPeer(ctx context.Context, table string, after int64) (answer dogwoodcopy.Answer, queried, ok bool) {
+	peer, found := reader.choosePeer(time.Now())
 	if !found {
 		return answer, false, false
 	}
-	answer, err := reader.ask(ctx, peer, table, after)
+	answer, err := reader.query(ctx, peer, table, after)
 	if err != nil {
-		reader.leave(peer, err)
+		reader.backOff(peer, err)
 		return answer, true, false
 	}
-	reader.table(table).Take(answer, false)
+	reader.copyOf(table).Take(answer, false)
 	return answer, true, true
 }
 
-// await waits for news that are fed, or for a later proof. It returns false once this daemon
-// is not fed any more.
-func (reader *Reader) await(ctx context.Context, table string, after int64, wait time.Duration) (dogwoodcopy.Answer, bool, error) {
-	known := reader.table(table)
-	begun, slice := time.Now(), time.NewTicker(awaitSlice)
-	defer slice.Stop()
-	_, proven := known.Known()
+// awaitFeed waits until Feed has applied changes or a later confirmation. It returns false if
+// this daemon is not fed or is no longer fed.
+func (reader *Reader) awaitFeed(ctx context.Context, table string, after int64, wait time.Duration) (dogwoodcopy.Answer, bool, error) {
+	tableCopy := reader.copyOf(table)
+	started, ticker := time.Now(), time.NewTicker(feedCheckInterval)
+	defer ticker.Stop()
+	_, lastConfirmed := tableCopy.Known()
 	for {
-		fed, changed := reader.fed()
+		fed, changed := reader.isFed()
 		if !fed {
 			return dogwoodcopy.Answer{}, false, nil
 		}
-		answer, took, ok := known.Latest(after)
-		if ok && (answer.Whole || len(answer.Rows) > 0 || answer.Proven > proven) {
+		answer, updated, ok := tableCopy.Latest(after)
+		if ok && (answer.Whole || len(answer.Rows) > 0 || answer.Proven > lastConfirmed) {
 			return answer, true, nil
 		}
-		if time.Since(begun) >= wait && (!ok || reader.options.Clock()-answer.Proven > fedStaleAfter) {
+		if time.Since(started) >= wait && (!ok || reader.options.Clock()-answer.Proven > fedStaleAfter) {
 			return answer, true, Error.Wrap(errStale)
 		}
-		// A daemon that becomes a hub must ask the store at that moment: until it has, it refuses
-		// all callers, and after a loss of power everywhere each hub does.
+		// A daemon that becomes a hub must query the store at once: until it has an answer it
+		// rejects all callers, and after a power loss of the whole fleet every hub does so.
 		select {
-		case <-took:
+		case <-updated:
 		case <-changed:
-		case <-slice.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return answer, true, ctx.Err()
 		}
 	}
 }
 
-func (reader *Reader) fed() (bool, <-chan struct{}) {
+func (reader *Reader) isFed() (bool, <-chan struct{}) {
 	if reader.options.Fed == nil {
 		return false, nil
 	}
 	return reader.options.Fed()
 }
 
-// Feed takes in what the hub told of a table.
+// Feed applies an answer that the hub sent for a table.
 func (reader *Reader) Feed(table string, answer dogwoodcopy.Answer) {
-	reader.table(table).Take(answer, false)
+	reader.copyOf(table).Take(answer, false)
 }
 
-// Position is how much is known of a table: its version, -1 for nothing, and the age of the
-// last proof.
+// Position returns the version of a table that this daemon has, -1 for none, and the age of the
+// last confirmation.
 func (reader *Reader) Position(table string) (version int64, age time.Duration) {
-	version, proven := reader.table(table).Known()
-	return version, reader.options.Clock() - proven
+	version, confirmed := reader.copyOf(table).Known()
+	return version, reader.options.Clock() - confirmed
 }
 
-// Latest returns what changed of a table as far as this daemon knows, and a channel that is
-// closed when it is told more. It is for daemons that tell nobody else.
+// Latest returns the changes of a table that this daemon knows of, and a channel that is closed
+// at the next answer. Send the result only to daemons that forward it to no other daemon.
 func (reader *Reader) Latest(table string, after int64) (dogwoodcopy.Answer, <-chan struct{}, bool) {
-	return reader.table(table).Latest(after)
+	return reader.copyOf(table).Latest(after)
 }
 
-// ask asks a peer for changes.
-func (reader *Reader) ask(ctx context.Context, peer Peer, table string, after int64) (dogwoodcopy.Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, holdFor+answerWithin)
+// query queries a peer for changes.
+func (reader *Reader) query(ctx context.Context, peer Peer, table string, after int64) (dogwoodcopy.Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, maxHold+answerAllowance)
 	defer cancel()
-	asked := reader.options.Clock()
+	sentAt := reader.options.Clock()
 	var told Told
 	if err := reader.options.Caller.Call(ctx, peer.Address, Name+".Changes", Question{Table: table, After: after}, &told); err != nil {
 		return dogwoodcopy.Answer{}, Error.Wrap(err)
@@ -255,52 +263,53 @@
 	if told.Stale {
 		return dogwoodcopy.Answer{}, Error.Wrap(errStale)
 	}
-	return told.Heard(asked, after), nil
+	return told.Heard(sentAt, after), nil
 }
 
-// choose returns the first reader that has not failed lately.
-func (reader *Reader) choose(now time.Time) (Peer, bool) {
+// choosePeer returns the first reader that has not failed recently.
+func (reader *Reader) choosePeer(now time.Time) (Peer, bool) {
 	readers := reader.options.Readers()
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	for _, peer := range readers {
-		if now.After(reader.left[peer.Instance]) {
-			if peer.Instance != reader.asked {
-				reader.asked = peer.Instance
+		if now.After(reader.backoffUntil[peer.Instance]) {
+			if peer.Instance != reader.lastQueried {
+				reader.lastQueried = peer.Instance
 				reader.options.Logger.Info("Asking another daemon for changes.", "peer", peer.Instance)
 			}
 			return peer, true
 		}
 	}
-	reader.asked = ""
+	reader.lastQueried = ""
 	return Peer{}, false
 }
 
-// leave has a reader that failed not be asked for a while.
-func (reader *Reader) leave(peer Peer, err error) {
+// backOff excludes a reader that failed from queries for a while.
+func (reader *Reader) backOff(peer Peer, err error) {
 	reader.options.Logger.Info("A daemon that reads the store does not answer.", "peer", peer.Instance, "error", err)
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
 	now := time.Now()
-	for instance, until := range reader.left {
+	for instance, until := range reader.backoffUntil {
 		if now.After(until) {
-			delete(reader.left, instance)
+			delete(reader.backoffUntil, instance)
 		}
 	}
-	pause := leaveFor
+	pause := failedBackoff
 	if errors.Is(err, errStale) {
-		pause = leaveStaleFor
+		pause = staleBackoff
 	}
-	reader.left[peer.Instance] = now.Add(pause)
+	reader.backoffUntil[peer.Instance] = now.Add(pause)
 }
 
-func (reader *Reader) table(name string) *dogwoodcopy.Copy {
+// copyOf returns this daemon's copy of a table.
+func (reader *Reader) copyOf(name string) *dogwoodcopy.Copy {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
-	known := reader.copies[name]
-	if known == nil {
-		known = dogwoodcopy.New()
-		reader.copies[name] = known
+	tableCopy := reader.copies[name]
+	if tableCopy == nil {
+		tableCopy = dogwoodcopy.New()
+		reader.copies[name] = tableCopy
 	}
-	return known
+	return tableCopy
 }
--- a/core/duty/dogwoodreader/reader_test.go
+++ b/core/duty/dogwoodreader/reader_test.go
@@ -15,13 +15,13 @@
 	"dogwoodmux.example/core/state/dogwoodcopy"
 )
 
-var errAway = errors.New("away")
+var errCutOff = errors.New("away")
 
-// storeStandin is a store that counts its questions and can be away for some daemons.
+// storeStandin is a store that counts its queries. Each daemon can be cut off from it.
 type storeStandin struct {
 	mutex   sync.Mutex
 	table   *dogwoodcopy.Copy
-	asked   int
+	queries int
 	version int64
 }
 
@@ -41,22 +41,22 @@
 func (store *storeStandin) count() int {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	return store.asked
+	return store.queries
 }
 
-// daemon is a daemon's path to the store, its reader and its faults.
+// daemon is a daemon's connection to the store, its reader and its faults.
 type daemon struct {
 	*Reader
-	store *storeStandin
-	begun time.Time
+	store   *storeStandin
+	started time.Time
 
 	mutex   sync.Mutex
-	away    bool // the store does not answer this daemon
-	frozen  bool // this daemon answers nobody
+	cutOff  bool // the store does not answer this daemon
+	frozen  bool // this daemon does not answer
 	readers []Peer
 }
 
-func (daemon *daemon) clock() time.Duration { return time.Since(daemon.begun) }
+func (daemon *daemon) clock() time.Duration { return time.Since(daemon.started) }
 
 func (daemon *daemon) Whole(context.Context, string) (dogwoodcopy.Answer, error) {
 	answer, _, _ := daemon.store.table.Since(-1)
@@ -66,17 +66,17 @@
 
 func (daemon *daemon) Changes(ctx context.Context, _ string, after int64, wait time.Duration) (dogwoodcopy.Answer, error) {
 	daemon.store.mutex.Lock()
-	daemon.store.asked++
+	daemon.store.queries++
 	daemon.store.mutex.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
 		daemon.mutex.Lock()
-		away := daemon.away
+		cutOff := daemon.cutOff
 		daemon.mutex.Unlock()
-		if away {
+		if cutOff {
 			time.Sleep(wait)
-			return dogwoodcopy.Answer{}, errAway
+			return dogwoodcopy.Answer{}, errCutOff
 		}
 		answer, changed, _ := daemon.store.table.Since(after)
 		answer.Proven = daemon.clock()
@@ -96,7 +96,7 @@
 	change(daemon)
 }
 
-// daemons are joined by calls that take a millisecond each way.
+// daemons carries the calls between daemons, which take a millisecond each way.
 type daemons map[netip.AddrPort]*daemon
 
 func (daemons daemons) Call(ctx context.Context, peer netip.AddrPort, _ string, args, reply any) error {
@@ -118,74 +118,77 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(index)}), 1)
 }
 
-// newDaemons returns daemons of which the first is the reader of the others. Each has begun
-// its clock at another time.
+// newDaemons returns daemons of which the first is the reader of the others. Their clocks
+// started at different times.
 func newDaemons(store *storeStandin, count int) []*daemon {
-	joined := daemons{}
-	made := make([]*daemon, count)
-	for i := range made {
-		each := &daemon{store: store, begun: time.Now().Add(-time.Duration(i) * time.Hour)}
+	connected := daemons{}
+	created := make([]*daemon, count)
+	for i := range created {
+		each := &daemon{store: store, started: time.Now().Add(-time.Duration(i) * time.Hour)}
 		if i > 0 {
 			each.readers = []Peer{{Instance: dogwoodfleet.InstanceID("reader"), Address: addressOf(0)}}
 		}
 		each.Reader = New(Options{
-			Store: each, Caller: joined, Clock: each.clock, Logger: hclog.NewNullLogger(),
+			Store: each, Caller: connected, Clock: each.clock, Logger: hclog.NewNullLogger(),
 			Readers: func() []Peer {
 				each.mutex.Lock()
 				defer each.mutex.Unlock()
 				return each.readers
 			},
 		})
-		joined[addressOf(i)], made[i] = each, each
+		connected[addressOf(i)], created[i] = each, each
 	}
-	return made
+	return created
 }
 
-// follower follows the table as a daemon does and notes what it knows.
+// follower follows the table as a daemon does and records what it receives.
 type follower struct {
-	mutex  sync.Mutex
-	keys   map[string]time.Time // when each row was learnt
-	proven time.Duration
+	mutex     sync.Mutex
+	received  map[string]time.Time // when each row was received
+	confirmed time.Duration
 }
 
-func (follower *follower) learnt(key string) (time.Time, bool) {
+func (follower *follower) receivedAt(key string) (time.Time, bool) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	at, ok := follower.keys[key]
+	at, ok := follower.received[key]
 	return at, ok
 }
 
 func (follower *follower) age(daemon *daemon) time.Duration {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	return daemon.clock() - follower.proven
+	return daemon.clock() - follower.confirmed
 }
 
-const wait = time.Second
+// queryWait is how long a follower waits for a change.
+const queryWait = time.Second
 
+// follow starts a follower of a daemon's table.
 func follow(ctx context.Context, group *sync.WaitGroup, daemon *daemon) *follower {
-	made := &follower{keys: map[string]time.Time{}}
+	follower := &follower{received: map[string]time.Time{}}
 	answer, _ := daemon.Reader.Whole(ctx, "table")
 	version := answer.Version
 	group.Go(func() {
 		for ctx.Err() == nil {
-			answer, err := daemon.Reader.Changes(ctx, "table", version, wait)
+			answer, err := daemon.Reader.Changes(ctx, "table", version, queryWait)
 			if err != nil {
 				continue
 			}
 			version = answer.Version
-			made.mutex.Lock()
+			follower.mutex.Lock()
 			for _, row := range answer.Rows {
-				made.keys[row.Key] = time.Now()
+				follower.received[row.Key] = time.Now()
 			}
-			made.proven = max(made.proven, answer.Proven)
-			made.mutex.Unlock()
+			follower.confirmed = max(follower.confirmed, answer.Proven)
+			follower.mutex.Unlock()
 		}
 	})
-	return made
+	return follower
 }
 
-func story(t *testing.T, count int, body func(t *testing.T, store *storeStandin, all []*daemon, followers []*follower)) {
+// runDaemons runs a test body with daemons that follow the table, in a synctest bubble.
+func runDaemons(t *testing.T, count int, body func(t *testing.T, store *storeStandin, all []*daemon, followers []*follower)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -200,55 +203,54 @@
 		body(t, store, all, followers)
 		cancel()
 		group.Wait()
-		time.Sleep(holdFor) // the questions that readers hold end
+		time.Sleep(maxHold) // lets the queries end that readers still hold
 	})
 }
 
-// Sixty daemons follow a table in which endpoints change. Each learns of a change at once,
-// and the store is asked by the one reader alone: with a question from each daemon for each
-// change, it got seven thousand in the twelve seconds of a start.
-func TestChangesReachAllAndOneDaemonAsks(t *testing.T) {
-	story(t, 60, func(t *testing.T, store *storeStandin, all []*daemon, followers []*follower) {
+// Sixty daemons follow a table of endpoints. Each must learn of a change at once, and only the
+// one reader may query the store. When each daemon queried the store for each change, the store
+// received seven thousand queries in the twelve seconds of a start.
+func TestChangesReachAllThroughOneReader(t *testing.T) {
+	runDaemons(t, 60, func(t *testing.T, store *storeStandin, all []*daemon, followers []*follower) {
 		before, changed := store.count(), time.Now()
 		store.put("e1")
 		time.Sleep(10 * time.Second)
-		if got, most := store.count()-before, 12; got > most {
-			t.Errorf("got %d questions to the store in ten seconds, want at most %d", got, most)
+		if got, maximum := store.count()-before, 12; got > maximum {
+			t.Errorf("got %d queries to the store in ten seconds, want at most %d", got, maximum)
 		}
 		for i, follower := range followers {
-			at, ok := follower.learnt("e1")
+			at, ok := follower.receivedAt("e1")
 			if !ok || at.Sub(changed) > 10*time.Millisecond {
-				t.Errorf("daemon %d: learnt %v after %s, want within 10 ms", i, ok, at.Sub(changed))
+				t.Errorf("daemon %d: received %v after %s, want within 10 ms", i, ok, at.Sub(changed))
 			}
-			if got, most := follower.age(all[i]), wait+holdFor+10*time.Millisecond; got > most || got < 0 {
-				t.Errorf("daemon %d: got a proof of age %s, want at most %s", i, got, most)
+			if got, maximum := follower.age(all[i]), queryWait+maxHold+10*time.Millisecond; got > maximum || got < 0 {
+				t.Errorf("daemon %d: got a confirmation of age %s, want at most %s", i, got, maximum)
 			}
 		}
 	})
 }
 
-// The reader freezes, or loses the store, and a key is withdrawn at that moment. Those who
-// ask it must know within two seconds all the same, and their proofs must never look younger
-// than they are.
-func TestAReaderThatFailsIsLeftInTime(t *testing.T) {
+// The reader freezes or loses the store, and a key is withdrawn at that moment. The daemons that
+// query this reader must still learn of it within two seconds.
+func TestFailedReaderIsDroppedInTime(t *testing.T) {
 	tests := []struct {
 		name  string
 		fault func(daemon *daemon)
 	}{
 		{"frozen", func(daemon *daemon) { daemon.frozen = true }},
-		{"without the store", func(daemon *daemon) { daemon.away = true }},
+		{"without the store", func(daemon *daemon) { daemon.cutOff = true }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			story(t, 3, func(t *testing.T, store *storeStandin, all []*daemon, followers []*follower) {
+			runDaemons(t, 3, func(t *testing.T, store *storeStandin, all []*daemon, followers []*follower) {
 				all[0].set(test.fault)
 				changed := time.Now()
 				store.put("withdrawn")
 				time.Sleep(3 * time.Second)
 				for i := 1; i < len(all); i++ {
-					at, ok := followers[i].learnt("withdrawn")
+					at, ok := followers[i].receivedAt("withdrawn")
 					if !ok || at.Sub(changed) > 2*time.Second {
-						t.Errorf("daemon %d: learnt %v after %s, want within 2 s", i, ok, at.Sub(changed))
+						t.Errorf("daemon %d: received %v after %s, want within 2 s", i, ok, at.Sub(changed))
 					}
 				}
 			})
@@ -256,21 +258,21 @@
 	}
 }
 
-// The store is away for all. No daemon may take what another one tells for a proof: their
-// proofs must age with the outage.
-func TestNobodyProvesWhatTheStoreDidNot(t *testing.T) {
-	story(t, 3, func(t *testing.T, _ *storeStandin, all []*daemon, followers []*follower) {
+// All daemons lose the store. None may accept another daemon's answer as a confirmation: their
+// confirmations must age with the outage.
+func TestPeersConfirmNothingInAnOutage(t *testing.T) {
+	runDaemons(t, 3, func(t *testing.T, _ *storeStandin, all []*daemon, followers []*follower) {
 		for _, each := range all {
 			each.set(func(daemon *daemon) {
-				daemon.away = true
+				daemon.cutOff = true
 				daemon.readers = []Peer{{Instance: "one", Address: addressOf(1)}, {Instance: "two", Address: addressOf(2)}}
 			})
 		}
 		const outage = 20 * time.Second
 		time.Sleep(outage)
 		for i, follower := range followers {
-			if got, least := follower.age(all[i]), outage-10*time.Millisecond; got < least {
-				t.Errorf("daemon %d: got a proof of age %s after an outage of %s", i, got, outage)
+			if got, minimum := follower.age(all[i]), outage-10*time.Millisecond; got < minimum {
+				t.Errorf("daemon %d: got a confirmation of age %s after an outage of %s", i, got, outage)
 			}
 		}
 	})
--- a/core/duty/dogwoodreader/receiver.go
+++ b/core/duty/dogwoodreader/receiver.go
@@ -6,7 +6,7 @@
 	"dogwoodmux.example/core/state/dogwoodcopy"
 )
 
-// Question asks a reader for the changes of a table.
+// Question is a query to a reader for the changes of a table after a version.
 type Question struct {
 	Table string
 	After int64
@@ -15,43 +15,43 @@
 // Told is a reader's answer.
 type Told struct {
 	dogwoodcopy.Told
-	// Stale means that the reader has not heard from the store lately and tells nothing.
+	// Stale is true if the reader has no recent answer from the store; the answer is then empty.
 	Stale bool
 }
 
-// Receiver returns what other daemons call, to be registered as Name.
+// Receiver returns the RPC receiver that other daemons call; register it as Name.
 func (reader *Reader) Receiver() *Receiver {
 	return &Receiver{reader: reader}
 }
 
-// Receiver answers other daemons.
+// Receiver answers the queries of other daemons.
 type Receiver struct {
 	reader *Reader
 }
 
-// Changes answers as soon as the table has changed after the version or the store has proved
-// it anew, or after holdFor.
+// Changes answers as soon as the table has changed after the version or the store has confirmed
+// it again, and after maxHold at the latest.
 func (receiver *Receiver) Changes(question Question, told *Told) error {
 	reader := receiver.reader
-	clock, table := reader.options.Clock, reader.table(question.Table)
+	clock, table := reader.options.Clock, reader.copyOf(question.Table)
 	arrived := clock()
-	timer := time.NewTimer(min(holdFor, max(reader.staleIn(question.Table), 0)))
+	timer := time.NewTimer(min(maxHold, max(reader.freshFor(question.Table), 0)))
 	defer timer.Stop()
 	first, _, _ := table.Since(question.After)
-	for over := false; ; {
-		answer, took, ok := table.Since(question.After)
-		if !ok || reader.staleIn(question.Table) <= 0 {
+	for expired := false; ; {
+		answer, updated, ok := table.Since(question.After)
+		if !ok || reader.freshFor(question.Table) <= 0 {
 			*told = Told{Stale: true}
 			return nil
 		}
-		if over || answer.Whole || len(answer.Rows) > 0 || answer.Proven > first.Proven {
+		if expired || answer.Whole || len(answer.Rows) > 0 || answer.Proven > first.Proven {
 			*told = Told{Told: dogwoodcopy.Tell(answer, arrived)}
 			return nil
 		}
 		select {
-		case <-took:
+		case <-updated:
 		case <-timer.C:
-			over = true
+			expired = true
 		}
 	}
 }
