--- a/core/duty/dogwoodburnkeeper/keeper.go
+++ b/core/duty/dogwoodburnkeeper/keeper.go
@@ -1,10 +1,10 @@
-// Package dogwoodburnkeeper records the outcomes that one daemon sees, leaves copies of its
-// counters with peers and gathers all daemons' counters for the burn report.
+// Package dogwoodburnkeeper counts the outcomes of one daemon's requests, sends copies of the
+// counters to peers and collects the counters of all daemons for the burn report.
 //
-// Daemons keep nothing on disks and are replaced at any time. Without copies, the minutes
-// before a crash would be missing from the report, and these are the ones operators ask
-// about. So each daemon sends the buckets that changed to two peers once a minute and once
-// more when it stops.
+// Daemons store nothing on disk and can be replaced at any time. Without copies, the report
+// would lack the minutes before a crash, which are the ones that operators ask about. Each
+// daemon therefore sends the buckets that changed to two peers once a minute and once more
+// when it stops.
 package dogwoodburnkeeper
 
 import (
@@ -26,16 +26,17 @@
 var Error = errs.Class("burn")
 
 const (
-	// exchangeInterval is how much a crash may cost the report.
+	// exchangeInterval is the time between two copies. A crash loses the outcomes that were
+	// counted since the last copy.
 	exchangeInterval = time.Minute
 	// callTimeout bounds one exchange with one peer.
 	callTimeout = 3 * time.Second
-	// copies is how many peers keep a daemon's counters: with two, a rack that takes the
-	// daemon and one of them leaves the other.
-	copies = 2
+	// copiesPerDaemon is the number of peers that hold a daemon's counters. With two, one copy
+	// remains if a rack failure takes down the daemon and one of these peers.
+	copiesPerDaemon = 2
 )
 
-// Member is a daemon as the keeper needs to know it.
+// Member identifies a daemon and the address of its peer server.
 type Member struct {
 	VM       dogwoodfleet.VM
 	Instance dogwoodfleet.InstanceID
@@ -47,31 +48,32 @@
 	Call(ctx context.Context, peer netip.AddrPort, method string, args, reply any) error
 }
 
-// Options are what a keeper needs.
+// Options configures a Keeper.
 type Options struct {
 	Self   Member
 	Caller Caller
-	// Members returns the other daemons that should be alive, those that do not answer
-	// included: the report names them.
+	// Members returns the other daemons that should be alive, including those that do not
+	// answer, because the report names them.
 	Members func() []Member
 	// Text returns the operators' text in force, or nil before there is one.
 	Text   func() *dogwoodsettings.Text
 	Logger hclog.Logger
 }
 
-// Keeper is safe for concurrent use.
+// Keeper holds a daemon's own counters and its copies of other daemons' counters. It is safe
+// for concurrent use.
 type Keeper struct {
 	options Options
 
 	mutex  sync.Mutex
 	ledger *dogwoodburn.Ledger
-	// kept are the copies of other daemons' counters.
+	// kept holds the copies of other daemons' counters.
 	kept map[dogwoodfleet.InstanceID]dogwoodburn.Snapshot
-	// sent is how far each peer's copy of our own counters goes.
+	// sent is the time of the last snapshot of this daemon's counters that each peer has received.
 	sent map[dogwoodfleet.InstanceID]time.Time
 }
 
-// New returns a keeper that begins to count now.
+// New returns a Keeper whose counters start now.
 func New(options Options) *Keeper {
 	return &Keeper{
 		options: options,
@@ -81,7 +83,7 @@
 	}
 }
 
-// Record counts an outcome. It never waits for the network.
+// Record counts an outcome. It does no network I/O.
 func (keeper *Keeper) Record(outcome dogwoodburn.Outcome) {
 	var objectives dogwoodsettings.Objectives
 	if text := keeper.options.Text(); text != nil {
@@ -94,7 +96,7 @@
 	keeper.ledger.Record(time.Now(), outcome, objectives)
 }
 
-// Run leaves copies with peers until the context ends.
+// Run sends copies to peers once a minute until the context ends.
 func (keeper *Keeper) Run(ctx context.Context) error {
 	ticker := time.NewTicker(exchangeInterval)
 	defer ticker.Stop()
@@ -109,24 +111,24 @@
 	}
 }
 
-// Exchange sends what changed to the peers that keep this daemon's copies. A daemon that
-// stops calls it once more, so that a graceful end costs the report nothing.
+// Exchange sends the changed counters to the peers that hold this daemon's copies. A daemon
+// that stops calls it once more, so that a graceful stop loses no counts.
 func (keeper *Keeper) Exchange(ctx context.Context) {
 	for _, member := range Keepers(keeper.options.Self, keeper.options.Members()) {
 		if err := keeper.send(ctx, member); err != nil {
-			keeper.options.Logger.Debug("peer took no copy", "vm", member.VM, "error", err)
+			keeper.options.Logger.Debug("failed to send a copy to a peer", "vm", member.VM, "error", err)
 		}
 	}
 }
 
 func (keeper *Keeper) send(ctx context.Context, member Member) error {
-	calling, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	keeper.mutex.Lock()
 	snapshot := keeper.ledger.Snapshot(time.Now(), keeper.sent[member.Instance])
 	keeper.mutex.Unlock()
 	var answer Kept
-	if err := keeper.options.Caller.Call(calling, member.Peer, "Burn.Keep", snapshot, &answer); err != nil {
+	if err := keeper.options.Caller.Call(callCtx, member.Peer, "Burn.Keep", snapshot, &answer); err != nil {
 		return Error.Wrap(err)
 	}
 	keeper.mutex.Lock()
@@ -135,17 +137,18 @@
 	return nil
 }
 
-// Keepers returns the members that keep the copies of self: the next ones after it in the
-// order of VM names, so that copies are spread evenly over the daemons.
+// Keepers returns the members that hold the copies of self's counters. These are the ones that
+// follow it in the order of VM names, so that copies are spread evenly over the daemons.
 func Keepers(self Member, members []Member) []Member {
 	others := slices.DeleteFunc(slices.Clone(members), func(member Member) bool { return member.VM == self.VM })
 	slices.SortFunc(others, func(a, b Member) int {
 		return compareAfter(self.VM, a.VM, b.VM)
 	})
-	return others[:min(copies, len(others))]
+	return others[:min(copiesPerDaemon, len(others))]
 }
 
-// compareAfter orders names by how far they come after self, going round at the end.
+// compareAfter compares a and b by their position after self in the order of names, which wraps
+// around at the end.
 func compareAfter(self, a, b dogwoodfleet.VM) int {
 	aWraps, bWraps := a < self, b < self
 	switch {
@@ -162,7 +165,7 @@
 	}
 }
 
-// keep takes a copy of another daemon's counters.
+// keep stores or updates the copy of another daemon's counters.
 func (keeper *Keeper) keep(snapshot dogwoodburn.Snapshot) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
@@ -171,7 +174,8 @@
 	keeper.kept[snapshot.Instance] = held
 }
 
-// expire forgets copies that no window reaches any more, and peers that are gone.
+// expire deletes the copies that are older than every window of the report, and the send times
+// of peers that are no longer members.
 func (keeper *Keeper) expire(now time.Time) {
 	members := keeper.options.Members()
 	keeper.mutex.Lock()
@@ -188,7 +192,7 @@
 	}
 }
 
-// holdings returns this daemon's own counters and the copies that it keeps.
+// holdings returns this daemon's own counters and the copies that it holds.
 func (keeper *Keeper) holdings(now time.Time) Holdings {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
--- a/core/duty/dogwoodburnkeeper/keeper_test.go
+++ b/core/duty/dogwoodburnkeeper/keeper_test.go
@@ -22,7 +22,7 @@
 	Objectives: dogwoodsettings.Objectives{InTime: 0.99},
 }}}
 
-// network joins keepers in memory; a daemon that is down does not answer.
+// network connects keepers in memory. A daemon that is down does not answer.
 type network struct {
 	keepers map[netip.AddrPort]*Keeper
 	down    map[netip.AddrPort]bool
@@ -45,7 +45,8 @@
 	return Member{VM: vm, Instance: instance, Peer: netip.AddrPortFrom(netip.MustParseAddr("192.0.2.1"), port)}
 }
 
-// start adds a daemon to the network. members is shared, so that replacing one shows to all.
+// start adds a daemon to the network. All daemons share members, so each of them sees a
+// replaced member.
 func (network *network) start(self Member, members *[]Member) *Keeper {
 	keeper := New(Options{
 		Self:   self,
@@ -60,42 +61,42 @@
 	return keeper
 }
 
-func answered(keeper *Keeper, count int) {
+func recordAnswered(keeper *Keeper, count int) {
 	for range count {
 		keeper.Record(dogwoodburn.Outcome{Service: "redacteur", Customer: "laval", Class: dogwoodburn.Answered, InTime: true})
 	}
 }
 
-func total(report dogwoodburn.Report) uint64 {
+func totalRequests(report dogwoodburn.Report) uint64 {
 	if len(report.Lines) == 0 {
 		return 0
 	}
 	return report.Lines[0].Windows[0].Total
 }
 
-// A daemon dies half a minute after it left its last copy, and another start takes its place.
-// Operators who ask for the burn must still see what the first start counted until the copy,
-// and must be told by name from when on its counts are unknown.
-func TestCountsOutliveTheDaemonThatMadeThem(t *testing.T) {
+// A daemon dies half a minute after it sent its last copy, and a new instance replaces it. The
+// burn report must include the counts of the first instance up to the copy, and must name the
+// daemon and the time since which its counts are unknown.
+func TestReportIncludesCopiesOfReplacedDaemon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &network{keepers: map[netip.AddrPort]*Keeper{}, down: map[netip.AddrPort]bool{}}
 		first, second, third := member("entry-1", "a", 1), member("entry-2", "b", 2), member("entry-3", "c", 3)
 		members := []Member{first, second, third}
 		dying := network.start(first, &members)
-		asked := network.start(second, &members)
+		reporter := network.start(second, &members)
 		network.start(third, &members)
-		answered(dying, 4)
-		answered(asked, 1)
+		recordAnswered(dying, 4)
+		recordAnswered(reporter, 1)
 		dying.Exchange(t.Context())
 		copied := time.Now()
 		time.Sleep(30 * time.Second)
-		answered(dying, 7)
+		recordAnswered(dying, 7)
 		replacement := member("entry-1", "a2", 1)
 		members[0] = replacement
-		answered(network.start(replacement, &members), 2)
+		recordAnswered(network.start(replacement, &members), 2)
 
-		report := asked.Report(t.Context())
-		if got := total(report); got != 4+1+2 {
+		report := reporter.Report(t.Context())
+		if got := totalRequests(report); got != 4+1+2 {
 			t.Errorf("requests counted: got %d, want 7", got)
 		}
 		if len(report.Missing) != 1 || report.Missing[0].VM != "entry-1" || !report.Missing[0].Since.Equal(copied) {
@@ -107,22 +108,23 @@
 	})
 }
 
-// A daemon does not answer the one that gathers the report. Its counts must come from the copy
-// and its name must stand in the report; a daemon without any copy is named as wholly missing.
-func TestSilentDaemonsAreNamed(t *testing.T) {
+// Two daemons do not answer the one that makes the report, which must name both. One of them
+// has sent a copy, from which its counts are taken. There is no copy of the other one, so all of
+// its counts are missing.
+func TestReportNamesSilentDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &network{keepers: map[netip.AddrPort]*Keeper{}, down: map[netip.AddrPort]bool{}}
 		first, second, third := member("entry-1", "a", 1), member("entry-2", "b", 2), member("entry-3", "c", 3)
 		members := []Member{first, second, third}
-		asked := network.start(first, &members)
+		reporter := network.start(first, &members)
 		copied := network.start(second, &members)
 		network.start(third, &members)
-		answered(copied, 3)
+		recordAnswered(copied, 3)
 		copied.Exchange(t.Context())
 		network.down[second.Peer], network.down[third.Peer] = true, true
 
-		report := asked.Report(t.Context())
-		if got := total(report); got != 3 {
+		report := reporter.Report(t.Context())
+		if got := totalRequests(report); got != 3 {
 			t.Errorf("requests counted: got %d, want 3", got)
 		}
 		if len(report.Missing) != 2 {
@@ -137,7 +139,7 @@
 	})
 }
 
-func TestKeepersAreSpreadOverTheDaemons(t *testing.T) {
+func TestCopiesAreSpreadOverDaemons(t *testing.T) {
 	members := []Member{member("entry-3", "c", 3), member("entry-1", "a", 1), member("entry-4", "d", 4), member("entry-2", "b", 2)}
 	tests := []struct {
 		self dogwoodfleet.VM
@@ -158,22 +160,22 @@
 	}
 }
 
-func TestRunSendsEachMinuteAndEndsWithItsContext(t *testing.T) {
+func TestRunSendsCopiesEveryMinuteUntilCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &network{keepers: map[netip.AddrPort]*Keeper{}, down: map[netip.AddrPort]bool{}}
 		members := []Member{member("entry-1", "a", 1), member("entry-2", "b", 2)}
 		sender := network.start(members[0], &members)
 		receiver := network.start(members[1], &members)
 		ctx, cancel := context.WithCancel(t.Context())
-		var running errgroup.Group
-		running.Go(func() error { return sender.Run(ctx) })
-		answered(sender, 2)
+		var group errgroup.Group
+		group.Go(func() error { return sender.Run(ctx) })
+		recordAnswered(sender, 2)
 		time.Sleep(exchangeInterval + time.Second)
 		if got := len(receiver.holdings(time.Now()).Kept); got != 1 {
 			t.Errorf("copies kept: got %d, want 1", got)
 		}
 		cancel()
-		if err := running.Wait(); err != nil {
+		if err := group.Wait(); err != nil {
 			t.Errorf("run: got %v, want nil", err)
 		}
 	})
--- a/core/duty/dogwoodburnkeeper/report.go
+++ b/core/duty/dogwoodburnkeeper/report.go
@@ -13,22 +13,22 @@
 	"dogwoodmux.example/core/dogwoodsettings"
 )
 
-// askAtOnce bounds how many daemons are asked at the same time for a report.
-const askAtOnce = 16
+// maxConcurrentQueries bounds the number of daemons queried at the same time for a report.
+const maxConcurrentQueries = 16
 
-// answer is what one daemon said, or why it said nothing.
+// answer is the counters that one daemon returned, or the error of the call.
 type answer struct {
 	member   Member
 	holdings Holdings
 	err      error
 }
 
-// Report asks all daemons for their counters and works out the burn. Daemons that do not
-// answer are named, with how far a peer's copy goes.
+// Report queries all daemons for their counters and computes the burn. It names the daemons that
+// did not answer, with the time of the latest copy that a peer holds.
 func (keeper *Keeper) Report(ctx context.Context) dogwoodburn.Report {
 	now := time.Now()
 	own := answer{member: keeper.options.Self, holdings: keeper.holdings(now)}
-	answers := append(keeper.ask(ctx), own)
+	answers := append(keeper.queryMembers(ctx), own)
 	sources := gather(now, answers)
 	text := keeper.options.Text()
 	if text == nil {
@@ -46,31 +46,31 @@
 	return report
 }
 
-func (keeper *Keeper) ask(ctx context.Context) []answer {
+func (keeper *Keeper) queryMembers(ctx context.Context) []answer {
 	members := keeper.options.Members()
 	answers := make([]answer, len(members))
-	var asking errgroup.Group
-	asking.SetLimit(askAtOnce)
+	var group errgroup.Group
+	group.SetLimit(maxConcurrentQueries)
 	for i, member := range members {
-		asking.Go(func() error {
-			calling, cancel := context.WithTimeout(ctx, callTimeout)
+		group.Go(func() error {
+			callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
 			answers[i].member = member
-			answers[i].err = keeper.options.Caller.Call(calling, member.Peer, "Burn.Holdings", Ask{}, &answers[i].holdings)
+			answers[i].err = keeper.options.Caller.Call(callCtx, member.Peer, "Burn.Holdings", Ask{}, &answers[i].holdings)
 			return nil
 		})
 	}
-	_ = asking.Wait() // no function of the group returns an error
+	_ = group.Wait() // no function of the group returns an error
 	return answers
 }
 
-// source is the best snapshot of one instance and who gave it.
+// source is the latest snapshot of one instance and the daemon that returned it.
 type source struct {
 	snapshot dogwoodburn.Snapshot
-	giver    dogwoodfleet.VM
+	holder   dogwoodfleet.VM
 }
 
-func (source *source) own() bool { return source.giver == source.snapshot.VM }
+func (source *source) own() bool { return source.holder == source.snapshot.VM }
 
 func (source *source) daemon() dogwoodburn.Daemon {
 	daemon := dogwoodburn.Daemon{
@@ -79,31 +79,32 @@
 		Until:    source.snapshot.TakenAt,
 	}
 	if !source.own() {
-		daemon.KeptBy = source.giver
+		daemon.KeptBy = source.holder
 	}
 	return daemon
 }
 
-// gather picks the furthest snapshot of each instance that some window still reaches.
+// gather returns the latest snapshot of each instance, without those that are older than every
+// window of the report.
 func gather(now time.Time, answers []answer) []source {
-	best := map[dogwoodfleet.InstanceID]source{}
-	offer := func(snapshot dogwoodburn.Snapshot, giver dogwoodfleet.VM) {
-		held, known := best[snapshot.Instance]
-		if !snapshot.Expired(now) && (!known || snapshot.TakenAt.After(held.snapshot.TakenAt)) {
-			best[snapshot.Instance] = source{snapshot: snapshot, giver: giver}
+	latest := map[dogwoodfleet.InstanceID]source{}
+	addIfLater := func(snapshot dogwoodburn.Snapshot, holder dogwoodfleet.VM) {
+		current, known := latest[snapshot.Instance]
+		if !snapshot.Expired(now) && (!known || snapshot.TakenAt.After(current.snapshot.TakenAt)) {
+			latest[snapshot.Instance] = source{snapshot: snapshot, holder: holder}
 		}
 	}
 	for i := range answers {
 		if answers[i].err != nil {
 			continue
 		}
-		offer(answers[i].holdings.Own, answers[i].member.VM)
+		addIfLater(answers[i].holdings.Own, answers[i].member.VM)
 		for _, kept := range answers[i].holdings.Kept {
-			offer(kept, answers[i].member.VM)
+			addIfLater(kept, answers[i].member.VM)
 		}
 	}
-	sources := make([]source, 0, len(best))
-	for _, found := range best {
+	sources := make([]source, 0, len(latest))
+	for _, found := range latest {
 		sources = append(sources, found)
 	}
 	slices.SortFunc(sources, func(a, b source) int {
@@ -112,8 +113,8 @@
 	return sources
 }
 
-// missing names the daemons that should be alive and did not answer, and the ended ones of
-// which only a copy is left: what they counted after it is lost.
+// missing lists the daemons that should be alive and did not answer, and the daemons that ended
+// and left only a copy, whose counts after that copy are lost.
 func missing(answers []answer, sources []source) []dogwoodburn.Missing {
 	var result []dogwoodburn.Missing
 	silent := map[dogwoodfleet.InstanceID]bool{}
@@ -125,7 +126,7 @@
 		silent[member.Instance] = true
 		result = append(result, dogwoodburn.Missing{
 			VM:    member.VM,
-			Since: until(sources, member.Instance),
+			Since: lastSnapshotTime(sources, member.Instance),
 			Why:   "does not answer: " + answers[i].err.Error(),
 		})
 	}
@@ -141,7 +142,7 @@
 	return result
 }
 
-func until(sources []source, instance dogwoodfleet.InstanceID) time.Time {
+func lastSnapshotTime(sources []source, instance dogwoodfleet.InstanceID) time.Time {
 	for i := range sources {
 		if sources[i].snapshot.Instance == instance {
 			return sources[i].snapshot.TakenAt
--- a/core/duty/dogwoodburnkeeper/service.go
+++ b/core/duty/dogwoodburnkeeper/service.go
@@ -6,35 +6,35 @@
 	"dogwoodmux.example/core/decision/dogwoodburn"
 )
 
-// Service is the keeper as other daemons call it, under the name "Burn" of net/rpc.
+// Service is the net/rpc service "Burn", through which other daemons call the keeper.
 type Service struct {
 	keeper *Keeper
 }
 
-// Service returns what to register with the peer server.
+// Service returns the service to register with the peer server.
 func (keeper *Keeper) Service() *Service {
 	return &Service{keeper: keeper}
 }
 
-// Kept answers Keep.
+// Kept is the empty reply of Keep.
 type Kept struct{}
 
-// Ask asks for all that a daemon holds.
+// Ask is the empty argument of Service.Holdings.
 type Ask struct{}
 
-// Holdings are a daemon's own counters and the copies that it keeps of others'.
+// Holdings are a daemon's own counters and its copies of other daemons' counters.
 type Holdings struct {
 	Own  dogwoodburn.Snapshot
 	Kept []dogwoodburn.Snapshot
 }
 
-// Keep takes a copy of the calling daemon's counters.
+// Keep stores a copy of the calling daemon's counters.
 func (service *Service) Keep(snapshot dogwoodburn.Snapshot, _ *Kept) error {
 	service.keeper.keep(snapshot)
 	return nil
 }
 
-// Holdings returns all that the daemon holds.
+// Holdings returns the daemon's own counters and the copies that it holds.
 func (service *Service) Holdings(_ Ask, holdings *Holdings) error {
 	*holdings = service.keeper.holdings(time.Now())
 	return nil
--- a/core/duty/dogwoodorders/orders.go
+++ b/core/duty/dogwoodorders/orders.go
@@ -1,10 +1,11 @@
-// Package dogwoodorders has engines hold the models, versions and adapters that the operators'
-// text names. Each service is a shard; only the daemon that holds the shard's lease gives
-// orders, each with the lease's fencing number and after a check of the lease. What engines
-// report is compared with the text again and again, so a lost order is given again, and
-// nothing need be remembered when the lease changes hands.
+// Package dogwoodorders orders engines to load the models, versions and adapters that the
+// operators' text lists. Each service is a shard. Only the daemon that holds the shard's lease
+// issues orders; it checks the lease before each one and sends the lease's fencing number with
+// it. The engines' reports are compared with the text periodically, so a lost order is issued
+// again and no state has to be handed over when the lease changes hands.
 //
-// Without the platform's table service there is no lease: no new orders, and serving goes on.
+// Leases need the platform's table service. While it is unavailable, no orders are issued and
+// the engines continue to serve requests.
 package dogwoodorders
 
 import (
@@ -30,80 +31,84 @@
 var Error = errs.Class("orders")
 
 const (
-	// DefaultPeriod is the time between looks at a service's engines. A load takes minutes,
-	// so a look every few seconds delays nothing.
+	// DefaultPeriod is the interval between checks of a service's engines. A load takes
+	// minutes, so a check every few seconds adds no noticeable delay.
 	DefaultPeriod = 3 * time.Second
-	// LongestOrder bounds the sending of one order. New lease holders wait it out.
+	// LongestOrder is the timeout for sending one order. A new lease holder waits for this
+	// time before it sends orders to engines that ignore fencing numbers.
 	LongestOrder = 3 * time.Second
-	// reportsAtOnce bounds the engines asked at the same time.
-	reportsAtOnce = 32
+	// maxConcurrentReports bounds the number of engines queried at the same time.
+	maxConcurrentReports = 32
 )
 
-// counters are the orders given by reason, and those refused or held back.
+// counters count the issued orders by reason, the orders that failed or were refused, the
+// loads that the weight store postponed, and the halted roll-outs.
 var counters = expvar.NewMap("Orders")
 
-// Report is what an engine says that it holds.
+// Report is an engine's report of what it holds and is loading.
 type Report struct {
 	Cold    bool
 	Holds   dogwoodplacement.Holding
 	Loading *dogwoodplacement.Holding
 }
 
-// Engines reaches the engines.
+// Engines queries engines and sends orders to them.
 type Engines interface {
 	Report(ctx context.Context, endpoint dogwoodfleet.Endpoint) (Report, error)
-	// Order states what an engine shall hold. The error is *OldFence if it has seen a
-	// higher fencing number.
+	// Order orders an engine to hold wanted. It returns an *OldFence error if the engine has
+	// seen a higher fencing number.
 	Order(ctx context.Context, endpoint dogwoodfleet.Endpoint, fence uint64, wanted dogwoodplacement.Holding) error
 }
 
-// OldFence means that an engine has had orders from a later holder of the lease.
+// OldFence is the error for an order that an engine refused because it has received one from
+// a later holder of the lease.
 type OldFence struct{ Seen uint64 }
 
 func (fence *OldFence) Error() string { return "the engine has seen a higher fencing number" }
 
-// Weights is the weight store. All daemons share its rate, so it is asked before each load.
+// Weights is the weight store. All daemons share its limited rate, so each load needs its
+// permission.
 type Weights interface {
-	// Allow returns 0 if the load may start now, else how long to wait.
+	// Allow returns 0 if the load may start now, otherwise the time to wait before asking again.
 	Allow(ctx context.Context, model dogwoodfleet.Model, version string) (wait time.Duration, err error)
 }
 
-// Leases tells which shards this daemon may give orders for.
+// Leases acquires the leases of shards and reports whether this daemon holds them.
 type Leases interface {
 	Want(shards []string)
 	Fence(shard string) (dogwoodlease.Fence, error)
 }
 
-// Options are what the duty is made from.
+// Options configures a Duty.
 type Options struct {
 	Self dogwoodfleet.InstanceID
 	// Text returns the operators' text in force, or nil before there is one.
 	Text func() *dogwoodsettings.Text
 	// Endpoints returns all endpoints of the region.
 	Endpoints func() []dogwoodfleet.Endpoint
-	// Alive returns the daemons that may hold a lease, this one among them.
+	// Alive returns the daemons that may hold a lease, including this one.
 	Alive   func() []dogwoodfleet.InstanceID
 	Engines Engines
 	Weights Weights
 	Leases  Leases
-	// Period is 0 for DefaultPeriod.
+	// Period is the interval between checks. 0 means DefaultPeriod.
 	Period time.Duration
 	Logger hclog.Logger
 }
 
-// Duty gives the orders.
+// Duty issues orders to the engines of the services whose leases this daemon holds.
 type Duty struct {
 	options Options
 	shards  map[dogwoodfleet.Service]*shard
 }
 
-// shard is a service whose lease this daemon holds.
+// shard is the state of a service whose lease this daemon holds.
 type shard struct {
 	fence   uint64
 	planner *dogwoodplacement.Planner
-	// noLoadBefore is when the weight store may be asked again.
+	// noLoadBefore is the earliest time of the next request to the weight store.
 	noLoadBefore time.Time
-	halted       map[versionKey]bool
+	halted       map[versionKey]bool // roll-outs that were halted at the last check
 }
 
 type versionKey struct {
@@ -111,7 +116,7 @@
 	version string
 }
 
-// New returns the duty.
+// New returns a Duty. Period and Logger have defaults.
 func New(options Options) *Duty {
 	if options.Period == 0 {
 		options.Period = DefaultPeriod
@@ -122,12 +127,12 @@
 	return &Duty{options: options, shards: map[dogwoodfleet.Service]*shard{}}
 }
 
-// Run looks after the engines until the context ends.
+// Run checks the engines and issues orders every Period until the context ends.
 func (duty *Duty) Run(ctx context.Context) error {
 	ticker := time.NewTicker(duty.options.Period)
 	defer ticker.Stop()
 	for {
-		duty.look(ctx)
+		duty.reconcile(ctx)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -136,7 +141,7 @@
 	}
 }
 
-func (duty *Duty) look(ctx context.Context) {
+func (duty *Duty) reconcile(ctx context.Context) {
 	text := duty.options.Text()
 	if text == nil {
 		return
@@ -150,13 +155,13 @@
 		if duty.preferred(service.Name) {
 			wanted = append(wanted, string(service.Name))
 		}
-		duty.tend(ctx, service)
+		duty.reconcileService(ctx, service)
 	}
 	duty.options.Leases.Want(wanted)
 }
 
-// preferred tells whether this daemon is the one that should hold the service's lease, so
-// that the shards spread over the daemons and move only when one comes or goes.
+// preferred reports whether this daemon should hold the service's lease. Rendezvous hashing
+// spreads the shards over the daemons and moves them only when a daemon joins or leaves.
 func (duty *Duty) preferred(service dogwoodfleet.Service) bool {
 	var alive []string
 	for _, instance := range duty.options.Alive() {
@@ -169,8 +174,9 @@
 	return rendezvous.New(alive, xxhash.Sum64String).Lookup(string(service)) == string(duty.options.Self)
 }
 
-// tend compares one service's engines with the text, if this daemon holds its lease.
-func (duty *Duty) tend(ctx context.Context, service *dogwoodsettings.Service) {
+// reconcileService compares one service's engines with the text and issues the orders that
+// are due, if this daemon holds the service's lease.
+func (duty *Duty) reconcileService(ctx context.Context, service *dogwoodsettings.Service) {
 	fence, err := duty.options.Leases.Fence(string(service.Name))
 	if err != nil {
 		delete(duty.shards, service.Name)
@@ -182,17 +188,17 @@
 		duty.shards[service.Name] = held
 	}
 	if !fence.Covers(service.ChecksFencing, time.Now()) {
-		// Failure guarded against: the holder before is only paused, and its last order arrives
-		// after ours at an engine that ignores fencing numbers. By the time that the fence
-		// names, that order has ended, and the engines' state is read after it.
+		// The previous holder may only be paused, and its last order could reach an engine that
+		// ignores fencing numbers after an order of this daemon. The fence gives the time by
+		// which that order has ended; the engines are queried only after it.
 		return
 	}
 	endpoints := duty.endpoints(service.Name)
-	orders := held.planner.Plan(models(service), duty.report(ctx, endpoints), time.Now())
+	orders := held.planner.Plan(models(service), duty.queryEngines(ctx, endpoints), time.Now())
 	duty.logHalted(service, held)
 	for _, order := range orders {
 		endpoint := endpoints[slices.IndexFunc(endpoints, func(endpoint dogwoodfleet.Endpoint) bool { return endpoint.ID == order.Endpoint })]
-		if !duty.give(ctx, service, held, endpoint, order) {
+		if !duty.issue(ctx, service, held, endpoint, order) {
 			return
 		}
 	}
@@ -219,13 +225,13 @@
 	return wanted
 }
 
-// report asks all engines what they hold.
-func (duty *Duty) report(ctx context.Context, endpoints []dogwoodfleet.Endpoint) []dogwoodplacement.Engine {
+// queryEngines queries all endpoints and returns the state of their engines.
+func (duty *Duty) queryEngines(ctx context.Context, endpoints []dogwoodfleet.Endpoint) []dogwoodplacement.Engine {
 	ctx, cancel := context.WithTimeout(ctx, LongestOrder)
 	defer cancel()
 	engines := make([]dogwoodplacement.Engine, len(endpoints))
 	var group errgroup.Group
-	group.SetLimit(reportsAtOnce)
+	group.SetLimit(maxConcurrentReports)
 	for index, endpoint := range endpoints {
 		group.Go(func() error {
 			report, err := duty.options.Engines.Report(ctx, endpoint)
@@ -240,12 +246,12 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // the functions return none
+	_ = group.Wait() // no function of the group returns an error
 	return engines
 }
 
-// give sends one order. It returns false if no more orders are to be given now.
-func (duty *Duty) give(ctx context.Context, service *dogwoodsettings.Service, held *shard, endpoint dogwoodfleet.Endpoint, order dogwoodplacement.Order) bool {
+// issue sends one order. It returns false if no further orders may be issued in this round.
+func (duty *Duty) issue(ctx context.Context, service *dogwoodsettings.Service, held *shard, endpoint dogwoodfleet.Endpoint, order dogwoodplacement.Order) bool {
 	if order.Why != dogwoodplacement.WhyAdapters && !duty.mayLoad(ctx, held, order.Wanted) {
 		return false
 	}
@@ -257,14 +263,14 @@
 	defer cancel()
 	held.planner.Ordered(order, time.Now())
 	err = duty.options.Engines.Order(ctx, endpoint, fence.Number, order.Wanted)
-	var old *OldFence
+	var oldFence *OldFence
 	switch {
-	case errors.As(err, &old):
+	case errors.As(err, &oldFence):
 		counters.Add("OldFence", 1)
-		duty.options.Logger.Warn("order refused, another holds the lease", "service", service.Name, "endpoint", endpoint.ID, "fence", fence.Number, "seen", old.Seen)
+		duty.options.Logger.Warn("order refused, another holds the lease", "service", service.Name, "endpoint", endpoint.ID, "fence", fence.Number, "seen", oldFence.Seen)
 		return false
 	case err != nil:
-		// It may have been taken up all the same; the engine's next report tells.
+		// The engine may have accepted the order nevertheless; its next report shows that.
 		counters.Add("Failed", 1)
 		duty.options.Logger.Warn("order failed", "endpoint", endpoint.ID, "error", err)
 	default:
@@ -274,7 +280,7 @@
 	return true
 }
 
-// mayLoad asks the weight store whether a load may start now.
+// mayLoad reports whether the weight store allows a load to start now.
 func (duty *Duty) mayLoad(ctx context.Context, held *shard, wanted dogwoodplacement.Holding) bool {
 	now := time.Now()
 	if now.Before(held.noLoadBefore) {
@@ -293,7 +299,7 @@
 	return true
 }
 
-// logHalted tells once of each version whose roll-out stopped.
+// logHalted logs each halted roll-out of a version once.
 func (duty *Duty) logHalted(service *dogwoodsettings.Service, held *shard) {
 	for _, model := range service.Models {
 		key := versionKey{model: model.Name, version: model.Version}
@@ -306,9 +312,9 @@
 	}
 }
 
-func earlier(one, other time.Time) time.Time {
-	if one.Before(other) {
-		return one
+func earlier(a, b time.Time) time.Time {
+	if a.Before(b) {
+		return a
 	}
-	return other
+	return b
 }
--- a/core/duty/dogwoodorders/orders_test.go
+++ b/core/duty/dogwoodorders/orders_test.go
@@ -16,14 +16,14 @@
 	"dogwoodmux.example/core/state/dogwoodlease"
 )
 
-// fakeFleet is engines that take some time for an order, and the weight store.
+// fakeFleet simulates engines that need 20 seconds for a load, and the weight store.
 type fakeFleet struct {
-	mutex   sync.Mutex
-	checks  bool
-	engines map[dogwoodfleet.EndpointID]*fakeEngine
-	orders  []uint64
-	loads   []time.Time
-	every   time.Duration // between loads
+	mutex         sync.Mutex
+	checksFencing bool
+	engines       map[dogwoodfleet.EndpointID]*fakeEngine
+	orders        []uint64 // the fencing numbers of the accepted orders
+	loads         []time.Time
+	loadInterval  time.Duration // the shortest time between loads
 }
 
 type fakeEngine struct {
@@ -63,7 +63,7 @@
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	engine := fleet.engines[endpoint.ID]
-	if fleet.checks && fence < engine.fence {
+	if fleet.checksFencing && fence < engine.fence {
 		return &OldFence{Seen: engine.fence}
 	}
 	engine.fence = max(engine.fence, fence)
@@ -76,14 +76,14 @@
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	now := time.Now()
-	if count := len(fleet.loads); count > 0 && now.Sub(fleet.loads[count-1]) < fleet.every {
-		return fleet.every - now.Sub(fleet.loads[count-1]), nil
+	if count := len(fleet.loads); count > 0 && now.Sub(fleet.loads[count-1]) < fleet.loadInterval {
+		return fleet.loadInterval - now.Sub(fleet.loads[count-1]), nil
 	}
 	fleet.loads = append(fleet.loads, now)
 	return 0, nil
 }
 
-// fakeLease is what one daemon believes of its lease.
+// fakeLease is one daemon's view of its lease, which may be out of date.
 type fakeLease struct {
 	mutex sync.Mutex
 	fence dogwoodlease.Fence
@@ -106,9 +106,9 @@
 	lease.fence = fence
 }
 
-func duty(fleet *fakeFleet, leases Leases, version string) *Duty {
+func newDuty(fleet *fakeFleet, leases Leases, version string) *Duty {
 	text := &dogwoodsettings.Text{Services: []dogwoodsettings.Service{{
-		Name: "pool", Kind: dogwoodfleet.EnginePool, ChecksFencing: fleet.checks,
+		Name: "pool", Kind: dogwoodfleet.EnginePool, ChecksFencing: fleet.checksFencing,
 		Models: []dogwoodsettings.Model{{Name: "m", Version: version, Replicas: len(fleet.engines)}},
 	}}}
 	return New(Options{
@@ -118,7 +118,7 @@
 	})
 }
 
-// run runs duties for a time.
+// run runs the duties concurrently for the given time.
 func run(t *testing.T, length time.Duration, duties ...*Duty) {
 	ctx, cancel := context.WithTimeout(t.Context(), length)
 	defer cancel()
@@ -133,19 +133,20 @@
 	group.Wait()
 }
 
-// A lease holder is paused, another takes over and rolls the next version, and then the
-// first wakes and still believes in its lease. Engines that check the fencing number refuse
-// it; the ones that don't must be protected by the wait of the new holder.
-func TestPausedHolderWakes(t *testing.T) {
+// A lease holder is paused, another daemon takes over and rolls out the next version, and then
+// the first one resumes with a lease that it still considers valid. Engines that check fencing
+// numbers must refuse its orders. Engines that don't are protected by the wait of the new holder
+// (see TestNewHolderWaitsIfEnginesIgnoreFencing).
+func TestEnginesRefuseOrdersOfPausedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFakeFleet(3)
-		fleet.checks = true
+		fleet.checksFencing = true
 		hour := time.Now().Add(time.Hour)
-		old, present := &fakeLease{}, &fakeLease{}
-		present.set(dogwoodlease.Fence{Number: 8, Until: hour})
-		run(t, 5*time.Minute, duty(fleet, present, "2"))
-		old.set(dogwoodlease.Fence{Number: 7, Until: hour})
-		run(t, 5*time.Minute, duty(fleet, old, "1"))
+		oldLease, newLease := &fakeLease{}, &fakeLease{}
+		newLease.set(dogwoodlease.Fence{Number: 8, Until: hour})
+		run(t, 5*time.Minute, newDuty(fleet, newLease, "2"))
+		oldLease.set(dogwoodlease.Fence{Number: 7, Until: hour})
+		run(t, 5*time.Minute, newDuty(fleet, oldLease, "1"))
 		for id, engine := range fleet.engines {
 			if got := engine.holds.Version; got != "2" {
 				t.Errorf("%s: got version %q, want 2", id, got)
@@ -154,52 +155,56 @@
 	})
 }
 
-func TestNewHolderWaitsForUncheckedEngines(t *testing.T) {
+// Engines that ignore fencing numbers could accept a late order of the previous lease holder, so
+// the new holder must not send orders before the time that its fence gives for such engines.
+func TestNewHolderWaitsIfEnginesIgnoreFencing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFakeFleet(3)
-		begun := time.Now()
+		start := time.Now()
 		lease := &fakeLease{}
-		lease.set(dogwoodlease.Fence{Number: 8, Until: begun.Add(time.Hour), Unchecked: begun.Add(time.Minute)})
-		run(t, 5*time.Minute, duty(fleet, lease, "1"))
-		if got := fleet.loads[0].Sub(begun); got < time.Minute {
+		lease.set(dogwoodlease.Fence{Number: 8, Until: start.Add(time.Hour), Unchecked: start.Add(time.Minute)})
+		run(t, 5*time.Minute, newDuty(fleet, lease, "1"))
+		if got := fleet.loads[0].Sub(start); got < time.Minute {
 			t.Errorf("got the first order after %v, want at least a minute", got)
 		}
 	})
 }
 
-// Two operators' edits load many engines at once, and the weight store serves all daemons at
-// a limited rate. Orders beyond it would time out half loaded, on engines that then serve nothing.
-func TestLoadsKeepToTheWeightStoresRate(t *testing.T) {
+// Two edits of the operators' text make many engines load at once, and the weight store serves
+// all daemons at a limited rate. Loads beyond that rate would time out before they are complete
+// and leave engines that serve nothing.
+func TestLoadsRespectWeightStoreRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFakeFleet(6)
-		fleet.every = 30 * time.Second
+		fleet.loadInterval = 30 * time.Second
 		lease := &fakeLease{}
 		lease.set(dogwoodlease.Fence{Number: 1, Until: time.Now().Add(time.Hour)})
-		run(t, 10*time.Minute, duty(fleet, lease, "1"))
+		run(t, 10*time.Minute, newDuty(fleet, lease, "1"))
 		if got := len(fleet.orders); got != 6 {
 			t.Errorf("got %d orders, want 6", got)
 		}
 		for index := 1; index < len(fleet.loads); index++ {
-			if got := fleet.loads[index].Sub(fleet.loads[index-1]); got < fleet.every {
-				t.Errorf("got %v between loads, want at least %v", got, fleet.every)
+			if got := fleet.loads[index].Sub(fleet.loads[index-1]); got < fleet.loadInterval {
+				t.Errorf("got %v between loads, want at least %v", got, fleet.loadInterval)
 			}
 		}
 	})
 }
 
-// The lease ends between two orders of one plan. The second must not be given.
-func TestNoOrderAfterTheLease(t *testing.T) {
+// The lease changes hands while the orders of one plan are being issued. The remaining orders
+// must not be issued.
+func TestNoOrderAfterLeaseChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFakeFleet(4)
 		lease := &fakeLease{}
 		lease.set(dogwoodlease.Fence{Number: 1, Until: time.Now().Add(time.Hour)})
-		made := duty(fleet, lease, "1")
-		made.options.Weights = allowFunc(func() {
+		duty := newDuty(fleet, lease, "1")
+		duty.options.Weights = allowFunc(func() {
 			if len(fleet.orders) == 2 {
 				lease.set(dogwoodlease.Fence{Number: 3, Until: time.Now().Add(time.Hour), Unchecked: time.Now().Add(time.Hour)})
 			}
 		})
-		run(t, 30*time.Second, made)
+		run(t, 30*time.Second, duty)
 		if got, want := fleet.orders, []uint64{1, 1}; !slices.Equal(got, want) {
 			t.Errorf("got orders with fences %v, want %v", got, want)
 		}
--- a/core/duty/dogwoodreconcile/reconcile.go
+++ b/core/duty/dogwoodreconcile/reconcile.go
@@ -1,7 +1,8 @@
-// Package dogwoodreconcile asks the engines that this daemon owns what they hold, how they
-// are and what their prefix caches did, and tells the soft owner. What the owner knows from
-// its own grants is always ahead of this; the engines' word puts right what grants can't
-// tell: streams of entries that died, engines that restarted, memory that was never freed.
+// Package dogwoodreconcile periodically queries the engines that this daemon owns for their
+// streams, their state and the events of their prefix caches, and reports the results to the
+// owner. The owner's record of its grants is always newer than these reports. The reports correct
+// what grants can't show: streams of entry daemons that died, engines that restarted, and memory
+// that was never released.
 package dogwoodreconcile
 
 import (
@@ -20,48 +21,48 @@
 )
 
 const (
-	// DefaultPeriod is the time between questions to an engine. An engine that turned cold or
-	// restarted is found within it, and a daemon with the twelve engines of the largest plan
-	// asks 24 questions a second.
+	// DefaultPeriod is the interval between the queries to an engine, and so the time within
+	// which a cold or restarted engine is detected. A daemon with the twelve engines of the
+	// largest plan sends 24 queries a second.
 	DefaultPeriod = time.Second
-	// askTime bounds the questions to one engine in one round.
-	askTime = 4 * time.Second
-	// asksAtOnce bounds the engines asked at the same time, of which dead ones take
-	// the whole time.
-	asksAtOnce = 32
+	// queryTimeout bounds all queries to one engine in one round.
+	queryTimeout = 4 * time.Second
+	// maxConcurrentQueries bounds the number of engines queried at the same time. The queries
+	// to a dead engine last for the whole queryTimeout.
+	maxConcurrentQueries = 32
 )
 
-// counters count questions that failed and streams that were cancelled.
+// counters count the queries that failed, the orphaned streams and the gaps in cache events.
 var counters = expvar.NewMap("Reconcile")
 
-// State is an engine's answer to what it holds and how it is.
+// State is an engine's report of its streams, its memory and its models.
 type State struct {
 	Instance     dogwoodfleet.InstanceID
 	Cold         bool
 	MemoryTokens int
-	// Listed are the streams that are not over, and the reservations.
+	// Listed holds the streams that have not ended, and the reservations.
 	Listed   []dogwoodmemory.Listed
 	Models   []dogwoodfleet.Model
 	Adapters []dogwoodfleet.Adapter
 }
 
-// Cache is an engine's answer to what its prefix cache did.
+// Cache holds the events of an engine's prefix cache since the previous query.
 type Cache struct {
 	Instance dogwoodfleet.InstanceID
 	Events   []dogwoodprefix.Event
 	Gap      bool
-	// Last is the number to ask after the next time.
+	// Last is the number of the latest event, after which the next query starts.
 	Last uint64
 }
 
-// Engines reaches the engines.
+// Engines queries engines and cancels their streams.
 type Engines interface {
 	State(ctx context.Context, endpoint dogwoodfleet.Endpoint) (State, error)
 	Cancel(ctx context.Context, endpoint dogwoodfleet.Endpoint, id dogwoodfleet.RequestID) error
 	Cache(ctx context.Context, endpoint dogwoodfleet.Endpoint, after uint64) (Cache, error)
 }
 
-// Owner is the soft owner that learns from the engines.
+// Owner receives the engines' reports.
 type Owner interface {
 	Report(id dogwoodfleet.EndpointID, report dogwoodowner.LoadReport)
 	Reconcile(id dogwoodfleet.EndpointID, report dogwoodmemory.Report) []dogwoodowner.Orphan
@@ -69,34 +70,34 @@
 	CacheEvents(id dogwoodfleet.EndpointID, instance dogwoodfleet.InstanceID, events []dogwoodprefix.Event, gap bool)
 }
 
-// Options are what the duty is made from.
+// Options configures a Duty.
 type Options struct {
 	// Owned returns the engines that this daemon owns now.
 	Owned   func() []dogwoodfleet.Endpoint
 	Engines Engines
 	Owner   Owner
-	// Period is 0 for DefaultPeriod.
+	// Period is the interval between queries. 0 means DefaultPeriod.
 	Period time.Duration
 	Logger hclog.Logger
 }
 
-// Duty asks the engines.
+// Duty queries the engines and reports the results to the owner.
 type Duty struct {
 	options Options
 
-	mutex sync.Mutex
-	asked map[dogwoodfleet.EndpointID]*progress
+	mutex   sync.Mutex
+	engines map[dogwoodfleet.EndpointID]*engineProgress
 }
 
-// progress is how far the questions to an engine are.
-type progress struct {
-	busy     bool
+// engineProgress is the progress of the queries to one engine.
+type engineProgress struct {
+	querying bool
 	instance dogwoodfleet.InstanceID
-	// last is the number of the latest cache event.
-	last uint64
+	// lastEvent is the number of the last cache event received from this instance.
+	lastEvent uint64
 }
 
-// New returns the duty.
+// New returns a Duty. Period and Logger have defaults.
 func New(options Options) *Duty {
 	if options.Period == 0 {
 		options.Period = DefaultPeriod
@@ -104,72 +105,73 @@
 	if options.Logger == nil {
 		options.Logger = hclog.NewNullLogger()
 	}
-	return &Duty{options: options, asked: map[dogwoodfleet.EndpointID]*progress{}}
+	return &Duty{options: options, engines: map[dogwoodfleet.EndpointID]*engineProgress{}}
 }
 
-// Run asks until the context ends.
+// Run queries the engines every Period until the context ends.
 func (duty *Duty) Run(ctx context.Context) error {
-	// An errgroup and not a pond pool: stopping a pool uses a pool of the whole process, which
-	// tests on paused time can't share.
-	var asks errgroup.Group
-	asks.SetLimit(asksAtOnce)
+	// This is an errgroup because stopping a pond pool uses a process-wide pool, which tests in
+	// synctest bubbles can't share.
+	var group errgroup.Group
+	group.SetLimit(maxConcurrentQueries)
 	ticker := time.NewTicker(duty.options.Period)
 	defer ticker.Stop()
 	for {
-		for _, due := range duty.due() {
-			asks.Go(func() error {
-				duty.ask(ctx, due)
+		for _, query := range duty.dueQueries() {
+			group.Go(func() error {
+				duty.queryEngine(ctx, query)
 				return nil
 			})
 		}
 		select {
 		case <-ctx.Done():
-			return asks.Wait()
+			return group.Wait()
 		case <-ticker.C:
 		}
 	}
 }
 
-// question is one that is due.
-type question struct {
+// query is a query to one engine.
+type query struct {
 	endpoint dogwoodfleet.Endpoint
-	known    *progress
+	progress *engineProgress
 }
 
-// due returns the owned engines that no question is under way to, and marks them.
-func (duty *Duty) due() []question {
+// dueQueries returns a query for each owned engine that has none in progress, and marks these
+// engines as being queried.
+func (duty *Duty) dueQueries() []query {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	var due []question
-	owned := map[dogwoodfleet.EndpointID]*progress{}
+	var due []query
+	owned := map[dogwoodfleet.EndpointID]*engineProgress{}
 	for _, endpoint := range duty.options.Owned() {
 		if endpoint.Kind != dogwoodfleet.EnginePool {
 			continue
 		}
-		known := duty.asked[endpoint.ID]
-		if known == nil {
-			known = &progress{}
+		progress := duty.engines[endpoint.ID]
+		if progress == nil {
+			progress = &engineProgress{}
 		}
-		owned[endpoint.ID] = known
-		if !known.busy {
-			known.busy = true
-			due = append(due, question{endpoint: endpoint, known: known})
+		owned[endpoint.ID] = progress
+		if !progress.querying {
+			progress.querying = true
+			due = append(due, query{endpoint: endpoint, progress: progress})
 		}
 	}
-	duty.asked = owned
+	duty.engines = owned
 	return due
 }
 
-// ask asks one engine and tells the owner.
-func (duty *Duty) ask(ctx context.Context, due question) {
-	endpoint, known := due.endpoint, due.known
+// queryEngine queries one engine, reports the results to the owner and cancels orphaned streams.
+func (duty *Duty) queryEngine(ctx context.Context, query query) {
+	endpoint, progress := query.endpoint, query.progress
 	defer func() {
 		duty.mutex.Lock()
 		defer duty.mutex.Unlock()
-		known.busy = false
+		progress.querying = false
 	}()
-	asked := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+	queriedAt := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	state, err := duty.options.Engines.State(ctx, endpoint)
 	if err != nil {
@@ -177,9 +179,10 @@
 		duty.options.Logger.Debug("engine does not answer", "endpoint", endpoint.ID, "error", err)
 		return
 	}
-	// Its age counts from the question, so that nothing granted since is taken for missing.
+	// The age counts from the start of the query, so that the owner doesn't treat a grant that it
+	// has made since then as missing.
 	duty.options.Owner.Report(endpoint.ID, dogwoodowner.LoadReport{
-		Age:          time.Since(asked),
+		Age:          time.Since(queriedAt),
 		Instance:     state.Instance,
 		Cold:         state.Cold,
 		MemoryTokens: state.MemoryTokens,
@@ -187,20 +190,21 @@
 		Adapters:     state.Adapters,
 	})
 	orphans := duty.options.Owner.Reconcile(endpoint.ID, dogwoodmemory.Report{
-		Asked:        asked,
+		Asked:        queriedAt,
 		Instance:     state.Instance,
 		MemoryTokens: state.MemoryTokens,
 		Listed:       state.Listed,
 	})
-	duty.cancel(ctx, endpoint, orphans)
-	duty.askCache(ctx, endpoint, known, state.Instance)
+	duty.cancelOrphans(ctx, endpoint, orphans)
+	duty.queryCache(ctx, endpoint, progress, state.Instance)
 }
 
-// cancel ends streams that no one holds. One that fails is returned with the next list.
-func (duty *Duty) cancel(ctx context.Context, endpoint dogwoodfleet.Endpoint, orphans []dogwoodowner.Orphan) {
+// cancelOrphans cancels streams that have no holder. If a cancel fails, the owner returns the
+// stream again after the next query.
+func (duty *Duty) cancelOrphans(ctx context.Context, endpoint dogwoodfleet.Endpoint, orphans []dogwoodowner.Orphan) {
 	for _, orphan := range orphans {
 		counters.Add("Orphans", 1)
-		duty.options.Logger.Warn("cancelling a stream that no one holds", "endpoint", endpoint.ID, "request", orphan.Request)
+		duty.options.Logger.Warn("cancelling a stream without a holder", "endpoint", endpoint.ID, "request", orphan.Request)
 		if err := duty.options.Engines.Cancel(ctx, endpoint, orphan.Request); err != nil {
 			duty.options.Logger.Warn("cancel failed", "endpoint", endpoint.ID, "request", orphan.Request, "error", err)
 			continue
@@ -211,20 +215,20 @@
 	}
 }
 
-func (duty *Duty) askCache(ctx context.Context, endpoint dogwoodfleet.Endpoint, known *progress, instance dogwoodfleet.InstanceID) {
-	if known.instance != instance {
-		known.instance, known.last = instance, 0
+func (duty *Duty) queryCache(ctx context.Context, endpoint dogwoodfleet.Endpoint, progress *engineProgress, instance dogwoodfleet.InstanceID) {
+	if progress.instance != instance {
+		progress.instance, progress.lastEvent = instance, 0
 	}
-	cache, err := duty.options.Engines.Cache(ctx, endpoint, known.last)
+	cache, err := duty.options.Engines.Cache(ctx, endpoint, progress.lastEvent)
 	if err != nil {
 		counters.Add("Unanswered", 1)
 		return
 	}
-	if cache.Instance != known.instance {
-		known.instance, known.last = cache.Instance, 0
-		return // it restarted between the two questions
+	if cache.Instance != progress.instance {
+		progress.instance, progress.lastEvent = cache.Instance, 0
+		return // the engine restarted between the two queries
 	}
-	known.last = cache.Last
+	progress.lastEvent = cache.Last
 	if cache.Gap {
 		counters.Add("CacheGaps", 1)
 	}
--- a/core/duty/dogwoodreconcile/reconcile_test.go
+++ b/core/duty/dogwoodreconcile/reconcile_test.go
@@ -15,19 +15,21 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-// fakes are two engines, one of which never answers, and an owner that notes what it is told.
+// fakes simulates two engines, one of which never answers, and an owner that records the reports
+// it receives.
 type fakes struct {
 	mutex    sync.Mutex
 	instance dogwoodfleet.InstanceID
 	delay    time.Duration
-	afters   []uint64
-	reports  []dogwoodowner.LoadReport
-	asked    []time.Time
-	applied  [][]dogwoodprefix.Event
-	orphans  []dogwoodowner.Orphan
-	// failed cancels are lost on their way.
-	failed    int
-	cancelled []dogwoodowner.GrantID
+	// queriedAfter holds the event numbers after which cache events were queried.
+	queriedAfter []uint64
+	reports      []dogwoodowner.LoadReport
+	queriedAt    []time.Time
+	applied      [][]dogwoodprefix.Event
+	orphans      []dogwoodowner.Orphan
+	// failingCancels is the number of cancels that are still to fail.
+	failingCancels int
+	cancelled      []dogwoodowner.GrantID
 }
 
 func (fakes *fakes) owned() []dogwoodfleet.Endpoint {
@@ -52,9 +54,9 @@
 func (fakes *fakes) Cache(_ context.Context, _ dogwoodfleet.Endpoint, after uint64) (Cache, error) {
 	fakes.mutex.Lock()
 	defer fakes.mutex.Unlock()
-	fakes.afters = append(fakes.afters, after)
-	next := after + 1
-	return Cache{Instance: fakes.instance, Last: next, Events: []dogwoodprefix.Event{{Sequence: next}}}, nil
+	fakes.queriedAfter = append(fakes.queriedAfter, after)
+	sequence := after + 1
+	return Cache{Instance: fakes.instance, Last: sequence, Events: []dogwoodprefix.Event{{Sequence: sequence}}}, nil
 }
 
 func (fakes *fakes) Report(id dogwoodfleet.EndpointID, report dogwoodowner.LoadReport) {
@@ -67,7 +69,7 @@
 	if id != "lives" {
 		return nil
 	}
-	fakes.asked = append(fakes.asked, report.Asked)
+	fakes.queriedAt = append(fakes.queriedAt, report.Asked)
 	return fakes.orphans
 }
 
@@ -77,8 +79,8 @@
 }
 
 func (fakes *fakes) Cancel(context.Context, dogwoodfleet.Endpoint, dogwoodfleet.RequestID) error {
-	if fakes.failed > 0 {
-		fakes.failed--
+	if fakes.failingCancels > 0 {
+		fakes.failingCancels--
 		return errors.New("lost")
 	}
 	return nil
@@ -96,9 +98,9 @@
 	}
 }
 
-// One engine takes every question and answers none. The others must be asked on time all
-// the same, and what an answer says counts from when it was asked for.
-func TestOneDeadEngineHoldsUpNoOther(t *testing.T) {
+// One engine accepts every query and answers none. The other engines must still be queried on
+// time, and the age of a report must count from the start of the query.
+func TestDeadEngineDoesNotDelayOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fakes := &fakes{instance: "i1", delay: 100 * time.Millisecond}
 		fakes.run(t, 5500*time.Millisecond)
@@ -108,15 +110,16 @@
 		if got := fakes.reports[0].Age; got != fakes.delay {
 			t.Errorf("got age %v, want %v", got, fakes.delay)
 		}
-		if got, want := fakes.afters, []uint64{0, 1, 2, 3, 4, 5}; !slices.Equal(got, want) {
+		if got, want := fakes.queriedAfter, []uint64{0, 1, 2, 3, 4, 5}; !slices.Equal(got, want) {
 			t.Errorf("got events asked for after %v, want %v", got, want)
 		}
 	})
 }
 
-// An engine restarts and counts its cache events from one again. Asked for events after the
-// old number it would answer nothing for hours, and its hints would be of the dead process.
-func TestNewInstanceIsAskedFromItsFirstEvent(t *testing.T) {
+// An engine restarts and numbers its cache events from one again. A query for events after the
+// old number would return nothing for hours, and the hints about its cache would be those of the
+// dead process.
+func TestNewInstanceIsQueriedFromFirstEvent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fakes := &fakes{instance: "i1"}
 		fakes.run(t, 3500*time.Millisecond)
@@ -125,20 +128,20 @@
 			defer fakes.mutex.Unlock()
 			fakes.instance = "i2"
 		})
-		fakes.afters = nil
+		fakes.queriedAfter = nil
 		fakes.run(t, 3500*time.Millisecond)
-		if got, want := fakes.afters, []uint64{0, 1, 0, 1}; !slices.Equal(got, want) {
+		if got, want := fakes.queriedAfter, []uint64{0, 1, 0, 1}; !slices.Equal(got, want) {
 			t.Errorf("got events asked for after %v, want %v", got, want)
 		}
 	})
 }
 
-// An entry dies, and the cancel of its stream is lost twice. The memory would be the
-// stream's until its deadline unless the cancel is sent again.
-func TestOrphanIsCancelledUntilConfirmed(t *testing.T) {
+// An entry daemon dies, and the cancel of its stream is lost twice. Unless the cancel is sent
+// again, the stream holds its memory until its deadline.
+func TestOrphanCancelIsRetriedUntilConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		grant := dogwoodowner.GrantID{Owner: "owner", Number: 1}
-		fakes := &fakes{instance: "i1", failed: 2, orphans: []dogwoodowner.Orphan{{Grant: grant, Request: "r1"}}}
+		fakes := &fakes{instance: "i1", failingCancels: 2, orphans: []dogwoodowner.Orphan{{Grant: grant, Request: "r1"}}}
 		fakes.run(t, 5500*time.Millisecond)
 		if got, want := fakes.cancelled, []dogwoodowner.GrantID{grant}; !slices.Equal(got, want) {
 			t.Errorf("got %v cancelled, want %v", got, want)
