--- a/core/state/dogwoodchange/change.go
+++ b/core/state/dogwoodchange/change.go
@@ -1,13 +1,14 @@
-// Package dogwoodchange keeps the operators' changes in one order that every daemon
-// follows and never leaves.
+// Package dogwoodchange keeps the operators' changes in a single order that all daemons
+// follow.
 //
 // An accepted change is a row "version N+1" of the change log, inserted if absent, so that
-// of two crossing changes one comes first and the other is judged against its outcome. The
-// state of the system is the fold of the rows. A daemon's view only moves forward, one
-// version at a time, whatever an old read or a peer with older state tells it.
+// of two concurrent changes one comes first and the other is checked against the resulting
+// state. The state of the system is the fold of the rows. A daemon applies the changes in
+// version order without gaps. Its version only increases: neither a stale read nor an update
+// from a peer with older state lowers it.
 //
-// Without it, two operators who edit at once overwrite each other silently, and a daemon
-// that reads an old copy of the configuration goes back to it.
+// Without it, two operators who edit concurrently would silently overwrite each other's
+// changes, and a daemon that reads a stale copy of the operators' text would revert to it.
 package dogwoodchange
 
 import (
@@ -33,15 +34,17 @@
 	TakeOut Kind = "TakeOut"
 	// BringBack puts a data centre or a VM back into service.
 	BringBack Kind = "BringBack"
-	// LiftConviction lets a request digest run again that was held for killing endpoints.
+	// LiftConviction allows the requests with a given digest, which were held back for
+	// crashing endpoints, to run again.
 	LiftConviction Kind = "LiftConviction"
 )
 
 // Change is one change by an operator.
 type Change struct {
-	// Version is its place in the order; 0 until it is kept in the log.
+	// Version is its position in the order, or 0 until the log holds it.
 	Version uint64 `json:",omitempty"`
-	// ID is random and names the change, so that sending it again does not make two.
+	// ID is random and identifies the change, so that submitting it again does not create a second
+	// one.
 	ID     string
 	Kind   Kind
 	Author string
@@ -49,34 +52,34 @@
 	// BasedOn is the text version that an ApplyText replaces.
 	BasedOn uint64 `json:",omitempty"`
 	Text    []byte `json:",omitempty"`
-	// DataCentre or VM is what TakeOut and BringBack are about; one of them is empty.
+	// DataCentre or VM is what a TakeOut or BringBack applies to; the other one is empty.
 	DataCentre dogwoodfleet.DataCentre `json:",omitempty"`
 	VM         dogwoodfleet.VM         `json:",omitempty"`
-	// Digest is the request, in hexadecimal, that LiftConviction is about.
+	// Digest is the digest, in hexadecimal, of the request that LiftConviction applies to.
 	Digest string `json:",omitempty"`
-	// Force takes out even the last place of a service.
+	// Force allows a TakeOut that leaves a service without an endpoint.
 	Force bool `json:",omitempty"`
-	// Provisional is true for a TakeOut in force that the log does not hold yet.
+	// Provisional is true for a TakeOut that is in force but not in the log yet.
 	Provisional bool `json:",omitempty"`
 }
 
-// Accepted tells how a change was accepted.
+// Accepted reports how a change was accepted.
 type Accepted struct {
-	// ID names the change, also if Submit chose it.
+	// ID identifies the change. Submit generates it if the change has none.
 	ID string
-	// Version is the change's place in the order, or 0 while it is provisional.
+	// Version is the change's position in the order, or 0 while it is provisional.
 	Version uint64
 	// Kept is true if the log holds the change. A provisional TakeOut is in force at the
-	// daemons that were reached and is kept when the store is back.
+	// daemons that were reached, and is written to the log when the store is back.
 	Kept bool
 }
 
-// Conflict tells that the text was changed since the version that an ApplyText is based on.
+// Conflict reports that the text has changed since the version that an ApplyText is based on.
 type Conflict struct {
 	// BasedOn and Current are text versions.
 	BasedOn uint64
 	Current uint64
-	// Author and At tell whose text is current.
+	// Author and At are the author and time of the current text.
 	Author string
 	At     time.Time
 }
@@ -86,8 +89,8 @@
 		conflict.BasedOn, conflict.Current, conflict.Author, conflict.At.Format(time.RFC3339))
 }
 
-// Unavailable tells that the store can't be reached and this submission changed nothing. An
-// earlier one of the same ID whose outcome was unknown stays unknown.
+// Unavailable reports that the store can't be reached and this submission changed nothing.
+// If the outcome of an earlier submission with the same ID was unknown, it stays unknown.
 type Unavailable struct {
 	Cause error
 }
@@ -98,7 +101,7 @@
 
 func (unavailable *Unavailable) Unwrap() error { return unavailable.Cause }
 
-// Unknown tells that the change may be in the log or may yet come there. Submitting it
+// Unknown reports that the change may be in the log or may reach it later. Submitting it
 // again with the same ID is safe.
 type Unknown struct {
 	ID    string
@@ -111,13 +114,13 @@
 
 func (unknown *Unknown) Unwrap() error { return unknown.Cause }
 
-// Refused tells that the change is wrong in itself or would leave services without any
-// endpoint.
+// Refused reports that the change is invalid or would leave services without an endpoint.
 type Refused struct {
 	Reason string
-	// Stranded are the services that would be left without an endpoint; Force overrides it.
+	// Stranded are the services that would be left without an endpoint. A change with Force set
+	// is not refused for them.
 	Stranded []dogwoodfleet.Service
-	// Cause is set when the text can't be read.
+	// Cause is set if the text can't be parsed.
 	Cause error
 }
 
--- a/core/state/dogwoodchange/log.go
+++ b/core/state/dogwoodchange/log.go
@@ -13,27 +13,28 @@
 	"dogwoodmux.example/core/state/dogwoodtable"
 )
 
-// Store is what the log needs of the table service.
+// Store is the part of the table service that the log uses.
 type Store interface {
 	Read(ctx context.Context, table, key string) (dogwoodtable.Row, bool, error)
 	List(ctx context.Context, selection dogwoodtable.Range) ([]dogwoodtable.Row, error)
 	Commit(ctx context.Context, writes ...dogwoodtable.Write) ([]uint64, error)
 }
 
-// Objects is what the log needs of the object store, for snapshots.
+// Objects is the part of the object store that the log uses, for snapshots.
 type Objects interface {
 	PutObject(ctx context.Context, name string, body []byte) error
 	GetObject(ctx context.Context, name string) ([]byte, bool, error)
 }
 
-// Options configure a log.
+// Options configures a Log.
 type Options struct {
 	Store   Store
 	Objects Objects
-	// VMs returns the platform's list as it is known, to tell which services a take-out
-	// would strand. It is nil in a daemon that accepts no changes.
+	// VMs returns the latest known list of the platform's VMs. It is used to find the services
+	// that a take-out would leave without an endpoint, and is nil in a daemon that accepts no
+	// changes.
 	VMs func() []dogwoodfleet.ListedVM
-	// Logger is nil for none.
+	// Logger may be nil.
 	Logger hclog.Logger
 }
 
@@ -42,21 +43,21 @@
 	options Options
 	current atomic.Pointer[View]
 
-	// submitting lets one change of this daemon at a time go to the store.
+	// submitting is a semaphore that lets this daemon write one change at a time to the store.
 	submitting chan struct{}
 	accepted   chan struct{}
 
 	mutex       sync.Mutex
 	fold        *fold
 	provisional []Change
-	ahead       map[uint64]Change // heard of before those in between
+	ahead       map[uint64]Change // received before the changes that precede them
 	changed     chan struct{}
 }
 
-// maxAhead bounds the changes kept that came before those in between.
+// maxAhead bounds the changes held that were received out of order.
 const maxAhead = 1024
 
-// New returns a log at version 0. Start it with CatchUp or Merge.
+// New returns a log at version 0. CatchUp or Merge brings it up to date.
 func New(options Options) *Log {
 	if options.Logger == nil {
 		options.Logger = hclog.NewNullLogger()
@@ -85,58 +86,59 @@
 	return log.changed
 }
 
-// Accepted receives when this daemon has accepted a change that its peers should be told.
+// Accepted returns a channel that receives when this daemon has accepted a change that must
+// be sent to its peers.
 func (log *Log) Accepted() <-chan struct{} {
 	return log.accepted
 }
 
-// News is what one daemon tells another about the log.
+// News is an update of the log that one daemon sends to another.
 type News struct {
-	// Version is the teller's own.
+	// Version is the sender's version.
 	Version uint64
 	// Snapshot is set if Changes alone would leave a gap.
 	Snapshot *Snapshot
 	Changes  []Change
-	// Provisional are the take-outs that the log does not hold yet.
+	// Provisional are the take-outs that are not in the log yet.
 	Provisional []Change
 }
 
-// Since returns what a daemon at that version lacks.
+// Since returns the update for a daemon at that version.
 func (log *Log) Since(version uint64) News {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	state := &log.fold.snapshot
-	news := News{Version: state.Version, Provisional: slices.Clone(log.provisional)}
+	update := News{Version: state.Version, Provisional: slices.Clone(log.provisional)}
 	if version >= state.Version {
-		return news
+		return update
 	}
 	missing := state.Version - version
 	if missing > uint64(len(log.fold.latest)) {
 		copied := *state
 		copied.IDs = slices.Clone(state.IDs)
-		news.Snapshot = &copied
-		return news
+		update.Snapshot = &copied
+		return update
 	}
-	news.Changes = slices.Clone(log.fold.latest[uint64(len(log.fold.latest))-missing:])
-	return news
+	update.Changes = slices.Clone(log.fold.latest[uint64(len(log.fold.latest))-missing:])
+	return update
 }
 
-// Merge takes in what a peer or the store tells. Older news changes nothing. It reports
-// whether the view changed.
-func (log *Log) Merge(news News) bool {
+// Merge applies an update from a peer or the store and reports whether the view changed. An
+// older update has no effect.
+func (log *Log) Merge(update News) bool {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
 	before := log.fold.snapshot.Version
-	if news.Snapshot != nil && news.Snapshot.Version > before {
-		log.fold = restore(*news.Snapshot)
+	if update.Snapshot != nil && update.Snapshot.Version > before {
+		log.fold = newFoldFrom(*update.Snapshot)
 	}
-	for _, change := range news.Changes {
+	for _, change := range update.Changes {
 		if change.Version > log.fold.snapshot.Version && len(log.ahead) < maxAhead {
 			log.ahead[change.Version] = change
 		}
 	}
 	log.applyAhead()
-	provisional := log.mergeProvisional(news.Provisional)
+	provisional := log.mergeProvisional(update.Provisional)
 	if log.fold.snapshot.Version == before && !provisional {
 		return false
 	}
@@ -144,13 +146,14 @@
 	return true
 }
 
+// applyAhead applies the held changes that now follow the version, and drops older ones.
 func (log *Log) applyAhead() {
 	for {
-		next, ok := log.ahead[log.fold.snapshot.Version+1]
+		change, ok := log.ahead[log.fold.snapshot.Version+1]
 		if !ok {
 			break
 		}
-		log.fold.apply(next)
+		log.fold.apply(change)
 	}
 	for version := range log.ahead {
 		if version <= log.fold.snapshot.Version {
@@ -160,35 +163,35 @@
 }
 
 // mergeProvisional adds the take-outs that are neither known nor in the log, and drops
-// those that the log holds now.
-func (log *Log) mergeProvisional(heard []Change) (changed bool) {
-	for _, change := range heard {
-		known := slices.ContainsFunc(log.provisional, func(other Change) bool { return other.ID == change.ID })
+// those that the log now holds. It reports whether the provisional take-outs changed.
+func (log *Log) mergeProvisional(received []Change) (changed bool) {
+	for _, change := range received {
+		known := slices.ContainsFunc(log.provisional, func(existing Change) bool { return existing.ID == change.ID })
 		if change.Kind == TakeOut && !known {
 			change.Version, change.Provisional = 0, true
 			log.provisional = append(log.provisional, change)
 			changed = true
 		}
 	}
-	kept := slices.DeleteFunc(slices.Clone(log.provisional), func(change Change) bool {
+	remaining := slices.DeleteFunc(slices.Clone(log.provisional), func(change Change) bool {
 		_, inLog := log.fold.versions[change.ID]
 		return inLog
 	})
-	if len(kept) != len(log.provisional) {
-		log.provisional = kept
+	if len(remaining) != len(log.provisional) {
+		log.provisional = remaining
 		return true
 	}
 	return changed
 }
 
-// publish puts the state into force. The caller holds the mutex.
+// publish puts the current state into force. The caller must hold the mutex.
 func (log *Log) publish() {
 	log.current.Store(log.fold.view(log.provisional, time.Now()))
 	close(log.changed)
 	log.changed = make(chan struct{})
 }
 
-// versionOf returns a change's place in the log, if this daemon knows it.
+// versionOf returns the version of a change, if this daemon knows that the log holds it.
 func (log *Log) versionOf(id string) (uint64, bool) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
@@ -196,9 +199,10 @@
 	return version, ok
 }
 
-func (log *Log) announce() {
+// signalAccepted notifies the receiver of Accepted.
+func (log *Log) signalAccepted() {
 	select {
 	case log.accepted <- struct{}{}:
-	default: // one is waiting already and will tell all
+	default: // a pending signal already covers this change
 	}
 }
--- a/core/state/dogwoodchange/rows.go
+++ b/core/state/dogwoodchange/rows.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// Table holds the log's rows; the keys are versions of twenty digits.
+	// Table is the table of the log's rows. Their keys are the versions with twenty digits.
 	Table = "changes"
-	// SnapshotTable holds one row that names the latest snapshot object.
+	// SnapshotTable is a table with one row, which holds the name of the latest snapshot object.
 	SnapshotTable = "snapshots"
 	snapshotKey   = "changes"
-	// snapshotEvery is how many changes come between snapshots, so that a new daemon reads
-	// one object and a few pages of rows.
-	snapshotEvery = 256
-	// page is how many rows are read at once.
-	page = 256
-	// maxDecoded bounds what a row or a snapshot may grow to when it is unpacked.
-	maxDecoded = 16 << 20
+	// snapshotInterval is the number of changes between snapshots. It limits what a new daemon
+	// reads to one object and a few pages of rows.
+	snapshotInterval = 256
+	// pageSize is the number of rows read in one call.
+	pageSize = 256
+	// maxDecodedBytes bounds the size of a decompressed row or snapshot.
+	maxDecodedBytes = 16 << 20
 )
 
 func rowKey(version uint64) string {
 	return fmt.Sprintf("%020d", version)
 }
 
+// write inserts the row of a change at its version.
 func (log *Log) write(ctx context.Context, change Change) error {
 	_, err := log.options.Store.Commit(ctx, dogwoodtable.Write{
 		Table: Table, Key: rowKey(change.Version), Value: encode(change),
@@ -39,28 +40,28 @@
 	return err
 }
 
-// CatchUp reads what the store holds beyond this daemon's version. An old answer leaves
-// the view as it is.
+// CatchUp reads the changes after this daemon's version from the store. A stale read does
+// not change the view.
 func (log *Log) CatchUp(ctx context.Context) error {
 	_, err := log.catchUp(ctx)
 	return err
 }
 
-// Poll catches up and has the store keep again what it has lost.
+// Poll catches up and rewrites the rows that the store has lost.
 func (log *Log) Poll(ctx context.Context) error {
 	complete, err := log.catchUp(ctx)
 	if err != nil || complete {
 		return err
 	}
-	return log.restore(ctx)
+	return log.rewriteLost(ctx)
 }
 
-// catchUp reads on from the row of this daemon's own version. It reports whether the store
-// showed that row.
+// catchUp reads the rows from that of this daemon's version on. It reports whether the store
+// returned that row.
 func (log *Log) catchUp(ctx context.Context) (complete bool, err error) {
 	if log.Current().Version == 0 {
 		if err := log.readSnapshot(ctx); err != nil {
-			// The rows tell the same, in more pages.
+			// The rows hold the same changes, in more pages.
 			log.options.Logger.Warn("Snapshot not read.", "error", err)
 		}
 	}
@@ -68,36 +69,38 @@
 	complete = version == 0
 	after := max(version, 1) - 1
 	for {
-		rows, err := log.options.Store.List(ctx, dogwoodtable.Range{Table: Table, After: rowKey(after), Limit: page})
+		rows, err := log.options.Store.List(ctx, dogwoodtable.Range{Table: Table, After: rowKey(after), Limit: pageSize})
 		if err != nil {
 			return false, Error.Wrap(err)
 		}
 		complete = complete || (len(rows) > 0 && rows[0].Key == rowKey(version))
-		if !log.mergeRows(rows) || len(rows) < page {
+		if !log.mergeRows(rows) || len(rows) < pageSize {
 			return complete, nil
 		}
 		after = log.Current().Version
 	}
 }
 
+// mergeRows merges the changes in the rows up to the first that can't be decoded, and reports
+// whether the view changed.
 func (log *Log) mergeRows(rows []dogwoodtable.Row) bool {
-	news := News{}
+	update := News{}
 	for _, row := range rows {
 		change, err := decode[Change](row.Value)
 		if err != nil {
 			log.options.Logger.Error("Row of the change log can't be read.", "row", row.Key, "error", err)
 			break
 		}
-		news.Changes = append(news.Changes, change)
+		update.Changes = append(update.Changes, change)
 	}
-	return log.Merge(news)
+	return log.Merge(update)
 }
 
-// restore writes again the rows that the store has lost although they were accepted: a
-// store that came back from an older copy would give their versions to other changes. The
-// lowest goes first, so that the store's log has no gap if this daemon dies on the way,
-// and a conflict ends it: then the read that missed the row was an old one.
-func (log *Log) restore(ctx context.Context) error {
+// rewriteLost rewrites accepted rows that the store has lost. Otherwise, a store restored
+// from an older copy would give their versions to other changes. The lowest version is
+// written first, so that the store's log has no gap if this daemon stops in between. A
+// conflict ends the writing, since it shows that the read that missed the row was stale.
+func (log *Log) rewriteLost(ctx context.Context) error {
 	log.mutex.Lock()
 	version := log.fold.snapshot.Version
 	latest := slices.Clone(log.fold.latest)
@@ -123,9 +126,10 @@
 	return nil
 }
 
-// snapshotAfter stores a snapshot now and then. Its failure costs later readers only time.
-func (log *Log) snapshotAfter(ctx context.Context, version uint64) {
-	if version%snapshotEvery != 0 || log.options.Objects == nil {
+// snapshotIfDue stores a snapshot once every snapshotInterval versions. A failure only makes
+// later reads slower.
+func (log *Log) snapshotIfDue(ctx context.Context, version uint64) {
+	if version%snapshotInterval != 0 || log.options.Objects == nil {
 		return
 	}
 	log.mutex.Lock()
@@ -138,6 +142,7 @@
 	}
 }
 
+// storeSnapshot stores a snapshot object, and its name unless a later one is stored.
 func (log *Log) storeSnapshot(ctx context.Context, name string, encoded []byte) error {
 	if err := log.options.Objects.PutObject(ctx, name, encoded); err != nil {
 		return Error.Wrap(err)
@@ -155,6 +160,7 @@
 	return Error.Wrap(err)
 }
 
+// readSnapshot merges the latest stored snapshot, if there is one.
 func (log *Log) readSnapshot(ctx context.Context) error {
 	if log.options.Objects == nil {
 		return nil
@@ -175,33 +181,35 @@
 	return nil
 }
 
-// packAbove is the size above which rows and snapshots are packed: an operators' text
-// shrinks to a tenth or so.
-const packAbove = 8 << 10
+// compressThreshold is the size in bytes above which rows and snapshots are compressed. The
+// operators' text shrinks to about a tenth.
+const compressThreshold = 8 << 10
 
-// gzipMark is the first byte of a packed value; JSON begins with another.
-const gzipMark = 0x1f
+// gzipFirstByte is the first byte of a compressed value; JSON never begins with it.
+const gzipFirstByte = 0x1f
 
+// encode returns the value as JSON, compressed above compressThreshold.
 func encode(value any) []byte {
 	plain, err := json.Marshal(value)
 	if err != nil {
-		panic(Error.Wrap(err)) // neither changes nor snapshots hold what JSON can't
+		panic(Error.Wrap(err)) // changes and snapshots can always be encoded as JSON
 	}
-	if len(plain) <= packAbove {
+	if len(plain) <= compressThreshold {
 		return plain
 	}
-	var packed bytes.Buffer
-	writer := gzip.NewWriter(&packed)
+	var compressed bytes.Buffer
+	writer := gzip.NewWriter(&compressed)
 	_, err = writer.Write(plain)
 	if err := errors.Join(err, writer.Close()); err != nil {
-		panic(Error.Wrap(err)) // a buffer takes all
+		panic(Error.Wrap(err)) // writes to a buffer do not fail
 	}
-	return packed.Bytes()
+	return compressed.Bytes()
 }
 
+// decode is the inverse of encode.
 func decode[T any](value []byte) (T, error) {
 	var decoded T
-	if len(value) == 0 || value[0] != gzipMark {
+	if len(value) == 0 || value[0] != gzipFirstByte {
 		err := json.Unmarshal(value, &decoded)
 		return decoded, Error.Wrap(err)
 	}
@@ -209,6 +217,6 @@
 	if err != nil {
 		return decoded, Error.Wrap(err)
 	}
-	err = json.NewDecoder(io.LimitReader(reader, maxDecoded)).Decode(&decoded)
+	err = json.NewDecoder(io.LimitReader(reader, maxDecodedBytes)).Decode(&decoded)
 	return decoded, Error.Wrap(err)
 }
--- a/core/state/dogwoodchange/stranded.go
+++ b/core/state/dogwoodchange/stranded.go
@@ -10,20 +10,20 @@
 // after the take-out.
 //
 // Without it, an operator who takes out the second of two data centres during maintenance
-// of the first ends a service with one command and no question.
+// of the first would stop a service with one command and without a warning.
 func Stranded(view View, vms []dogwoodfleet.ListedVM, change Change) []dogwoodfleet.Service {
 	serving := map[dogwoodfleet.Service]bool{}
 	for _, vm := range vms {
 		if vm.Service == "" || vm.State != dogwoodfleet.Live || view.Out(vm.Place.DataCentre, vm.Name) {
 			continue
 		}
-		hit := (change.DataCentre != "" && change.DataCentre == vm.Place.DataCentre) ||
+		affected := (change.DataCentre != "" && change.DataCentre == vm.Place.DataCentre) ||
 			(change.VM != "" && change.VM == vm.Name)
-		serving[vm.Service] = serving[vm.Service] || !hit
+		serving[vm.Service] = serving[vm.Service] || !affected
 	}
 	var stranded []dogwoodfleet.Service
-	for service, left := range serving {
-		if !left {
+	for service, remains := range serving {
+		if !remains {
 			stranded = append(stranded, service)
 		}
 	}
--- a/core/state/dogwoodchange/submit.go
+++ b/core/state/dogwoodchange/submit.go
@@ -12,62 +12,63 @@
 )
 
 const (
-	// submitWithin bounds one Submit. An operator waits for it; lost answers and crossing
+	// submitTimeout bounds one Submit, for which an operator waits. Lost answers and concurrent
 	// changes cost a few rounds of some ten milliseconds each.
-	submitWithin = 10 * time.Second
-	// takeOutWithin bounds the tries to keep a take-out before it is put into force as
-	// provisional: with a store that hangs, the place would get new work all that time.
-	takeOutWithin = 2 * time.Second
-	// maxText bounds the operators' text, so that its row fits the table service.
-	maxText = 1 << 20
-	// maxRow is the largest row that the table service takes.
-	maxRow         = 256 << 10
+	submitTimeout = 10 * time.Second
+	// takeOutTimeout bounds the time spent on writing a take-out to the log before it is put
+	// into force as provisional. Until then, the data centre or VM still gets new work if the
+	// store hangs.
+	takeOutTimeout = 2 * time.Second
+	// maxTextBytes bounds the operators' text, so that its row fits into the table service.
+	maxTextBytes = 1 << 20
+	// maxRowBytes is the largest row that the table service accepts.
+	maxRowBytes    = 256 << 10
 	firstBackoff   = 10 * time.Millisecond
 	longestBackoff = 500 * time.Millisecond
 )
 
-// Submit has the change accepted, or tells why not: *Conflict, *Refused, *Unavailable or
-// *Unknown. A TakeOut that the store can't keep now is accepted as provisional. Submitting
-// a change again with the same ID never makes two.
+// Submit writes the change to the log. Its error is *Conflict, *Refused, *Unavailable or
+// *Unknown. A TakeOut that the store can't take now is accepted as provisional. Submitting a
+// change again with the same ID never applies it twice.
 func (log *Log) Submit(ctx context.Context, change Change) (Accepted, error) {
-	within := submitWithin
+	timeout := submitTimeout
 	if change.Kind == TakeOut {
-		within = takeOutWithin
+		timeout = takeOutTimeout
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if change.ID == "" {
 		change.ID = uuid.NewString()
 	}
 	change.Version, change.Provisional = 0, false
 	change.At = time.Now().UTC()
-	if err := checkForm(change); err != nil {
+	if err := validate(change); err != nil {
 		return Accepted{}, err
 	}
 	select {
 	case log.submitting <- struct{}{}:
 		defer func() { <-log.submitting }()
 	case <-ctx.Done():
-		return log.announced(log.giveUp(change, 0, ctx.Err()))
+		return log.signalIfAccepted(log.resolveUnstored(change, 0, ctx.Err()))
 	}
 	if change.Kind == BringBack {
-		// What was taken out before comes first, or the bring-back would be undone by a
-		// take-out that its operator knows of already.
+		// Earlier provisional take-outs are written first. Otherwise, a take-out that the
+		// operator of the bring-back already knew of would follow it in the log and undo it.
 		log.keepProvisional(ctx)
 	}
-	return log.announced(log.enter(ctx, change, log.check))
+	return log.signalIfAccepted(log.appendChange(ctx, change, log.check))
 }
 
-// announced has an accepted change told to the other daemons.
-func (log *Log) announced(accepted Accepted, err error) (Accepted, error) {
+// signalIfAccepted signals an accepted change, so that it is sent to the other daemons.
+func (log *Log) signalIfAccepted(accepted Accepted, err error) (Accepted, error) {
 	if err == nil {
-		log.announce()
+		log.signalAccepted()
 	}
 	return accepted, err
 }
 
-// KeepProvisional writes the provisional take-outs into the log. It returns how many still
-// wait.
+// KeepProvisional writes the provisional take-outs to the log. It returns how many are still
+// provisional.
 func (log *Log) KeepProvisional(ctx context.Context) int {
 	select {
 	case log.submitting <- struct{}{}:
@@ -78,29 +79,32 @@
 	return log.keepProvisional(ctx)
 }
 
+// keepProvisional is KeepProvisional for a caller that holds the submitting semaphore.
 func (log *Log) keepProvisional(ctx context.Context) int {
 	for _, change := range log.Current().Provisional {
 		change.Provisional = false
-		accepted, err := log.enter(ctx, change, log.checkUnconditional)
+		accepted, err := log.appendChange(ctx, change, log.skipCheck)
 		if err != nil || !accepted.Kept {
 			break
 		}
-		log.options.Logger.Info("Provisional take-out kept.", "change", change.ID, "version", accepted.Version)
-		log.announce()
+		log.options.Logger.Info("Provisional take-out written to the log.", "change", change.ID, "version", accepted.Version)
+		log.signalAccepted()
 	}
 	return len(log.Current().Provisional)
 }
 
-// checkUnconditional accepts what is in force already.
-func (log *Log) checkUnconditional(View, Change) error { return nil }
+// skipCheck accepts a change that is already in force.
+func (log *Log) skipCheck(View, Change) error { return nil }
 
-// enter writes the change at the next free version. Each round is judged against the view
-// that the version follows, so that a change is accepted only for the state it joins.
-func (log *Log) enter(
+// appendChange writes the change at the next free version. Each round checks it against the
+// view at the preceding version, so that a change is accepted only for the state that it
+// applies to.
+func (log *Log) appendChange(
 	ctx context.Context, change Change, check func(View, Change) error,
 ) (Accepted, error) {
 	wait := dogwoodkernel.Backoff{First: firstBackoff, Longest: longestBackoff}
-	// uncertainAt is the version at which a write of this change may be, or may yet come.
+	// uncertainAt is the version at which a write of this change may have taken effect or may
+	// still take effect; 0 if there is none.
 	var uncertainAt uint64
 	for {
 		if version, ok := log.versionOf(change.ID); ok {
@@ -108,11 +112,11 @@
 		}
 		view := log.Current()
 		if change.Kind == ApplyText && change.BasedOn > view.TextVersion {
-			// The operator has seen a text that this daemon has not: to call that a conflict
-			// would be wrong, and would hide that the change may be in the log already.
+			// The operator has seen a text that this daemon has not received. Reporting a
+			// conflict would be wrong and would hide that the change may already be in the log.
 			err := log.CatchUp(ctx)
 			if log.Current().TextVersion < change.BasedOn && (dogwoodtable.IsUnavailable(err) || wait.Sleep(ctx) != nil) {
-				return log.giveUp(change, uncertainAt, Error.New("text version %d not seen yet: %w", change.BasedOn, err))
+				return log.resolveUnstored(change, uncertainAt, Error.New("text version %d not seen yet: %w", change.BasedOn, err))
 			}
 			continue
 		}
@@ -127,30 +131,31 @@
 		switch {
 		case err == nil:
 			log.Merge(News{Changes: []Change{change}})
-			log.snapshotAfter(ctx, change.Version)
+			log.snapshotIfDue(ctx, change.Version)
 			return Accepted{ID: change.ID, Version: change.Version, Kept: true}, nil
 		case dogwoodtable.IsUnknown(err):
 			uncertainAt = change.Version
 		case dogwoodtable.AsConflict(err) == nil:
-			return log.giveUp(change, uncertainAt, err)
+			return log.resolveUnstored(change, uncertainAt, err)
 		}
-		// The row is taken, perhaps by this change: see what stands there.
+		// The row exists, or may exist, possibly with this change: read it.
 		_ = log.CatchUp(ctx)
 		if wait.Sleep(ctx) != nil {
-			return log.giveUp(change, uncertainAt, err)
+			return log.resolveUnstored(change, uncertainAt, err)
 		}
 	}
 }
 
-// giveUp ends a change that the store did not take in time.
-func (log *Log) giveUp(change Change, uncertainAt uint64, cause error) (Accepted, error) {
+// resolveUnstored returns the result for a change that the store did not accept in time. A
+// take-out is put into force as provisional.
+func (log *Log) resolveUnstored(change Change, uncertainAt uint64, cause error) (Accepted, error) {
 	if version, ok := log.versionOf(change.ID); ok {
 		return Accepted{ID: change.ID, Version: version, Kept: true}, nil
 	}
 	view := log.Current()
 	if change.Kind == TakeOut {
-		// A take-out only ever removes; it is in force without the store. Its ID keeps it
-		// from being kept twice if its write went through.
+		// A take-out only removes endpoints, so it is put into force without the store. Its ID
+		// prevents a second row if its write took effect.
 		if err := log.check(view, change); err != nil {
 			return Accepted{}, err
 		}
@@ -163,17 +168,17 @@
 	return Accepted{}, &Unavailable{Cause: Error.Wrap(cause)}
 }
 
-// checkForm refuses what is wrong whatever the state.
-func checkForm(change Change) error {
+// validate refuses a change that is invalid in every state.
+func validate(change Change) error {
 	switch change.Kind {
 	case ApplyText:
-		if len(change.Text) > maxText {
+		if len(change.Text) > maxTextBytes {
 			return &Refused{Reason: "the text is larger than a mebibyte"}
 		}
 		if _, err := dogwoodsettings.ParseText(change.Text); err != nil {
 			return &Refused{Reason: "the text can't be read", Cause: err}
 		}
-		if len(encode(change)) > maxRow {
+		if len(encode(change)) > maxRowBytes {
 			return &Refused{Reason: "the text is too large for the change log, also compressed"}
 		}
 	case TakeOut, BringBack:
@@ -190,7 +195,7 @@
 	return nil
 }
 
-// check refuses what does not fit the state.
+// check refuses a change that does not fit the state in the view.
 func (log *Log) check(view View, change Change) error {
 	switch change.Kind {
 	case ApplyText:
--- a/core/state/dogwoodclaim/claim.go
+++ b/core/state/dogwoodclaim/claim.go
@@ -1,15 +1,15 @@
 // Package dogwoodclaim makes a call that may not be repeated run at most once.
 //
-// Before such a call is sent, its entry inserts a row for (customer, service, idempotency
-// key) that carries the random id of this try. Only the try whose id stands in the row may
-// be sent. Nobody ever takes a row over: a holder that was paused and wakes finds that it
-// still is the only one, and a holder that died leaves a call whose outcome is unknown and
-// which is not run again. A lost answer to the insert is settled by inserting again and
-// reading back whose id stands there. A row is removed only by its holder, and only when
-// the call certainly was not and will not be sent.
+// Before such a call is sent, its entry daemon inserts a row for (customer, service,
+// idempotency key) that carries the random id of this attempt. Only the attempt whose id
+// is in the row may be sent. A row never changes its holder: a holder that was paused and
+// resumes is still the only one, and the call of a holder that died has an unknown outcome
+// and is not run again. If the answer to the insert is lost, the insert is repeated and
+// the id in the row is read back. A row is removed only by its holder, and only when the
+// call was certainly not sent and will not be.
 //
-// Without it, a caller that resends a reservation through another entry after a broken
-// connection has it run twice.
+// Without it, a reservation that a caller resends through another entry daemon after a
+// broken connection would run twice.
 package dogwoodclaim
 
 import (
@@ -33,67 +33,71 @@
 var Error = errs.Class("claim")
 
 const (
-	// Table is where claims are kept.
+	// Table is the table that holds the claims.
 	Table = "claims"
-	// DefaultKeepFor is how long a claim is kept: far longer than any deadline (hours) and
-	// than callers resend, so that no resend finds its key free. After it, the key is new.
+	// DefaultKeepFor is the time after which a claim expires and its key is free again. It
+	// is far longer than any deadline (hours) and than the time in which callers resend, so
+	// that no resend finds its key free.
 	DefaultKeepFor = 24 * time.Hour
-	// takeWithin bounds all tries of one Take. The store answers in some ten milliseconds;
-	// a caller with a longer deadline is better told "not run" than kept waiting.
-	takeWithin = 3 * time.Second
-	// finishWithin bounds the direct tries of Finish and Free; after it they go on in Run.
-	finishWithin = 2 * time.Second
-	// inlineLimit is the largest answer kept in the row; larger ones go to the object store.
-	inlineLimit = 32 << 10
-	// rememberedClaims and rememberedLimit bound the claims of this daemon, and the bodies of
-	// their answers, that are answered from memory while the store is down: 16 MB at most.
-	rememberedClaims = 4096
-	rememberedLimit  = 4 << 10
-	firstBackoff     = 10 * time.Millisecond
-	longestBackoff   = 200 * time.Millisecond
+	// takeTimeout bounds one Take with all its inserts. The store answers in some ten
+	// milliseconds; for a caller with a longer deadline, an early "not run" is better than
+	// a long wait.
+	takeTimeout = 3 * time.Second
+	// finishTimeout bounds the writes that Finish and Free wait for; Run retries them after that.
+	finishTimeout = 2 * time.Second
+	// maxInlineBody is the largest body, in bytes, that is stored in the row; larger ones go
+	// to the object store.
+	maxInlineBody = 32 << 10
+	// maxRecentClaims bounds the number of this daemon's claims that are answered from memory
+	// while the store is down, and maxRecentBody the bytes of each answer's body: 16 MB at
+	// most.
+	maxRecentClaims = 4096
+	maxRecentBody   = 4 << 10
+	firstBackoff    = 10 * time.Millisecond
+	longestBackoff  = 200 * time.Millisecond
 )
 
-// Store is what claims need of the table service.
+// Store is the part of the table service that claims use.
 type Store interface {
 	Read(ctx context.Context, table, key string) (dogwoodtable.Row, bool, error)
 	Commit(ctx context.Context, writes ...dogwoodtable.Write) ([]uint64, error)
 }
 
-// Objects is what claims need of the object store.
+// Objects is the part of the object store that claims use.
 type Objects interface {
 	PutObject(ctx context.Context, name string, body []byte) error
 	GetObject(ctx context.Context, name string) ([]byte, bool, error)
 }
 
-// Key names a call that may run once. Key.Key is the caller's Idempotency-Key.
+// Key identifies a call that may run only once. Key.Key is the caller's Idempotency-Key.
 type Key struct {
 	Customer dogwoodfleet.Customer
 	Service  dogwoodfleet.Service
 	Key      string
 }
 
-// Answer is what the endpoint answered, kept for callers that send the call again.
+// Answer is the endpoint's answer, stored for callers that send the call again.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Outcome is what a try to claim found.
+// Outcome is the result of claiming a call.
 type Outcome string
 
 // The outcomes.
 const (
-	// Fresh: this try, and no other, may send the call now.
+	// Fresh: only this attempt may send the call now.
 	Fresh Outcome = "Fresh"
-	// Answered: the call was run before; its answer is given.
+	// Answered: the call ran before, and its answer is returned.
 	Answered Outcome = "Answered"
-	// Running: another try holds the claim and its daemon lives.
+	// Running: another attempt holds the claim, and its daemon is alive.
 	Running Outcome = "Running"
-	// OutcomeUnknown: another try may have run the call and its answer can't be had. The
-	// call is not run again.
+	// OutcomeUnknown: another attempt may have run the call, and its answer is not available.
+	// The call is not run again.
 	OutcomeUnknown Outcome = "OutcomeUnknown"
-	// Mismatch: the key was used for a call with another body.
+	// Mismatch: the key was used for a call with a different body.
 	Mismatch Outcome = "Mismatch"
 )
 
@@ -102,16 +106,17 @@
 	Outcome Outcome
 	// Answer is set for Answered.
 	Answer *Answer
-	// Holder is the daemon whose try holds the claim, unless Fresh.
+	// Holder is the daemon whose attempt holds the claim. It is empty for Fresh, and where
+	// the row can't be read.
 	Holder dogwoodfleet.InstanceID
 }
 
-// Unavailable tells that the store did not let this try claim the call in time. This try
-// was not sent.
+// Unavailable reports that this attempt could not claim the call at the store in time. The
+// attempt was not sent.
 type Unavailable struct {
 	Cause error
-	// EarlierUnknown is true if an earlier try under the same key may have been sent by a
-	// daemon that can't be asked. Without it, no daemon has sent the call.
+	// EarlierUnknown is true if an earlier attempt under the same key may have been sent by a
+	// daemon that can't report it. If it is false, no daemon has sent the call.
 	EarlierUnknown bool
 }
 
@@ -121,7 +126,8 @@
 
 func (unavailable *Unavailable) Unwrap() error { return unavailable.Cause }
 
-// Postponed tells that the claim's end is not stored yet. Run goes on trying.
+// Postponed reports that the end of a claim (its answer, or the removal of its row) is not
+// stored yet. Run retries it.
 type Postponed struct {
 	Cause error
 }
@@ -132,48 +138,48 @@
 
 func (postponed *Postponed) Unwrap() error { return postponed.Cause }
 
-// Options configure claims.
+// Options configures Claims.
 type Options struct {
 	Store   Store
 	Objects Objects
-	// Self is this start of the daemon.
+	// Self is this instance of the daemon.
 	Self dogwoodfleet.InstanceID
-	// Alive tells whether a daemon's instance lives as far as the members know.
+	// Alive reports whether the members list a daemon's instance as alive.
 	Alive func(instance dogwoodfleet.InstanceID) bool
-	// Witnesses is nil where there is no other daemon.
+	// Witnesses queries the other daemons. It is nil if there are none.
 	Witnesses Witnesses
-	// KeepFor is 0 for DefaultKeepFor.
+	// KeepFor is the time after which a claim expires; 0 means DefaultKeepFor.
 	KeepFor time.Duration
-	// Logger is nil for none.
+	// Logger may be nil.
 	Logger hclog.Logger
 }
 
-// Claims takes and ends claims for one daemon. It is safe for concurrent use. Run must be
-// running.
+// Claims takes and ends claims for one daemon. It is safe for concurrent use. It needs Run
+// to be running.
 type Claims struct {
 	options Options
 	commits *committer
-	repairs *repairs
+	retries *retryQueue
 
 	mutex sync.Mutex
-	// held are the claims that this daemon won and whose end is not stored yet.
+	// held are the claims of this daemon whose end is not stored yet, by attempt id.
 	held map[string]*claim
-	// remembered are this daemon's claims by row key, for answers while the store is down.
-	remembered *lru.Cache[string, record]
-	// sent are the same claims and many older ones, without what became of them.
-	sent *sentMemory
+	// recent holds this daemon's latest claims by row key, to answer while the store is down.
+	recent *lru.Cache[string, record]
+	// history holds the row keys of these and of many older claims, without their outcomes.
+	history *rowHistory
 }
 
 // claim is a claim that this daemon holds.
 type claim struct {
 	version uint64
 	record  record
-	// uncertain is true if an insert of this try was sent whose answer was lost. It may
-	// still be on its way.
+	// uncertain is true if the answer to an insert of this attempt was lost. The insert may
+	// still reach the store.
 	uncertain bool
 }
 
-// New returns claims. Start Run before the first Take.
+// New returns Claims. Run must be started before the first Take.
 func New(options Options) *Claims {
 	if options.KeepFor == 0 {
 		options.KeepFor = DefaultKeepFor
@@ -181,140 +187,142 @@
 	if options.Logger == nil {
 		options.Logger = hclog.NewNullLogger()
 	}
-	remembered, err := lru.New[string, record](rememberedClaims)
+	recent, err := lru.New[string, record](maxRecentClaims)
 	if err != nil {
 		panic(Error.Wrap(err)) // only for a size below one
 	}
 	claims := &Claims{
-		options:    options,
-		commits:    newCommitter(options.Store),
-		held:       map[string]*claim{},
-		remembered: remembered,
-		sent:       newSentMemory(),
+		options: options,
+		commits: newCommitter(options.Store),
+		held:    map[string]*claim{},
+		recent:  recent,
+		history: newRowHistory(),
 	}
-	claims.repairs = newRepairs(claims)
+	claims.retries = newRetryQueue(claims)
 	return claims
 }
 
-// Run commits writes in groups and stores the ends of claims that could not be stored at
-// once. It returns when the context ends.
+// Run commits writes in groups and retries the ends of claims that could not be stored. It
+// returns when the context ends.
 func (claims *Claims) Run(ctx context.Context) error {
 	var group sync.WaitGroup
 	group.Go(func() { claims.commits.run(ctx) })
-	group.Go(func() { claims.repairs.run(ctx) })
+	group.Go(func() { claims.retries.run(ctx) })
 	group.Wait()
 	return nil
 }
 
-// Take claims the call for a try. Only after Fresh may the try be sent, and only within
-// its deadline. The try's id must be random and used once. The error is *Unavailable: the
-// try must not be sent.
+// Take claims the call for an attempt, which may be sent only if the outcome is Fresh and
+// only within its deadline. The attempt's id must be random and used once. The error is
+// *Unavailable; the attempt must not be sent then.
 func (claims *Claims) Take(
-	ctx context.Context, key Key, digest dogwoodfleet.Digest, try string,
+	ctx context.Context, key Key, digest dogwoodfleet.Digest, attemptID string,
 ) (Taken, error) {
-	ctx, cancel := context.WithTimeout(ctx, takeWithin)
+	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
-	wanted := newRecord(key, digest, try, claims.options.Self)
+	wanted := newRecord(key, digest, attemptID, claims.options.Self)
 	insert := dogwoodtable.Write{
 		Table:   Table,
 		Key:     key.row(),
 		Value:   wanted.encode(),
 		KeepFor: claims.options.KeepFor,
 	}
-	attempt := attempt{row: insert.Key, wanted: wanted}
+	progress := takeProgress{row: insert.Key, wanted: wanted}
 	wait := dogwoodkernel.Backoff{First: firstBackoff, Longest: longestBackoff}
 	for {
-		again, err := claims.tryTake(ctx, insert, &attempt)
-		if !again || wait.Sleep(ctx) != nil {
-			return claims.settle(ctx, &attempt, err)
+		retryable, err := claims.takeOnce(ctx, insert, &progress)
+		if !retryable || wait.Sleep(ctx) != nil {
+			return claims.concludeTake(ctx, &progress, err)
 		}
 	}
 }
 
-// attempt is what a Take has learnt so far.
-type attempt struct {
+// takeProgress is the state of one Take.
+type takeProgress struct {
 	row    string
 	wanted record
 	taken  Taken
 	// uncertain is true once the answer to an insert was lost.
 	uncertain bool
-	// claimed is true once an insert met a row.
-	claimed bool
+	// conflicted is true once an insert failed because the row existed.
+	conflicted bool
 }
 
-// tryTake inserts once and reads back on a conflict. It asks for another round when the
-// answer was lost, or when the read shows none of what the insert met.
-func (claims *Claims) tryTake(
-	ctx context.Context, insert dogwoodtable.Write, attempt *attempt,
-) (again bool, err error) {
+// takeOnce inserts the row once and reads it back on a conflict. It returns retryable if
+// the insert or the read must be repeated: the answer was lost, or the read did not show
+// the row that the insert conflicted with.
+func (claims *Claims) takeOnce(
+	ctx context.Context, insert dogwoodtable.Write, progress *takeProgress,
+) (retryable bool, err error) {
 	version, err := claims.commits.commit(ctx, insert)
 	if err == nil {
-		claims.hold(attempt, version)
+		claims.hold(progress, version)
 		return false, nil
 	}
 	if dogwoodtable.AsConflict(err) == nil {
-		attempt.uncertain = attempt.uncertain || dogwoodtable.IsUnknown(err)
+		progress.uncertain = progress.uncertain || dogwoodtable.IsUnknown(err)
 		return dogwoodtable.IsUnknown(err), err
 	}
-	attempt.claimed = true
+	progress.conflicted = true
 	row, found, err := claims.options.Store.Read(ctx, Table, insert.Key)
 	if err != nil {
 		return dogwoodtable.IsUnknown(err), err
 	}
 	if !found {
-		// An old read, or the holder freed it just now.
+		// The read was stale, or the holder has just removed the row.
 		return true, Error.New("row %s was there and is not", insert.Key)
 	}
 	present, err := decodeRecord(row.Value)
 	if err != nil {
-		// A row that can't be read is a claim all the same.
-		attempt.taken = Taken{Outcome: OutcomeUnknown}
-		return false, nil //nolint:nilerr // the outcome tells it
+		// A row that can't be decoded is still a claim.
+		progress.taken = Taken{Outcome: OutcomeUnknown}
+		return false, nil //nolint:nilerr // the outcome reports it
 	}
-	if present.Try == attempt.wanted.Try {
-		// The insert's answer was lost and the insert was not.
-		claims.hold(attempt, row.Version)
+	if present.Try == progress.wanted.Try {
+		// The insert took effect, although its answer was lost.
+		claims.hold(progress, row.Version)
 		return false, nil
 	}
-	attempt.taken = claims.judge(ctx, present, attempt.wanted.Digest)
+	progress.taken = claims.classify(ctx, present, progress.wanted.Digest)
 	return false, nil
 }
 
-// settle ends a Take. A try that won't be sent but whose insert may be in the store, or
-// may yet come there, is freed in the background, or its key would stay blocked.
-func (claims *Claims) settle(ctx context.Context, attempt *attempt, err error) (Taken, error) {
-	if attempt.taken.Outcome != Fresh && attempt.uncertain {
-		claims.repairs.free(attempt.row, attempt.wanted.Try)
+// concludeTake returns the result of a Take. If the attempt won't be sent but its insert may
+// have reached the store, or may reach it later, the row is removed in the background;
+// otherwise its key would stay blocked.
+func (claims *Claims) concludeTake(ctx context.Context, progress *takeProgress, err error) (Taken, error) {
+	if progress.taken.Outcome != Fresh && progress.uncertain {
+		claims.retries.addFree(progress.row, progress.wanted.Try)
 	}
-	if attempt.taken.Outcome != "" {
-		return attempt.taken, nil
+	if progress.taken.Outcome != "" {
+		return progress.taken, nil
 	}
-	known, certain := claims.askWitnesses(ctx, Question{Row: attempt.row, Digest: attempt.wanted.Digest})
+	known, certain := claims.queryPeers(ctx, Question{Row: progress.row, Digest: progress.wanted.Digest})
 	if known.Outcome != "" {
 		return known, nil
 	}
-	if attempt.claimed && !attempt.uncertain {
-		// Another try's row is there and can't be read: that try may have run the call, so
-		// that "not run" would mislead.
+	if progress.conflicted && !progress.uncertain {
+		// Another attempt's row exists but could not be read. That attempt may have run the
+		// call, so "not run" could be wrong.
 		return Taken{Outcome: OutcomeUnknown}, nil
 	}
 	return Taken{}, &Unavailable{Cause: Error.Wrap(err), EarlierUnknown: !certain}
 }
 
-// judge tells what another try's claim means for this one.
-func (claims *Claims) judge(ctx context.Context, present record, digest string) Taken {
+// classify returns the outcome for an attempt whose call is claimed by another attempt.
+func (claims *Claims) classify(ctx context.Context, present record, digest string) Taken {
 	taken := Taken{Holder: present.Holder}
 	switch {
 	case present.Digest != digest:
 		taken.Outcome = Mismatch
 	case present.State == stateAnswered:
-		taken.Answer = claims.answerOf(ctx, present)
+		taken.Answer = claims.loadAnswer(ctx, present)
 		taken.Outcome = Answered
 		if taken.Answer == nil {
 			taken.Outcome = OutcomeUnknown
 		}
 	case claims.heldAnswer(present.Try) != nil:
-		// This daemon has the answer and the store does not have it yet.
+		// This daemon has the answer, but the store does not have it yet.
 		taken.Outcome, taken.Answer = Answered, claims.heldAnswer(present.Try)
 	case present.Holder == claims.options.Self, claims.options.Alive(present.Holder):
 		taken.Outcome = Running
@@ -324,8 +332,8 @@
 	return taken
 }
 
-// answerOf returns a stored answer, or nil if the object store does not give it now.
-func (claims *Claims) answerOf(ctx context.Context, present record) *Answer {
+// loadAnswer returns the answer of a record, or nil if the object store can't return it now.
+func (claims *Claims) loadAnswer(ctx context.Context, present record) *Answer {
 	if present.Object == "" {
 		return present.Answer
 	}
@@ -337,32 +345,34 @@
 	return &Answer{Status: present.Answer.Status, Header: present.Answer.Header, Body: body}
 }
 
-func (claims *Claims) hold(attempt *attempt, version uint64) {
-	attempt.taken = Taken{Outcome: Fresh}
+// hold records that this daemon holds the claim.
+func (claims *Claims) hold(progress *takeProgress, version uint64) {
+	progress.taken = Taken{Outcome: Fresh}
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
-	claims.held[attempt.wanted.Try] = &claim{
-		version: version, record: attempt.wanted, uncertain: attempt.uncertain,
+	claims.held[progress.wanted.Try] = &claim{
+		version: version, record: progress.wanted, uncertain: progress.uncertain,
 	}
-	claims.remembered.Add(attempt.row, attempt.wanted)
-	claims.sent.add(attempt.row)
+	claims.recent.Add(progress.row, progress.wanted)
+	claims.history.add(progress.row)
 }
 
-func (claims *Claims) heldAnswer(try string) *Answer {
+func (claims *Claims) heldAnswer(attemptID string) *Answer {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
-	if held, ok := claims.held[try]; ok {
+	if held, ok := claims.held[attemptID]; ok {
 		return held.record.Answer
 	}
 	return nil
 }
 
-// recall answers from this daemon's memory when the store can't be asked, so that a
-// caller who resends here during an outage is not told "not run" of what was run.
-func (claims *Claims) recall(row, digest string) (Taken, bool) {
+// lookupRecent returns the outcome from this daemon's memory while the store can't be
+// queried, so that a caller that resends during an outage does not get "not run" for a call
+// that ran.
+func (claims *Claims) lookupRecent(row, digest string) (Taken, bool) {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
-	known, ok := claims.remembered.Get(row)
+	known, ok := claims.recent.Get(row)
 	if !ok {
 		return Taken{}, false
 	}
@@ -378,5 +388,5 @@
 	return taken, true
 }
 
-// errNotHeld tells of Finish or Free for a try that does not hold its claim.
-var errNotHeld = errors.New("this try holds no claim")
+// errNotHeld is the error of Finish and Free for an attempt that does not hold its claim.
+var errNotHeld = errors.New("this attempt holds no claim")
--- a/core/state/dogwoodclaim/commit.go
+++ b/core/state/dogwoodclaim/commit.go
@@ -14,99 +14,100 @@
 )
 
 const (
-	// commitEvery is the least time between the starts of two commits: 100 write calls a
-	// second from one daemon at the most, so that eight daemons stay within the several
-	// hundred that the table service bears. It costs a call at most this much.
-	commitEvery = 10 * time.Millisecond
-	// commitsInFlight bounds the commits that wait for a slow store at once.
-	commitsInFlight = 4
-	// commitWithin bounds one commit, whatever the store's client does.
-	commitWithin = 2 * time.Second
-	// groupBytes bounds the values of one transaction.
-	groupBytes = 1 << 20
-	// queuedWrites bounds the writes that wait for a commit.
-	queuedWrites = 1024
+	// commitInterval is the shortest time between the starts of two commits. It limits a
+	// daemon to 100 write calls a second, so that eight daemons stay within the several
+	// hundred that the table service can handle, and delays a call by at most this time.
+	commitInterval = 10 * time.Millisecond
+	// maxConcurrentCommits bounds the commits that wait for a slow store at the same time.
+	maxConcurrentCommits = 4
+	// commitTimeout bounds one commit, independently of the store client's own timeouts.
+	commitTimeout = 2 * time.Second
+	// maxGroupBytes bounds the total size of the values in one transaction.
+	maxGroupBytes = 1 << 20
+	// maxQueuedWrites bounds the writes that wait for a commit.
+	maxQueuedWrites = 1024
 )
 
-// committer puts writes that come together into one transaction. Without it each call
-// that may not be repeated costs two write calls of its own, and a few hundred such calls
-// a second use up the platform's budget.
+// committer groups concurrent writes into one transaction. Without it, each call that may
+// not be repeated costs two write calls, and a few hundred such calls a second use up the
+// platform's budget.
 type committer struct {
 	store   Store
-	queue   *dogwoodring.Ring[*pending]
+	queue   *dogwoodring.Ring[*pendingWrite]
 	stopped chan struct{}
 }
 
 // The states of a pending write.
 const (
 	writeQueued int32 = iota
-	writeTaken
+	writeSending
 	writeWithdrawn
 )
 
-// pending is a write that waits for its commit.
-type pending struct {
+// pendingWrite is a write that waits for its commit.
+type pendingWrite struct {
 	write  dogwoodtable.Write
 	state  atomic.Int32
-	result chan committed
+	result chan writeResult
 }
 
-// committed is what became of a write.
-type committed struct {
+// writeResult is the version that a write got, or its error.
+type writeResult struct {
 	version uint64
 	err     error
 }
 
 func newCommitter(store Store) *committer {
-	return &committer{store: store, queue: dogwoodring.New[*pending]("claim writes", queuedWrites, dogwoodring.Refuse), stopped: make(chan struct{})}
+	return &committer{store: store, queue: dogwoodring.New[*pendingWrite]("claim writes", maxQueuedWrites, dogwoodring.Refuse), stopped: make(chan struct{})}
 }
 
-// commit makes one write, together with others. Its errors are those of the store; the
-// end of the context is *Unavailable while the write is queued and *Unknown after.
+// commit makes one write, grouped with others. Its errors are those of the store. If the
+// context ends, the error is *Unavailable while the write is queued and *Unknown after that.
 func (committer *committer) commit(ctx context.Context, write dogwoodtable.Write) (uint64, error) {
-	waiting := &pending{write: write, result: make(chan committed, 1)}
-	if !committer.queue.Put(waiting) {
-		return 0, &dogwoodtable.Unavailable{Cause: Error.New("%d writes are queued", queuedWrites)}
+	pending := &pendingWrite{write: write, result: make(chan writeResult, 1)}
+	if !committer.queue.Put(pending) {
+		return 0, &dogwoodtable.Unavailable{Cause: Error.New("%d writes are queued", maxQueuedWrites)}
 	}
 	select {
-	case result := <-waiting.result:
+	case result := <-pending.result:
 		return result.version, result.err
 	case <-ctx.Done():
 	case <-committer.stopped:
 	}
-	if waiting.state.CompareAndSwap(writeQueued, writeWithdrawn) {
+	if pending.state.CompareAndSwap(writeQueued, writeWithdrawn) {
 		return 0, &dogwoodtable.Unavailable{Cause: Error.New("ended before the write was sent")}
 	}
 	select {
-	case result := <-waiting.result:
+	case result := <-pending.result:
 		return result.version, result.err
 	default:
 		return 0, &dogwoodtable.Unknown{Cause: Error.New("ended while the write was sent")}
 	}
 }
 
+// run commits the queued writes in groups until the context ends.
 func (committer *committer) run(ctx context.Context) {
-	pool := pond.NewPool(commitsInFlight, pond.WithQueueSize(1))
-	// The pool is not stopped: its Stop uses a pool of the whole process, which outlives any
-	// one daemon. Its workers end by themselves when there is nothing to do.
+	pool := pond.NewPool(maxConcurrentCommits, pond.WithQueueSize(1))
+	// The pool is not stopped, since its Stop uses a process-wide pool that outlives a single
+	// daemon. Its workers end when they are idle.
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer close(committer.stopped)
-	var held []*pending
+	var deferred []*pendingWrite
 	for {
-		if len(held) == 0 {
+		if len(deferred) == 0 {
 			select {
-			case first := <-committer.queue.Values():
-				held = append(held, first)
+			case pending := <-committer.queue.Values():
+				deferred = append(deferred, pending)
 			case <-ctx.Done():
 				return
 			}
 		}
-		var group []*pending
-		group, held = committer.gather(held)
+		var group []*pendingWrite
+		group, deferred = committer.gather(deferred)
 		if len(group) > 0 {
-			// Go waits while a slow store has all in flight; the queue then fills and
-			// refuses what is over its bound.
+			// Go blocks while all commits wait for a slow store. The queue then fills and
+			// rejects further writes.
 			running.Add(1)
 			err := pool.Go(func() {
 				defer running.Done()
@@ -114,40 +115,41 @@
 			})
 			if err != nil {
 				running.Done()
-				tell(group, nil, &dogwoodtable.Unavailable{Cause: Error.Wrap(err)})
+				sendResults(group, nil, &dogwoodtable.Unavailable{Cause: Error.Wrap(err)})
 			}
 		}
-		if pause(ctx, commitEvery) != nil {
+		if sleep(ctx, commitInterval) != nil {
 			return
 		}
 	}
 }
 
-// gather takes what is queued, up to the bounds of a transaction. Two writes of one row
-// can't go together; the second is held back for the next group.
-func (committer *committer) gather(held []*pending) (group, rest []*pending) {
+// gather returns the next group of writes, up to the bounds of a transaction, and the writes
+// deferred to the group after it. A transaction can't hold two writes of one row, so the
+// second is deferred.
+func (committer *committer) gather(deferred []*pendingWrite) (group, rest []*pendingWrite) {
 	rows := map[string]bool{}
 	size := 0
-	take := func(waiting *pending) {
-		full := len(group) > 0 && (len(group) >= dogwoodtable.MaxWrites || size+len(waiting.write.Value) > groupBytes)
-		if full || rows[waiting.write.Key] {
-			rest = append(rest, waiting)
+	add := func(pending *pendingWrite) {
+		full := len(group) > 0 && (len(group) >= dogwoodtable.MaxWrites || size+len(pending.write.Value) > maxGroupBytes)
+		if full || rows[pending.write.Key] {
+			rest = append(rest, pending)
 			return
 		}
-		if !waiting.state.CompareAndSwap(writeQueued, writeTaken) {
+		if !pending.state.CompareAndSwap(writeQueued, writeSending) {
 			return
 		}
-		rows[waiting.write.Key] = true
-		size += len(waiting.write.Value)
-		group = append(group, waiting)
+		rows[pending.write.Key] = true
+		size += len(pending.write.Value)
+		group = append(group, pending)
 	}
-	for _, waiting := range held {
-		take(waiting)
+	for _, pending := range deferred {
+		add(pending)
 	}
 	for len(group) < dogwoodtable.MaxWrites && len(rest) == 0 {
 		select {
-		case waiting := <-committer.queue.Values():
-			take(waiting)
+		case pending := <-committer.queue.Values():
+			add(pending)
 		default:
 			return group, rest
 		}
@@ -155,45 +157,46 @@
 	return group, rest
 }
 
-// commitGroup commits until each write is made or has failed for itself: those whose
-// condition failed are told so and the others go again without them.
-func (committer *committer) commitGroup(ctx context.Context, group []*pending) {
-	ctx, cancel := context.WithTimeout(ctx, commitWithin)
+// commitGroup commits a group until each write has succeeded or failed. Writes whose
+// condition failed get a conflict, and the others are committed again without them.
+func (committer *committer) commitGroup(ctx context.Context, group []*pendingWrite) {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	for len(group) > 0 {
 		writes := make([]dogwoodtable.Write, 0, len(group))
-		for _, waiting := range group {
-			writes = append(writes, waiting.write)
+		for _, pending := range group {
+			writes = append(writes, pending.write)
 		}
 		versions, err := committer.store.Commit(ctx, writes...)
 		conflict := dogwoodtable.AsConflict(err)
 		if conflict == nil || len(conflict.Failed) == 0 {
-			tell(group, versions, err)
+			sendResults(group, versions, err)
 			return
 		}
-		var rest []*pending
-		for i, waiting := range group {
+		var rest []*pendingWrite
+		for i, pending := range group {
 			if slices.Contains(conflict.Failed, i) {
-				waiting.result <- committed{err: &dogwoodtable.Conflict{Failed: []int{0}}}
+				pending.result <- writeResult{err: &dogwoodtable.Conflict{Failed: []int{0}}}
 			} else {
-				rest = append(rest, waiting)
+				rest = append(rest, pending)
 			}
 		}
 		group = rest
 	}
 }
 
-func tell(group []*pending, versions []uint64, err error) {
-	for i, waiting := range group {
+// sendResults sends each write of the group its version, or the error of the commit.
+func sendResults(group []*pendingWrite, versions []uint64, err error) {
+	for i, pending := range group {
 		if err != nil {
-			waiting.result <- committed{err: err}
+			pending.result <- writeResult{err: err}
 			continue
 		}
-		waiting.result <- committed{version: versions[i]}
+		pending.result <- writeResult{version: versions[i]}
 	}
 }
 
-func pause(ctx context.Context, wait time.Duration) error {
+func sleep(ctx context.Context, wait time.Duration) error {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
--- a/core/state/dogwoodclaim/finish.go
+++ b/core/state/dogwoodclaim/finish.go
@@ -8,49 +8,50 @@
 	"dogwoodmux.example/core/state/dogwoodtable"
 )
 
-// Finish stores the answer of a call that this daemon ran. The answer is kept in memory
-// at once, so that its caller need not wait for the store. On *Postponed, Run goes on.
-func (claims *Claims) Finish(ctx context.Context, key Key, try string, answer Answer) error {
+// Finish stores the answer of a call that this daemon ran. The answer is held in memory
+// immediately, so that its caller need not wait for the store. After *Postponed, Run
+// retries it.
+func (claims *Claims) Finish(ctx context.Context, key Key, attemptID string, answer Answer) error {
 	row := key.row()
 	claims.mutex.Lock()
-	held, ok := claims.held[try]
+	held, ok := claims.held[attemptID]
 	if ok {
 		held.record.State, held.record.Answer = stateAnswered, &answer
-		claims.remembered.Add(row, memorable(held.record))
+		claims.recent.Add(row, withoutLargeBody(held.record))
 	}
 	claims.mutex.Unlock()
 	if !ok {
 		return Error.Wrap(errNotHeld)
 	}
-	ctx, cancel := context.WithTimeout(ctx, finishWithin)
+	ctx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
-	if err := claims.storeAnswer(ctx, row, try); err != nil {
-		claims.repairs.store(row, try, len(answer.Body))
+	if err := claims.storeAnswer(ctx, row, attemptID); err != nil {
+		claims.retries.addStore(row, attemptID, len(answer.Body))
 		return &Postponed{Cause: Error.Wrap(err)}
 	}
 	return nil
 }
 
-// Free removes the claim of a call that certainly was not sent and won't be, so that its
-// key can be used again. On *Postponed, Run goes on.
-func (claims *Claims) Free(ctx context.Context, key Key, try string) error {
+// Free removes the claim of a call that was certainly not sent and won't be, so that its
+// key can be used again. After *Postponed, Run retries it.
+func (claims *Claims) Free(ctx context.Context, key Key, attemptID string) error {
 	row := key.row()
 	claims.mutex.Lock()
-	held, ok := claims.held[try]
+	held, ok := claims.held[attemptID]
 	if ok {
-		delete(claims.held, try)
-		claims.remembered.Remove(row)
-		claims.sent.remove(row)
+		delete(claims.held, attemptID)
+		claims.recent.Remove(row)
+		claims.history.remove(row)
 	}
 	claims.mutex.Unlock()
 	if !ok {
 		return Error.Wrap(errNotHeld)
 	}
-	ctx, cancel := context.WithTimeout(ctx, finishWithin)
+	ctx, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
 	err := claims.removeRow(ctx, row, held.version)
 	if err != nil || held.uncertain {
-		claims.repairs.free(row, try)
+		claims.retries.addFree(row, attemptID)
 	}
 	if err != nil {
 		return &Postponed{Cause: Error.Wrap(err)}
@@ -58,19 +59,19 @@
 	return nil
 }
 
-// memorable is a record without a body too large to remember.
-func memorable(record record) record {
-	if record.Answer != nil && len(record.Answer.Body) > rememberedLimit {
+// withoutLargeBody returns the record, without its answer if the body exceeds maxRecentBody.
+func withoutLargeBody(record record) record {
+	if record.Answer != nil && len(record.Answer.Body) > maxRecentBody {
 		record.Answer = nil
 	}
 	return record
 }
 
-// storeAnswer replaces the running row by the answered one. It is idempotent: no one but
-// this try writes the row.
-func (claims *Claims) storeAnswer(ctx context.Context, row, try string) error {
+// storeAnswer replaces the row in state Running by one in state Answered. It is idempotent,
+// since only this attempt writes the row.
+func (claims *Claims) storeAnswer(ctx context.Context, row, attemptID string) error {
 	claims.mutex.Lock()
-	held, ok := claims.held[try]
+	held, ok := claims.held[attemptID]
 	if !ok {
 		claims.mutex.Unlock()
 		return nil
@@ -78,8 +79,8 @@
 	version, finished := held.version, held.record
 	claims.mutex.Unlock()
 
-	if len(finished.Answer.Body) > inlineLimit {
-		finished.Object = Table + "-" + row + "-" + try
+	if len(finished.Answer.Body) > maxInlineBody {
+		finished.Object = Table + "-" + row + "-" + attemptID
 		if err := claims.options.Objects.PutObject(ctx, finished.Object, finished.Answer.Body); err != nil {
 			return err
 		}
@@ -96,14 +97,15 @@
 	if err != nil && dogwoodtable.AsConflict(err) == nil {
 		return err
 	}
-	// A conflict means that an earlier write of this answer took effect and its answer was
-	// lost, or that the row has expired. Either way there is nothing left to store.
+	// A conflict means that an earlier write of this answer took effect although the store's
+	// reply was lost, or that the row has expired. In both cases nothing is left to store.
 	claims.mutex.Lock()
-	delete(claims.held, try)
+	delete(claims.held, attemptID)
 	claims.mutex.Unlock()
 	return nil
 }
 
+// removeRow deletes the row at that version.
 func (claims *Claims) removeRow(ctx context.Context, row string, version uint64) error {
 	_, err := claims.commits.commit(ctx, dogwoodtable.Write{Table: Table, Key: row, Version: version, Delete: true})
 	if dogwoodtable.AsConflict(err) != nil {
@@ -113,169 +115,177 @@
 }
 
 const (
-	// firstRepair is when a postponed end is tried again; the wait then doubles.
-	firstRepair = time.Second
-	// longestRepair is the longest wait between two tries.
-	longestRepair = time.Minute
-	// freeFor is how long the rows of a try that gave up are looked for, also after one was
-	// removed: each insert whose answer was lost may reach the store later than its sender
-	// waited, and would block the key until it expires. It costs some ten reads.
-	freeFor = 5 * time.Minute
-	// maxRepairs and maxPostponed bound what waits for the store, in number and in bytes of
-	// answers. Beyond them the oldest are given up, and a resend of such a call is told that
-	// its outcome is unknown.
-	maxRepairs   = 10_000
-	maxPostponed = 32 << 20
-	// repairsAtOnce bounds the tries after an outage, so that the store's return is no herd.
-	repairsAtOnce = 32
+	// firstRetryDelay is the wait before the first retry of a postponed end; it doubles after
+	// each retry.
+	firstRetryDelay = time.Second
+	// maxRetryDelay is the longest wait between two retries.
+	maxRetryDelay = time.Minute
+	// abandonedRowPeriod is how long the store is checked for the row of an abandoned attempt,
+	// even after the row was removed once: an insert whose answer was lost may reach the store
+	// after its sender stopped waiting, and would block the key until the row expires. It
+	// costs some ten reads.
+	abandonedRowPeriod = 5 * time.Minute
+	// maxQueuedRetries and maxQueuedBytes bound the retries that wait for the store, in number
+	// and in bytes of answers. Beyond them the oldest are dropped, and a resend of such a call
+	// gets an unknown outcome.
+	maxQueuedRetries = 10_000
+	maxQueuedBytes   = 32 << 20
+	// maxConcurrentRetries bounds the concurrent retries, to prevent a thundering herd when the
+	// store comes back after an outage.
+	maxConcurrentRetries = 32
 )
 
-// repair is an end of a claim that could not be stored at once.
-type repair struct {
-	row, try string
-	free     bool
-	size     int
-	due      time.Time
-	wait     time.Duration
-	until    time.Time // zero for as long as the row is kept
+// retry is a postponed end of a claim (its answer, or the removal of its row) and the time of
+// its next write.
+type retry struct {
+	row, attemptID string
+	free           bool
+	size           int
+	due            time.Time
+	delay          time.Duration
+	until          time.Time // retried until then
 }
 
-// repairs stores postponed ends when the store is back.
-type repairs struct {
+// retryQueue retries postponed ends until the store accepts them.
+type retryQueue struct {
 	claims *Claims
 	added  chan struct{}
 	mutex  sync.Mutex
-	list   []*repair
+	list   []*retry
 	size   int
 }
 
-func newRepairs(claims *Claims) *repairs {
-	return &repairs{claims: claims, added: make(chan struct{}, 1)}
+func newRetryQueue(claims *Claims) *retryQueue {
+	return &retryQueue{claims: claims, added: make(chan struct{}, 1)}
 }
 
-func (repairs *repairs) store(row, try string, size int) {
-	repairs.add(&repair{row: row, try: try, size: size, until: time.Now().Add(repairs.claims.options.KeepFor)})
+// addStore queues the storing of an answer.
+func (queue *retryQueue) addStore(row, attemptID string, size int) {
+	queue.add(&retry{row: row, attemptID: attemptID, size: size, until: time.Now().Add(queue.claims.options.KeepFor)})
 }
 
-func (repairs *repairs) free(row, try string) {
-	repairs.add(&repair{row: row, try: try, free: true, until: time.Now().Add(freeFor)})
+// addFree queues the removal of the row of an attempt that was not sent.
+func (queue *retryQueue) addFree(row, attemptID string) {
+	queue.add(&retry{row: row, attemptID: attemptID, free: true, until: time.Now().Add(abandonedRowPeriod)})
 }
 
-func (repairs *repairs) add(repair *repair) {
-	repair.wait = firstRepair
-	repair.due = time.Now().Add(firstRepair)
-	for _, given := range repairs.put(repair) {
-		repairs.claims.giveUp(given.try)
+func (queue *retryQueue) add(retry *retry) {
+	retry.delay = firstRetryDelay
+	retry.due = time.Now().Add(firstRetryDelay)
+	for _, dropped := range queue.put(retry) {
+		queue.claims.dropAnswer(dropped.attemptID)
 	}
 }
 
-// put adds a repair and returns those that had to go for it.
-func (repairs *repairs) put(added *repair) (gone []*repair) {
-	repairs.mutex.Lock()
-	defer repairs.mutex.Unlock()
-	repairs.list = append(repairs.list, added)
-	repairs.size += added.size
+// put adds a retry and returns those that were evicted to stay within the bounds.
+func (queue *retryQueue) put(added *retry) (evicted []*retry) {
+	queue.mutex.Lock()
+	defer queue.mutex.Unlock()
+	queue.list = append(queue.list, added)
+	queue.size += added.size
 	select {
-	case repairs.added <- struct{}{}:
-	default: // run is woken already
+	case queue.added <- struct{}{}:
+	default: // run is already notified
 	}
-	for len(repairs.list) > maxRepairs || (repairs.size > maxPostponed && len(repairs.list) > 1) {
-		gone = append(gone, repairs.list[0])
-		repairs.size -= repairs.list[0].size
-		repairs.list = repairs.list[1:]
+	for len(queue.list) > maxQueuedRetries || (queue.size > maxQueuedBytes && len(queue.list) > 1) {
+		evicted = append(evicted, queue.list[0])
+		queue.size -= queue.list[0].size
+		queue.list = queue.list[1:]
 	}
-	return gone
+	return evicted
 }
 
-// giveUp forgets an answer that was never stored.
-func (claims *Claims) giveUp(try string) {
+// dropAnswer drops an answer that was never stored.
+func (claims *Claims) dropAnswer(attemptID string) {
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
-	if _, ok := claims.held[try]; ok {
-		claims.options.Logger.Warn("Answer given up before it could be stored.", "try", try)
-		delete(claims.held, try)
+	if _, ok := claims.held[attemptID]; ok {
+		claims.options.Logger.Warn("Answer dropped before it was stored.", "try", attemptID)
+		delete(claims.held, attemptID)
 	}
 }
 
-// Postponed returns how many ends of claims wait for the store.
+// Postponed returns the number of ends of claims that wait for the store.
 func (claims *Claims) Postponed() int {
-	claims.repairs.mutex.Lock()
-	defer claims.repairs.mutex.Unlock()
-	return len(claims.repairs.list)
+	claims.retries.mutex.Lock()
+	defer claims.retries.mutex.Unlock()
+	return len(claims.retries.list)
 }
 
-func (repairs *repairs) run(ctx context.Context) {
-	for repairs.next(ctx) == nil {
+// run processes retries as they become due, until the context ends.
+func (queue *retryQueue) run(ctx context.Context) {
+	for queue.waitForDue(ctx) == nil {
 		var group sync.WaitGroup
-		for _, due := range repairs.takeDue(time.Now()) {
-			group.Go(func() { repairs.mend(ctx, due) })
+		for _, due := range queue.takeDue(time.Now()) {
+			group.Go(func() { queue.process(ctx, due) })
 		}
 		group.Wait()
 	}
 }
 
-// next waits until a repair may be due.
-func (repairs *repairs) next(ctx context.Context) error {
-	if repairs.claims.Postponed() == 0 {
+// waitForDue waits until a retry may be due.
+func (queue *retryQueue) waitForDue(ctx context.Context) error {
+	if queue.claims.Postponed() == 0 {
 		select {
-		case <-repairs.added:
+		case <-queue.added:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	return pause(ctx, firstRepair/2)
+	return sleep(ctx, firstRetryDelay/2)
 }
 
-func (repairs *repairs) takeDue(now time.Time) []*repair {
-	repairs.mutex.Lock()
-	defer repairs.mutex.Unlock()
-	var due, rest []*repair
-	for _, repair := range repairs.list {
-		if len(due) < repairsAtOnce && !now.Before(repair.due) {
-			due = append(due, repair)
-			repairs.size -= repair.size
+// takeDue removes and returns up to maxConcurrentRetries retries that are due.
+func (queue *retryQueue) takeDue(now time.Time) []*retry {
+	queue.mutex.Lock()
+	defer queue.mutex.Unlock()
+	var due, rest []*retry
+	for _, retry := range queue.list {
+		if len(due) < maxConcurrentRetries && !now.Before(retry.due) {
+			due = append(due, retry)
+			queue.size -= retry.size
 		} else {
-			rest = append(rest, repair)
+			rest = append(rest, retry)
 		}
 	}
-	repairs.list = rest
+	queue.list = rest
 	return due
 }
 
-// mend tries once and puts the repair back if it must be tried again.
-func (repairs *repairs) mend(ctx context.Context, repair *repair) {
-	bounded, cancel := context.WithTimeout(ctx, finishWithin)
+// process makes one retry and queues it again if another one is needed.
+func (queue *retryQueue) process(ctx context.Context, retry *retry) {
+	bounded, cancel := context.WithTimeout(ctx, finishTimeout)
 	defer cancel()
 	var err error
-	if repair.free {
-		err = repairs.claims.freeAbandoned(bounded, repair.row, repair.try)
+	if retry.free {
+		err = queue.claims.freeAbandoned(bounded, retry.row, retry.attemptID)
 	} else {
-		err = repairs.claims.storeAnswer(bounded, repair.row, repair.try)
+		err = queue.claims.storeAnswer(bounded, retry.row, retry.attemptID)
 	}
 	now := time.Now()
-	if err == nil && !repair.free {
+	if err == nil && !retry.free {
 		return
 	}
-	if !now.Before(repair.until) {
-		repairs.claims.giveUp(repair.try)
+	if !now.Before(retry.until) {
+		queue.claims.dropAnswer(retry.attemptID)
 		return
 	}
-	repair.wait = min(2*repair.wait, longestRepair)
-	repair.due = now.Add(repair.wait)
-	for _, given := range repairs.put(repair) {
-		repairs.claims.giveUp(given.try)
+	retry.delay = min(2*retry.delay, maxRetryDelay)
+	retry.due = now.Add(retry.delay)
+	for _, dropped := range queue.put(retry) {
+		queue.claims.dropAnswer(dropped.attemptID)
 	}
 }
 
-// freeAbandoned removes the row, if there is one now, of a try of this daemon that gave up
-// and was never sent.
-func (claims *Claims) freeAbandoned(ctx context.Context, row, try string) error {
+// freeAbandoned removes the row, if it exists, of an attempt of this daemon that was
+// abandoned before it was sent.
+func (claims *Claims) freeAbandoned(ctx context.Context, row, attemptID string) error {
 	found, ok, err := claims.options.Store.Read(ctx, Table, row)
 	if err != nil || !ok {
 		return err
 	}
 	present, err := decodeRecord(found.Value)
-	if err != nil || present.Try != try {
+	if err != nil || present.Try != attemptID {
 		return err
 	}
 	return claims.removeRow(ctx, row, found.Version)
--- a/core/state/dogwoodclaim/record.go
+++ b/core/state/dogwoodclaim/record.go
@@ -22,22 +22,24 @@
 	Service  dogwoodfleet.Service
 	Key      string
 	Digest   string
-	Try      string
+	Try      string // the id of the attempt that holds the claim
 	Holder   dogwoodfleet.InstanceID
 	State    string
 	At       time.Time
-	// Answer is set when State is Answered; its body is empty when Object names it.
+	// Answer is set if State is Answered. Its body is empty if it is stored in the object
+	// store; Object is then its name there.
 	Answer *Answer `json:",omitempty"`
 	Object string  `json:",omitempty"`
 }
 
-func newRecord(key Key, digest dogwoodfleet.Digest, try string, holder dogwoodfleet.InstanceID) record {
+// newRecord returns the record of a claim in state Running.
+func newRecord(key Key, digest dogwoodfleet.Digest, attemptID string, holder dogwoodfleet.InstanceID) record {
 	return record{
 		Customer: key.Customer,
 		Service:  key.Service,
 		Key:      key.Key,
 		Digest:   hex.EncodeToString(digest[:]),
-		Try:      try,
+		Try:      attemptID,
 		Holder:   holder,
 		State:    stateRunning,
 		At:       time.Now().UTC(),
@@ -47,7 +49,7 @@
 func (record record) encode() []byte {
 	encoded, err := json.Marshal(record)
 	if err != nil {
-		panic(Error.Wrap(err)) // a record holds nothing that JSON can't
+		panic(Error.Wrap(err)) // every field of a record can be encoded as JSON
 	}
 	return encoded
 }
@@ -58,8 +60,8 @@
 	return decoded, Error.Wrap(err)
 }
 
-// row returns the key of the claim's row: a digest, since callers choose long keys. The
-// lengths keep ("a", "bc") apart from ("ab", "c").
+// row returns the key of the claim's row, a digest since callers may choose long keys. The
+// lengths distinguish ("a", "bc") from ("ab", "c").
 func (key Key) row() string {
 	text := fmt.Sprintf("%d:%s %d:%s %s", len(key.Customer), key.Customer, len(key.Service), key.Service, key.Key)
 	digest := sha256.Sum256([]byte(text))
--- a/core/state/dogwoodclaim/witness.go
+++ b/core/state/dogwoodclaim/witness.go
@@ -8,91 +8,92 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// While the store is down a daemon can't know whether a key was used before. "Not run"
-// would then be true of the try at hand and false of the call: a buyer's hold that ran,
-// whose connection broke and that is sent again through another entry, would be answered
-// "not run", and the caller would make a second one under a new key. So all daemons are
-// asked what they remember, and "not run" is only said if all of them can tell.
+// While the store is down, a daemon can't determine whether a key was used before. "Not run"
+// would then be correct for the present attempt but possibly wrong for the call: a buyer
+// whose hold ran, but whose connection broke, resends it through another entry daemon, gets
+// "not run" and places a second hold under a new key. So all daemons are queried for the
+// calls that they have claimed, and "not run" is returned only if none of them has claimed
+// the call and none may have dropped the record of it.
 
 const (
-	// sentKeys bounds the keys that this daemon remembers to have claimed: an hour at 36 a
-	// second, some 15 MB.
-	sentKeys = 1 << 17
-	// witnessWithin bounds the asking. Daemons answer in milliseconds; one that does not is
-	// as good as one that has forgotten.
-	witnessWithin = 500 * time.Millisecond
+	// maxHistoryRows bounds the claimed rows that this daemon keeps in memory: an hour at 36
+	// claims a second, some 15 MB.
+	maxHistoryRows = 1 << 17
+	// queryTimeout bounds the queries to the other daemons. Daemons answer in milliseconds; one
+	// that does not is treated like one that has dropped its record of the call.
+	queryTimeout = 500 * time.Millisecond
 )
 
-// Question asks what a daemon remembers of a call.
+// Question is a query for what a daemon holds in memory about a call.
 type Question struct {
-	// Row is the claim's row key, Digest that of the call.
+	// Row is the key of the claim's row, and Digest is the digest of the call.
 	Row    string
 	Digest string
 }
 
-// Testimony is a daemon's answer.
+// Testimony is a daemon's answer to such a query.
 type Testimony struct {
-	// Known is true if the daemon claimed the call; Taken is then what it knows of it.
+	// Known is true if the daemon claimed the call; Taken is then its outcome.
 	Known bool
 	Taken Taken
-	// Forgot is true if the daemon may have claimed it and not know any more.
+	// Forgot is true if the daemon may have claimed the call and dropped the record of it.
 	Forgot bool
 }
 
-// Witnesses are the other daemons.
+// Witnesses queries the other daemons.
 type Witnesses interface {
-	// Recall asks all of them. complete is false if one of them, or one that was there
-	// within the time that claims are kept, can't tell.
+	// Recall queries all other daemons. complete is false if one of them can't answer, or if
+	// a daemon was lost within the time for which claims are kept.
 	Recall(ctx context.Context, question Question) (testimonies []Testimony, complete bool)
 }
 
-// sentMemory remembers which rows this daemon has claimed.
-type sentMemory struct {
+// rowHistory records which rows this daemon has claimed.
+type rowHistory struct {
 	rows *lru.Cache[[sha256.Size / 2]byte, struct{}]
-	// forgot is when a row was last dropped for want of room.
-	forgot time.Time
+	// lastEvicted is when a row was last evicted because the history was full.
+	lastEvicted time.Time
 }
 
-func newSentMemory() *sentMemory {
-	rows, err := lru.New[[sha256.Size / 2]byte, struct{}](sentKeys)
+func newRowHistory() *rowHistory {
+	rows, err := lru.New[[sha256.Size / 2]byte, struct{}](maxHistoryRows)
 	if err != nil {
 		panic(Error.Wrap(err)) // only for a size below one
 	}
-	return &sentMemory{rows: rows}
+	return &rowHistory{rows: rows}
 }
 
-func sentKey(row string) [sha256.Size / 2]byte {
+func historyKey(row string) [sha256.Size / 2]byte {
 	digest := sha256.Sum256([]byte(row))
 	return [sha256.Size / 2]byte(digest[:sha256.Size/2])
 }
 
-func (memory *sentMemory) add(row string) {
-	if memory.rows.Add(sentKey(row), struct{}{}) {
-		memory.forgot = time.Now()
+func (history *rowHistory) add(row string) {
+	if history.rows.Add(historyKey(row), struct{}{}) {
+		history.lastEvicted = time.Now()
 	}
 }
 
-func (memory *sentMemory) remove(row string) {
-	memory.rows.Remove(sentKey(row))
+func (history *rowHistory) remove(row string) {
+	history.rows.Remove(historyKey(row))
 }
 
-// Testify answers another daemon's question.
+// Testify answers a query from another daemon.
 func (claims *Claims) Testify(question Question) Testimony {
-	if taken, known := claims.recall(question.Row, question.Digest); known {
+	if taken, known := claims.lookupRecent(question.Row, question.Digest); known {
 		return Testimony{Known: true, Taken: taken}
 	}
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
-	if claims.sent.rows.Contains(sentKey(question.Row)) {
+	if claims.history.rows.Contains(historyKey(question.Row)) {
 		return Testimony{Known: true, Taken: Taken{Outcome: OutcomeUnknown, Holder: claims.options.Self}}
 	}
-	forgot := claims.sent.forgot
-	return Testimony{Forgot: !forgot.IsZero() && time.Since(forgot) < claims.options.KeepFor}
+	lastEvicted := claims.history.lastEvicted
+	return Testimony{Forgot: !lastEvicted.IsZero() && time.Since(lastEvicted) < claims.options.KeepFor}
 }
 
-// askWitnesses settles a try that could not reach the store. certain is true if no daemon
-// has sent the call under this key.
-func (claims *Claims) askWitnesses(ctx context.Context, question Question) (taken Taken, certain bool) {
+// queryPeers returns the outcome of a call for which the store could not be reached. If it
+// is empty, certain reports that no daemon has sent a call under this key.
+func (claims *Claims) queryPeers(ctx context.Context, question Question) (taken Taken, certain bool) {
 	own := claims.Testify(question)
 	if own.Known {
 		return own.Taken, true
@@ -100,7 +101,7 @@
 	if claims.options.Witnesses == nil {
 		return Taken{}, !own.Forgot
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), witnessWithin)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), queryTimeout)
 	defer cancel()
 	testimonies, complete := claims.options.Witnesses.Recall(ctx, question)
 	for _, testimony := range testimonies {
--- a/core/state/dogwoodclaim/witness_test.go
+++ b/core/state/dogwoodclaim/witness_test.go
@@ -11,7 +11,7 @@
 	"dogwoodmux.example/core/state/dogwoodtable"
 )
 
-// outageStore takes every insert until it is down.
+// outageStore accepts every insert until it is down.
 type outageStore struct {
 	down bool
 }
@@ -27,26 +27,26 @@
 	return make([]uint64, len(writes)), nil
 }
 
-// others are the other daemons; a nil one does not answer.
-type others []*Claims
+// peers are the other daemons; a nil element does not answer.
+type peers []*Claims
 
-func (others others) Recall(_ context.Context, question Question) (testimonies []Testimony, complete bool) {
+func (peers peers) Recall(_ context.Context, question Question) (testimonies []Testimony, complete bool) {
 	complete = true
-	for _, each := range others {
-		if each == nil {
+	for _, peer := range peers {
+		if peer == nil {
 			complete = false
 			continue
 		}
-		testimonies = append(testimonies, each.Testify(question))
+		testimonies = append(testimonies, peer.Testify(question))
 	}
 	return testimonies, complete
 }
 
-// A buyer's hold runs at the first entry, and the buyer's connection breaks before the
-// answer comes. The store goes down. The buyer sends the hold again through the second
-// entry, which can't see the claim. "Not run" would be false: the buyer would make a
-// second hold under a new key.
-func TestResendDuringAnOutageIsNotCalledNotRun(t *testing.T) {
+// Guards against a false "not run", after which a buyer would place a second hold under a
+// new key: a hold runs at the first entry daemon, the buyer's connection breaks before the
+// answer, the store goes down, and the buyer resends the hold through the second entry
+// daemon, which can't read the claim.
+func TestResendDuringOutageIsNotReportedNotRun(t *testing.T) {
 	answer := Answer{Status: 201, Body: []byte("held")}
 	tests := []struct {
 		name            string
@@ -57,10 +57,10 @@
 		wantUnavailable bool
 		wantEarlier     bool
 	}{
-		{name: "it is answered from the first entry's memory", key: "hold-1", finished: true, want: Answered},
-		{name: "it runs there still", key: "hold-1", want: Running},
-		{name: "the first entry died", key: "hold-1", finished: true, firstDies: true, wantUnavailable: true, wantEarlier: true},
-		{name: "another hold is not run for certain", key: "hold-2", finished: true, wantUnavailable: true},
+		{name: "answered from the memory of the first entry daemon", key: "hold-1", finished: true, want: Answered},
+		{name: "still running at the first entry daemon", key: "hold-1", want: Running},
+		{name: "the first entry daemon died", key: "hold-1", finished: true, firstDies: true, wantUnavailable: true, wantEarlier: true},
+		{name: "a different hold was certainly not run", key: "hold-2", finished: true, wantUnavailable: true},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -87,11 +87,11 @@
 				if test.finished {
 					_ = first.Finish(ctx, held, "try-1", answer) // postponed: the store is down
 				}
-				known := others{first}
+				others := peers{first}
 				if test.firstDies {
-					known = others{nil}
+					others = peers{nil}
 				}
-				second := start("second", known)
+				second := start("second", others)
 				resent := Key{Customer: "kurume", Service: "lot-desk", Key: test.key}
 				got, err := second.Take(ctx, resent, dogwoodfleet.Digest{1}, "try-2")
 				var unavailable *Unavailable
@@ -102,7 +102,7 @@
 					t.Errorf("got earlier unknown %v, want %v", unavailable.EarlierUnknown, test.wantEarlier)
 				}
 				if test.want == Answered && string(got.Answer.Body) != "held" {
-					t.Errorf("got body %q, want the first entry's", got.Answer.Body)
+					t.Errorf("got body %q, want the first entry daemon's", got.Answer.Body)
 				}
 			})
 		})
