--- a/core/edge/dogwoodengine/assemble.go
+++ b/core/edge/dogwoodengine/assemble.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// chunkBody is what is read of a chunk. Its fields have the API's names.
+// chunkBody has the fields of a chunk that Assemble reads, under the names of the API.
 type chunkBody struct {
 	ID      string          `json:"id"`
 	Created int64           `json:"created"`
@@ -25,41 +25,41 @@
 	Content string `json:"content"`
 }
 
-type wholeBody struct {
-	ID      string          `json:"id"`
-	Object  string          `json:"object"`
-	Created int64           `json:"created"`
-	Model   string          `json:"model"`
-	Choices []wholeChoice   `json:"choices"`
-	Usage   json.RawMessage `json:"usage,omitempty"`
+type responseBody struct {
+	ID      string           `json:"id"`
+	Object  string           `json:"object"`
+	Created int64            `json:"created"`
+	Model   string           `json:"model"`
+	Choices []responseChoice `json:"choices"`
+	Usage   json.RawMessage  `json:"usage,omitempty"`
 }
 
-type wholeChoice struct {
-	Index        int           `json:"index"`
-	Message      *wholeMessage `json:"message,omitempty"`
-	Text         *string       `json:"text,omitempty"`
-	FinishReason *string       `json:"finish_reason"`
+type responseChoice struct {
+	Index        int              `json:"index"`
+	Message      *responseMessage `json:"message,omitempty"`
+	Text         *string          `json:"text,omitempty"`
+	FinishReason *string          `json:"finish_reason"`
 }
 
-type wholeMessage struct {
+type responseMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
 
-// Assemble makes the whole answer, for a caller that asked for no stream, of all the events
-// of a stream.
+// Assemble builds the response body for a caller that did not request a stream, from all
+// events of the engine's stream.
 func Assemble(path string, events []Event) ([]byte, error) {
-	var whole wholeBody
+	var response responseBody
 	texts := map[int]*strings.Builder{}
-	finished := map[int]*string{}
+	finishReasons := map[int]*string{}
 	for _, event := range events {
 		var chunk chunkBody
 		if err := json.Unmarshal(event.Data, &chunk); err != nil {
 			return nil, Error.New("event %d: %v", event.Index, err)
 		}
-		whole.ID, whole.Model, whole.Created = chunk.ID, chunk.Model, chunk.Created
+		response.ID, response.Model, response.Created = chunk.ID, chunk.Model, chunk.Created
 		if len(chunk.Usage) > 0 && string(chunk.Usage) != "null" {
-			whole.Usage = chunk.Usage
+			response.Usage = chunk.Usage
 		}
 		for _, choice := range chunk.Choices {
 			if texts[choice.Index] == nil {
@@ -67,27 +67,27 @@
 			}
 			texts[choice.Index].WriteString(choice.Delta.Content + choice.Text)
 			if choice.FinishReason != nil {
-				finished[choice.Index] = choice.FinishReason
+				finishReasons[choice.Index] = choice.FinishReason
 			}
 		}
 	}
-	whole.Object = "text_completion"
+	response.Object = "text_completion"
 	if path == PathChat {
-		whole.Object = "chat.completion"
+		response.Object = "chat.completion"
 	}
 	for index := range len(texts) {
-		if finished[index] == nil {
+		if finishReasons[index] == nil {
 			return nil, Error.New("choice %d of the answer is not finished", index)
 		}
-		choice := wholeChoice{Index: index, FinishReason: finished[index]}
+		choice := responseChoice{Index: index, FinishReason: finishReasons[index]}
 		text := texts[index].String()
 		if path == PathChat {
-			choice.Message = &wholeMessage{Role: "assistant", Content: text}
+			choice.Message = &responseMessage{Role: "assistant", Content: text}
 		} else {
 			choice.Text = &text
 		}
-		whole.Choices = append(whole.Choices, choice)
+		response.Choices = append(response.Choices, choice)
 	}
-	body, err := json.Marshal(whole)
+	body, err := json.Marshal(response)
 	return body, Error.Wrap(err)
 }
--- a/core/edge/dogwoodengine/body.go
+++ b/core/edge/dogwoodengine/body.go
@@ -5,9 +5,9 @@
 	"encoding/json"
 )
 
-// streamedBody returns the caller's body with stream and usage asked for. The fields are
-// changed on the raw text, so a long prompt is not decoded.
-func streamedBody(body []byte) ([]byte, error) {
+// streamingBody returns the caller's body with the fields set that request a stream and the
+// token counts. The other fields stay raw JSON, so a long prompt is not decoded.
+func streamingBody(body []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, Error.New("request body: %v", err)
@@ -30,6 +30,7 @@
 	} `json:"error"`
 }
 
+// errorCode returns the code in the data of an error event, or "" if there is none.
 func errorCode(data string) string {
 	var body errorBody
 	if err := json.Unmarshal([]byte(data), &body); err != nil {
--- a/core/edge/dogwoodengine/cold_test.go
+++ b/core/edge/dogwoodengine/cold_test.go
@@ -10,10 +10,10 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// An engine turned cold while it ran a few prompts, and the owner sent it another 300 ms after
-// the engine had said so: its report lags by a second, and the word that each of its answers
-// carries was read from the answers to prompts only.
-func TestEachAnswerTellsThatAnEngineIsCold(t *testing.T) {
+// An engine became cold while it ran a few prompts, and its owner sent it another 300 ms after the
+// engine had reported it: the load report lags by a second, and the header that marks each response
+// of a cold engine was read only from the responses to prompts.
+func TestEveryResponseReportsColdEngine(t *testing.T) {
 	tests := []struct {
 		name   string
 		header string
@@ -36,11 +36,11 @@
 		endpoint := dogwoodfleet.Endpoint{ID: "engine", Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
 		load, err := client.Load(t.Context(), endpoint)
 		if err != nil || load.Cold != test.want {
-			t.Errorf("%s: got the report cold %t and error %v, want %t", test.name, load.Cold, err, test.want)
+			t.Errorf("%s: got load report with cold %t and error %v, want %t", test.name, load.Cold, err, test.want)
 		}
 		state, err := client.State(t.Context(), endpoint)
 		if want := test.header != ""; err != nil || state.Cold != want {
-			t.Errorf("%s: got the list cold %t and error %v, want %t", test.name, state.Cold, err, want)
+			t.Errorf("%s: got state with cold %t and error %v, want %t", test.name, state.Cold, err, want)
 		}
 		client.Close(t.Context())
 		server.Close()
--- a/core/edge/dogwoodengine/connection.go
+++ b/core/edge/dogwoodengine/connection.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// connectionBuffer is how many frames may wait for a slow caller before the connection is
-	// read no further, so that the engine's TCP window fills instead of the daemon's memory.
-	connectionBuffer = 16
-	// maxEvent bounds one event of a stream, so that a broken engine can't fill the daemon's memory.
-	maxEvent = 1 << 20
+	// maxBufferedFrames is how many frames are buffered for a slow caller before reading from the
+	// connection stops, so that the engine's TCP window fills instead of the daemon's memory.
+	maxBufferedFrames = 16
+	// maxEventBytes bounds one event of a stream, so that a broken engine can't fill the daemon's
+	// memory.
+	maxEventBytes = 1 << 20
 	// doneData is the data of the event that ends a stream.
 	doneData = "[DONE]"
-	// EventError is the type of an event with which an engine tells that a request failed.
+	// EventError is the type of the event by which an engine reports that a request failed.
 	EventError = "error"
-	// EventProgress is the type of the event that an engine sends while it has nothing else.
+	// EventProgress is the type of the event that an engine sends while it has no other to send.
 	EventProgress = "progress"
 )
 
@@ -34,12 +35,12 @@
 	data  string
 }
 
-// connection is one try at reading a stream. Each has channels of its own, so that
-// dropping it drops every byte that comes late.
+// connection reads a stream over one HTTP connection. Each connection has its own channels, so
+// that bytes that arrive after it is closed are dropped with it.
 type connection struct {
 	frames *dogwoodring.Ring[frame]
-	// pulse tells that bytes came, be they only a comment or a part of an event.
-	pulse chan struct{}
+	// activity signals that bytes arrived, even if only a comment or a part of an event.
+	activity chan struct{}
 	// failure is set before frames is closed.
 	failure error
 	cancel  context.CancelFunc
@@ -47,64 +48,64 @@
 }
 
 func newConnection(ctx context.Context, cancel context.CancelFunc, body io.ReadCloser) *connection {
-	reading := &connection{
-		frames: dogwoodring.New[frame]("stream events", connectionBuffer, dogwoodring.Wait),
-		pulse:  make(chan struct{}, 1),
-		cancel: cancel,
+	connection := &connection{
+		frames:   dogwoodring.New[frame]("stream events", maxBufferedFrames, dogwoodring.Wait),
+		activity: make(chan struct{}, 1),
+		cancel:   cancel,
 	}
-	reading.reading.Go(func() {
-		defer reading.frames.Close()
-		defer body.Close() //nolint:errcheck // the stream was read to its end or given up
-		reading.failure = reading.read(ctx, body)
+	connection.reading.Go(func() {
+		defer connection.frames.Close()
+		defer body.Close() //nolint:errcheck // the stream was read to its end or abandoned
+		connection.failure = connection.read(ctx, body)
 	})
-	return reading
+	return connection
 }
 
-// read passes the stream's events on until it ends or breaks. The end of a connection
-// without the event that ends the stream counts as broken.
+// read forwards the stream's events to frames until the connection ends, and returns why it
+// ended. The end of the connection is always an error: only a [DONE] event ends the stream.
 func (connection *connection) read(ctx context.Context, body io.Reader) error {
-	body = &pulseReader{body: body, pulse: connection.pulse}
-	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEvent}) {
+	body = &activityReader{body: body, activity: connection.activity}
+	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxEventBytes}) {
 		if err != nil {
 			return Error.Wrap(err)
 		}
-		read := frame{kind: event.Type, data: event.Data}
-		read.id, read.index = splitEventID(event.LastEventID)
-		if err := connection.frames.PutWait(ctx, read); err != nil {
+		received := frame{kind: event.Type, data: event.Data}
+		received.id, received.index = splitEventID(event.LastEventID)
+		if err := connection.frames.PutWait(ctx, received); err != nil {
 			return Error.Wrap(err)
 		}
 	}
 	return Error.Wrap(io.ErrUnexpectedEOF)
 }
 
-// close ends the connection and returns when its reader has ended.
+// close closes the connection and waits until its reader has ended.
 func (connection *connection) close() {
 	connection.cancel()
 	connection.reading.Wait()
 }
 
-// pulseReader tells of every read that brought bytes.
-type pulseReader struct {
-	body  io.Reader
-	pulse chan<- struct{}
+// activityReader signals activity on every read that returned bytes.
+type activityReader struct {
+	body     io.Reader
+	activity chan<- struct{}
 }
 
-func (reader *pulseReader) Read(buffer []byte) (int, error) {
+func (reader *activityReader) Read(buffer []byte) (int, error) {
 	count, err := reader.body.Read(buffer)
 	if count > 0 {
 		select {
-		case reader.pulse <- struct{}{}:
+		case reader.activity <- struct{}{}:
 		default:
 		}
 	}
-	return count, err // the error as it is: callers of Read look for io.EOF
+	return count, err // not wrapped: callers of Read compare it with io.EOF
 }
 
 func eventID(id string, index int) string {
 	return id + "/" + strconv.Itoa(index)
 }
 
-// splitEventID takes "REQUEST/INDEX" apart. The index is -1 if there is none.
+// splitEventID splits "REQUEST/INDEX". The index is -1 if there is none.
 func splitEventID(value string) (id string, index int) {
 	slash := strings.LastIndexByte(value, '/')
 	if slash < 0 {
--- a/core/edge/dogwoodengine/engine.go
+++ b/core/edge/dogwoodengine/engine.go
@@ -1,11 +1,11 @@
-// Package dogwoodengine is the client of model engines: it starts requests, reads their
-// streams through broken and silent connections, cancels what callers left, and asks and
-// orders engines. docs/ENGINE.md describes the protocol.
+// Package dogwoodengine is the client of model engines. It starts requests, resumes their
+// streams when connections break or fall silent, cancels requests that their callers have
+// abandoned, queries engines and sends them orders. docs/ENGINE.md describes the protocol.
 //
-// Every call opens a connection of its own. A connection kept for reuse may have gone
-// silent, and net/http's Transport repeats a request by itself when a reused connection
-// breaks; on a fresh one it does not. A connection costs a round trip, about a
-// millisecond inside a region, against prompts of tens of milliseconds and more.
+// Every call opens a new connection. A connection kept for reuse may have fallen silent, and
+// net/http's Transport resends a request when a reused connection breaks; on a new
+// connection it does not. A new connection costs a round trip, about a millisecond inside a
+// region, while a prompt takes tens of milliseconds or more.
 package dogwoodengine
 
 import (
@@ -27,31 +27,31 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("engine")
 
-// DefaultSilence is how long a connection may bring nothing. Engines send a comment
-// every 500 ms while they have nothing else, so this is four of them lost.
+// DefaultSilence is the default of Options.Silence. Engines send a comment every 500 ms while
+// they have nothing else to send, so four comments in a row must be missing.
 const DefaultSilence = 2 * time.Second
 
 // Options configure a client.
 type Options struct {
 	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Silence is how long a connection may bring nothing before it is given up.
+	// Silence is how long a connection may deliver no bytes before it is closed.
 	Silence time.Duration
 	Logger  hclog.Logger
 }
 
-// Client talks to engines. It is safe for concurrent use.
+// Client sends requests and orders to engines. It is safe for concurrent use.
 type Client struct {
 	http       *resty.Client
 	silence    time.Duration
 	logger     hclog.Logger
 	background sync.WaitGroup
-	// mutex guards closing, which is true once no more work is begun in the background.
+	// mutex guards closing, which is true once no more background work may start.
 	mutex   sync.Mutex
 	closing bool
-	// lifetime ends the work in the background; the calls for requests have contexts of their own.
-	lifetime context.Context //nolint:containedctx // the lifetime of the client's own work, not of a call
-	end      context.CancelFunc
+	// lifetime ends the background work. Calls on behalf of requests use their callers' contexts.
+	lifetime       context.Context //nolint:containedctx // ends the client's background work, not a call
+	cancelLifetime context.CancelFunc
 }
 
 // New returns a client.
@@ -74,78 +74,81 @@
 	client := resty.NewWithClient(&http.Client{Transport: transport}).
 		SetRetryCount(0).
 		SetRedirectPolicy(resty.RedirectPolicyFunc(func(*http.Request, []*http.Request) error {
-			// A redirect that is followed would run the request a second time elsewhere.
+			// Following a redirect could run the request a second time at another server.
 			return http.ErrUseLastResponse
 		}))
-	lifetime, end := context.WithCancel(context.Background())
+	lifetime, cancel := context.WithCancel(context.Background())
 	return &Client{
 		http: client, silence: options.Silence, logger: options.Logger.Named("engine"),
-		lifetime: lifetime, end: end,
+		lifetime: lifetime, cancelLifetime: cancel,
 	}
 }
 
-// inBackground runs work that Close waits for. A daemon that is killed, or whose time to stop
-// is over, closes the client under requests that still run; what these leave behind at the
-// engines the soft owners find in the engines' lists, as they do after a crash.
-func (client *Client) inBackground(work func()) {
+// startBackground runs work in a goroutine that Close waits for. Once Close has been called, it
+// drops the work: a daemon that is killed or exceeds its shutdown timeout closes the client
+// while requests still run. The owners find the streams and reservations of these requests in
+// the engines' lists, as after a crash.
+func (client *Client) startBackground(work func()) {
 	client.mutex.Lock()
 	defer client.mutex.Unlock()
 	if client.closing {
-		client.logger.Debug("nothing more is cancelled or released at the end")
+		client.logger.Debug("client is closing, background work dropped")
 		return
 	}
 	client.background.Go(work)
 }
 
-// Close returns when the cancels under way in the background are done or given up. The end
-// of the context gives them up: the soft owners find what is left in the engines' lists.
+// Close waits until the cancels that run in the background are confirmed or abandoned. They
+// are abandoned when the context ends; the owners find the remaining streams and reservations
+// in the engines' lists.
 func (client *Client) Close(ctx context.Context) {
 	client.mutex.Lock()
 	client.closing = true
 	client.mutex.Unlock()
-	stop := context.AfterFunc(ctx, client.end)
+	stop := context.AfterFunc(ctx, client.cancelLifetime)
 	defer stop()
 	client.background.Wait()
-	client.end()
+	client.cancelLifetime()
 }
 
-// dialError marks a failure before a connection was made: no byte of the request can have left.
+// dialError marks a failure before the connection was made: no byte of the request was sent.
 type dialError struct{ cause error }
 
 func (dialing *dialError) Error() string { return "connecting: " + dialing.cause.Error() }
 func (dialing *dialError) Unwrap() error { return dialing.cause }
 
-func address(endpoint dogwoodfleet.Endpoint, path string) string {
+func endpointURL(endpoint dogwoodfleet.Endpoint, path string) string {
 	return "http://" + endpoint.Address.String() + path
 }
 
-// Load asks an engine for its lagging report. That it is cold is told without a lag.
+// Load returns an engine's load report. The report lags, except for Cold, which the response
+// header states without a lag.
 func (client *Client) Load(ctx context.Context, endpoint dogwoodfleet.Endpoint) (Load, error) {
 	load, header, err := get[Load](ctx, client, endpoint, PathLoad)
 	load.Cold = load.Cold || isCold(header)
 	return load, err
 }
 
-// State asks an engine for its own list of what holds its memory.
+// State returns an engine's list of the requests and reservations that hold its memory.
 func (client *Client) State(ctx context.Context, endpoint dogwoodfleet.Endpoint) (State, error) {
 	state, header, err := get[State](ctx, client, endpoint, PathStreams)
 	state.Cold = isCold(header)
 	return state, err
 }
 
-// isCold reads the word that a cold engine gives with each of its answers.
+// isCold reports whether a response comes from a cold engine, which marks all its responses.
 func isCold(header http.Header) bool {
 	return header.Get(HeaderCold) == "true"
 }
 
-// Streams asks an engine for the requests that it knows.
+// Streams returns the requests that an engine lists.
 func (client *Client) Streams(ctx context.Context, endpoint dogwoodfleet.Endpoint) ([]Running, error) {
 	state, err := client.State(ctx, endpoint)
 	return state.Running, err
 }
 
-// CacheEvents asks an engine for its cache events after a sequence number. The gap is true
-// when an event between was lost, so that what is known of the cache may be wrong.
+// CacheEvents returns an engine's cache events after a sequence number. The gap is true if an
+// event in between was lost, so that a copy of the cache's index may be wrong.
 func (client *Client) CacheEvents(ctx context.Context, endpoint dogwoodfleet.Endpoint, after uint64) (answer CacheEvents, gap bool, err error) {
 	answer, _, err = get[CacheEvents](ctx, client, endpoint, PathEvents+"?after="+strconv.FormatUint(after, 10))
 	if err != nil {
@@ -161,13 +164,14 @@
 	return answer, gap || next <= answer.Last || answer.Last < after, nil
 }
 
-// Order tells an engine what to hold. The error is *OldFence when the engine has seen a
-// higher fencing number.
+// Order sends an order to an engine. The error is *OldFence if the engine has seen a higher
+// fencing number.
 func (client *Client) Order(ctx context.Context, endpoint dogwoodfleet.Endpoint, order Order) error {
 	return client.send(ctx, http.MethodPost, endpoint, PathOrders, order, nil)
 }
 
-// Cancel ends a request at an engine, whether or not it has arrived there yet. It tries once.
+// Cancel cancels a request at an engine, whether or not it has arrived there. It does not
+// retry.
 func (client *Client) Cancel(ctx context.Context, endpoint dogwoodfleet.Endpoint, id dogwoodfleet.RequestID) error {
 	_, err := client.cancelOnce(ctx, endpoint, id)
 	return err
@@ -185,14 +189,14 @@
 	return answer, header, err
 }
 
-// send makes one control call of whose answer only the body matters.
+// send makes one control call and discards the response header.
 func (client *Client) send(ctx context.Context, method string, endpoint dogwoodfleet.Endpoint, path string, body, answer any) error {
 	_, err := client.exchange(ctx, method, endpoint, path, body, answer)
 	return err
 }
 
-// exchange makes one control call, bounded by the time a connection may be silent. The
-// header is nil when no answer came.
+// exchange makes one control call, with the client's silence limit as its timeout. The header
+// is nil if there was no response.
 func (client *Client) exchange(ctx context.Context, method string, endpoint dogwoodfleet.Endpoint, path string, body, answer any) (http.Header, error) {
 	ctx, cancel := context.WithTimeout(ctx, client.silence)
 	defer cancel()
@@ -204,17 +208,18 @@
 	if answer != nil {
 		call.SetResult(answer)
 	}
-	response, err := call.Execute(method, address(endpoint, path))
+	response, err := call.Execute(method, endpointURL(endpoint, path))
 	if err != nil {
 		return nil, Error.New("%s %s at %s: %w", method, path, endpoint.ID, err)
 	}
 	if response.IsSuccess() {
 		return response.Header(), nil
 	}
-	return response.Header(), refusal(response.StatusCode(), response.Header(), &refused)
+	return response.Header(), responseError(response.StatusCode(), response.Header(), &refused)
 }
 
-func refusal(status int, header http.Header, refused *Refused) error {
+// responseError returns the error for a response without a success status.
+func responseError(status int, header http.Header, refused *Refused) error {
 	switch {
 	case status == http.StatusConflict && refused.Fence > 0:
 		return &OldFence{Seen: refused.Fence}
--- a/core/edge/dogwoodengine/errors.go
+++ b/core/edge/dogwoodengine/errors.go
@@ -6,8 +6,8 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// NotStarted means that a request provably did not run and never will under this id:
-// no connection was made, or the engine said that it did not begin it.
+// NotStarted means that a request certainly did not run and never will under this ID: no
+// connection was made, or the engine reported that it did not begin the request.
 type NotStarted struct {
 	Endpoint dogwoodfleet.EndpointID
 	Cause    error
@@ -20,10 +20,11 @@
 // Unwrap returns the cause.
 func (started *NotStarted) Unwrap() error { return started.Cause }
 
-// Broken means that an engine died or was lost while a request ran, or may have run, there.
+// Broken means that an engine died or became unreachable while it ran, or may have run, a
+// request.
 type Broken struct {
 	Endpoint dogwoodfleet.EndpointID
-	// Events is how many events had come.
+	// Events is the number of events received.
 	Events int
 	Cause  error
 }
@@ -35,11 +36,11 @@
 // Unwrap returns the cause.
 func (broken *Broken) Unwrap() error { return broken.Cause }
 
-// Answered means that an engine answered with an error of its own.
+// Answered means that an engine answered with an error.
 type Answered struct {
 	Status int
 	Body   []byte
-	// NotRun is true if the engine says that it did not begin the request.
+	// NotRun is true if the engine reported that it did not begin the request.
 	NotRun bool
 }
 
@@ -47,14 +48,14 @@
 	return fmt.Sprintf("engine answered %d: %.200s", answered.Status, answered.Body)
 }
 
-// OldFence means that an engine has seen a higher fencing number than an order's.
+// OldFence means that an engine has seen a higher fencing number than that of an order.
 type OldFence struct{ Seen uint64 }
 
 func (fence *OldFence) Error() string {
 	return fmt.Sprintf("engine has seen fencing number %d", fence.Seen)
 }
 
-// NoMemory means that an engine had no room for a reservation.
+// NoMemory means that an engine had too little free memory for a reservation.
 type NoMemory struct{ FreeTokens int }
 
 func (memory *NoMemory) Error() string {
--- a/core/edge/dogwoodengine/gang.go
+++ b/core/edge/dogwoodengine/gang.go
@@ -13,146 +13,155 @@
 )
 
 const (
-	// gangLease is how long an engine keeps a share for an entry that stopped renewing it:
+	// gangLease is how long an engine keeps a reservation that its entry daemon stopped renewing:
 	// three lost renewals.
 	gangLease = 10 * time.Second
-	// gangRenewal leaves time for two more tries before the lease ends.
-	gangRenewal = gangLease / 3
-	// gangWait bounds how long a gang tries to get its engines. A prompt this long prefills for
-	// seconds, so waiting as long is worth it; beyond, its owner should choose other engines.
-	gangWait = 5 * time.Second
-	// gangPause is the first pause after a refusal; it doubles up to gangMostPause. Each pause
-	// is drawn between half and all of it, so that two gangs that met do not meet again.
-	gangPause     = 50 * time.Millisecond
-	gangMostPause = time.Second
+	// gangRenewInterval leaves time for two more renewals before the lease ends.
+	gangRenewInterval = gangLease / 3
+	// gangReserveTimeout bounds how long a request tries to reserve memory at its gang. A prompt
+	// that needs a gang prefills for seconds, so a wait of seconds is worthwhile; after that the
+	// owner should choose other engines.
+	gangReserveTimeout = 5 * time.Second
+	// gangMinBackoff is the first backoff after a refusal; it doubles up to gangMaxBackoff. Each
+	// wait is random, between half the backoff and all of it, so that two gangs that collided do
+	// not collide again.
+	gangMinBackoff = 50 * time.Millisecond
+	gangMaxBackoff = time.Second
 )
 
-// heldGang is what a request holds at the engines of its gang. A nil one holds nothing.
-type heldGang struct {
+// gangReservation holds the reservations of a request at the engines of its gang. A nil
+// gangReservation holds none.
+type gangReservation struct {
 	client  *Client
 	id      dogwoodfleet.RequestID
-	runner  dogwoodfleet.EndpointID
-	members []dogwoodfleet.Endpoint // in the fixed order
-	tokens  int                     // the share of each
+	primary dogwoodfleet.EndpointID
+	members []dogwoodfleet.Endpoint // sorted by ID
+	tokens  int                     // reserved at each member
 	stop    context.CancelFunc
 }
 
-// reserveGang sets aside a share of the request's memory at every engine of its gang, or
-// nothing. Engines are asked in the order of their ids, the same for every gang, and a
-// refusal gives all back before the next try: a gang never waits while it holds, so no two
-// gangs can each hold what the other needs.
-func (client *Client) reserveGang(ctx context.Context, endpoint dogwoodfleet.Endpoint, order Run) (*heldGang, error) {
-	if len(order.Gang) <= 1 {
-		return nil, nil // a nil gang holds nothing; its methods allow for it
+// reserveGang reserves a share of the request's memory at every engine of its gang, or at none.
+// It reserves in the order of the engines' IDs, the same for every gang, and after a refusal
+// releases all shares before it retries. A gang never waits while it holds memory, so two gangs
+// can't deadlock.
+func (client *Client) reserveGang(ctx context.Context, endpoint dogwoodfleet.Endpoint, run Run) (*gangReservation, error) {
+	if len(run.Gang) <= 1 {
+		return nil, nil // one engine needs no reservation; the methods accept a nil gang
 	}
-	gang := &heldGang{
+	gang := &gangReservation{
 		client:  client,
-		id:      order.ID,
-		runner:  endpoint.ID,
-		members: slices.SortedFunc(slices.Values(order.Gang), compareEndpoints),
-		tokens:  share(order.PromptTokens+order.MaxTokens, len(order.Gang)),
+		id:      run.ID,
+		primary: endpoint.ID,
+		members: slices.SortedFunc(slices.Values(run.Gang), compareEndpoints),
+		tokens:  sharePerMember(run.PromptTokens+run.MaxTokens, len(run.Gang)),
 	}
-	giveUp := gangWait
-	if order.Budget > 0 {
-		giveUp = min(giveUp, order.Budget)
+	timeout := gangReserveTimeout
+	if run.Budget > 0 {
+		timeout = min(timeout, run.Budget)
 	}
-	limited, cancel := context.WithTimeout(ctx, giveUp)
+	reserveCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	for wait := gangPause; ; wait = min(2*wait, gangMostPause) {
-		err := gang.reserveAll(limited, client.afterwards(ctx))
+	for backoff := gangMinBackoff; ; backoff = min(2*backoff, gangMaxBackoff) {
+		err := gang.reserveAll(reserveCtx, client.backgroundRunner(ctx))
 		if err == nil {
-			gang.keep(ctx)
+			gang.startRenewals(ctx)
 			return gang, nil
 		}
-		var full *NoMemory
-		if !errors.As(err, &full) {
+		var noMemory *NoMemory
+		if !errors.As(err, &noMemory) {
 			return nil, err
 		}
-		if pause(limited, wait/2+rand.N(wait/2)) != nil {
+		if sleep(reserveCtx, backoff/2+rand.N(backoff/2)) != nil {
 			return nil, err
 		}
 	}
 }
 
+// compareEndpoints orders endpoints by ID.
 func compareEndpoints(left, right dogwoodfleet.Endpoint) int {
 	return cmp.Compare(left.ID, right.ID)
 }
 
-// share divides tokens among members, rounded up.
-func share(tokens, members int) int {
+// sharePerMember divides tokens among members, rounded up.
+func sharePerMember(tokens, members int) int {
 	return (tokens + members - 1) / members
 }
 
-func (gang *heldGang) reserveAll(ctx context.Context, afterwards func(func(ctx context.Context))) error {
+// reserveAll reserves a share at every member. If one of them fails, it releases the others.
+func (gang *gangReservation) reserveAll(ctx context.Context, runInBackground func(func(ctx context.Context))) error {
 	for index, member := range gang.members {
 		err := gang.client.Reserve(ctx, member, gang.id, gang.tokens, gangLease)
 		if err == nil {
 			continue
 		}
-		var full *NoMemory
-		if errors.As(err, &full) {
-			// This engine set nothing aside and the next try reserves under the same id, so the
-			// shares are given back before it, not in the background.
-			gang.releaseNow(ctx, gang.members[:index])
+		var noMemory *NoMemory
+		if errors.As(err, &noMemory) {
+			// This engine reserved nothing. The shares of the others are released now and not in
+			// the background, since the next round reserves under the same ID.
+			gang.releaseOnce(ctx, gang.members[:index])
 			return err
 		}
-		gang.releaseLater(afterwards, gang.members[:index+1])
+		gang.cancelInBackground(runInBackground, gang.members[:index+1])
 		return err
 	}
 	return nil
 }
 
-// releaseNow gives shares back once. One that is lost is renewed by the next try or lapses.
-func (gang *heldGang) releaseNow(ctx context.Context, members []dogwoodfleet.Endpoint) {
+// releaseOnce releases the members' reservations without retries. If a release is lost, the
+// next round renews the reservation or its lease expires.
+func (gang *gangReservation) releaseOnce(ctx context.Context, members []dogwoodfleet.Endpoint) {
 	for _, member := range members {
 		if err := gang.client.Release(ctx, member, gang.id); err != nil {
-			gang.client.logger.Warn("share not given back", "endpoint", member.ID, "request", gang.id, "error", err)
+			gang.client.logger.Warn("gang reservation not released", "endpoint", member.ID, "request", gang.id, "error", err)
 		}
 	}
 }
 
-// keep renews the shares until the release.
-func (gang *heldGang) keep(ctx context.Context) {
+// startRenewals renews the reservations in the background until the release.
+func (gang *gangReservation) startRenewals(ctx context.Context) {
 	ctx, gang.stop = context.WithCancel(context.WithoutCancel(ctx))
-	gang.client.inBackground(func() {
-		for pause(ctx, gangRenewal) == nil {
+	gang.client.startBackground(func() {
+		for sleep(ctx, gangRenewInterval) == nil {
 			for _, member := range gang.members {
-				// A lost share shows at the running engine, which checks the others itself.
+				// A failed renewal is only logged: the primary engine checks its helpers and fails the
+				// request if one has lost its reservation.
 				if err := gang.client.Renew(ctx, member, gang.id, gangLease); err != nil {
-					gang.client.logger.Debug("share not renewed", "endpoint", member.ID, "request", gang.id, "error", err)
+					gang.client.logger.Debug("gang reservation not renewed", "endpoint", member.ID, "request", gang.id, "error", err)
 				}
 			}
 		}
 	})
 }
 
-// release gives all shares back in the background, again until the engines confirm it.
-func (gang *heldGang) release(afterwards func(func(ctx context.Context))) {
+// release releases all reservations in the background and retries until the engines confirm.
+func (gang *gangReservation) release(runInBackground func(func(ctx context.Context))) {
 	if gang == nil {
 		return
 	}
 	gang.stop()
-	gang.releaseLater(afterwards, gang.members)
+	gang.cancelInBackground(runInBackground, gang.members)
 }
 
-// releaseLater cancels the request at the members, the running one included: a cancel gives
-// the reservation of its id back and refuses one that comes late.
-func (gang *heldGang) releaseLater(afterwards func(func(ctx context.Context)), members []dogwoodfleet.Endpoint) {
+// cancelInBackground cancels the request at the members, the primary engine included. A cancel
+// releases the reservation with the request's ID and makes the engine refuse one that arrives
+// late.
+func (gang *gangReservation) cancelInBackground(runInBackground func(func(ctx context.Context)), members []dogwoodfleet.Endpoint) {
 	for _, member := range members {
-		afterwards(func(ctx context.Context) {
+		runInBackground(func(ctx context.Context) {
 			gang.client.cancelUntilConfirmed(ctx, member, gang.id)
 		})
 	}
 }
 
-// others returns the addresses of the engines beside the one that runs the request.
-func (gang *heldGang) others() string {
+// helperAddresses returns the addresses of all members but the primary engine, separated by
+// commas.
+func (gang *gangReservation) helperAddresses() string {
 	if gang == nil {
 		return ""
 	}
 	var addresses []string
 	for _, member := range gang.members {
-		if member.ID != gang.runner {
+		if member.ID != gang.primary {
 			addresses = append(addresses, member.Address.String())
 		}
 	}
--- a/core/edge/dogwoodengine/prompt.go
+++ b/core/edge/dogwoodengine/prompt.go
@@ -7,21 +7,21 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// bytesPerToken is the rule of thumb by which prompt text is counted until an engine
-// has counted it: four bytes of English text to a token.
+// bytesPerToken estimates the length of a prompt before an engine has counted its tokens: a
+// token is about four bytes of English text.
 const bytesPerToken = 4
 
-// DefaultMaxTokens bounds an answer whose request states no bound.
+// DefaultMaxTokens bounds the answer if the request states no bound.
 const DefaultMaxTokens = 64
 
-// Prompt is what deciding about a model request needs from its body.
+// Prompt holds what scheduling a model request needs from its body.
 type Prompt struct {
 	Model dogwoodfleet.Model
-	// Text is the prompt without the JSON around it, the messages one after another.
+	// Text is the prompt without its JSON; the texts of the messages are concatenated.
 	Text      []byte
 	MaxTokens int
 	Stream    bool
-	// IncludeUsage is true if the caller wants a last chunk that counts the tokens.
+	// IncludeUsage is true if the caller wants a last chunk with the token counts.
 	IncludeUsage bool
 }
 
@@ -52,35 +52,35 @@
 	Text string `json:"text"`
 }
 
-// ParsePrompt reads the body of a chat or text completion request.
+// ParsePrompt parses the body of a chat or text completion request.
 func ParsePrompt(body []byte) (*Prompt, error) {
-	var read promptBody
-	if err := json.Unmarshal(body, &read); err != nil {
+	var parsed promptBody
+	if err := json.Unmarshal(body, &parsed); err != nil {
 		return nil, Error.New("request body: %v", err)
 	}
 	var text bytes.Buffer
-	if err := writeContent(&text, read.Prompt); err != nil {
+	if err := writeContent(&text, parsed.Prompt); err != nil {
 		return nil, err
 	}
-	for _, message := range read.Messages {
+	for _, message := range parsed.Messages {
 		if err := writeContent(&text, message.Content); err != nil {
 			return nil, err
 		}
 	}
-	maxTokens := max(read.MaxTokens, read.MaxCompletionTokens)
+	maxTokens := max(parsed.MaxTokens, parsed.MaxCompletionTokens)
 	if maxTokens <= 0 {
 		maxTokens = DefaultMaxTokens
 	}
 	return &Prompt{
-		Model:        dogwoodfleet.Model(read.Model),
+		Model:        dogwoodfleet.Model(parsed.Model),
 		Text:         text.Bytes(),
 		MaxTokens:    maxTokens,
-		Stream:       read.Stream,
-		IncludeUsage: read.StreamOptions.IncludeUsage,
+		Stream:       parsed.Stream,
+		IncludeUsage: parsed.StreamOptions.IncludeUsage,
 	}, nil
 }
 
-// writeContent adds a string, a list of strings or a list of text parts.
+// writeContent appends to text a string, a list of strings or a list of text parts.
 func writeContent(text *bytes.Buffer, raw json.RawMessage) error {
 	raw = bytes.TrimSpace(raw)
 	if len(raw) == 0 || bytes.Equal(raw, []byte("null")) {
--- a/core/edge/dogwoodengine/reservation.go
+++ b/core/edge/dogwoodengine/reservation.go
@@ -8,27 +8,27 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Reserve sets KV memory aside for a request. Asking again under the same id renews the lease.
-// The error is *NoMemory when there is no room.
+// Reserve reserves KV memory for a request. Another call with the same ID renews the lease.
+// The error is *NoMemory if too little memory is free.
 func (client *Client) Reserve(ctx context.Context, endpoint dogwoodfleet.Endpoint, id dogwoodfleet.RequestID, tokens int, lease time.Duration) error {
-	wanted := Reservation{ID: id, Tokens: tokens, Lease: Duration(lease)}
-	return client.send(ctx, http.MethodPost, endpoint, PathReservations, wanted, nil)
+	reservation := Reservation{ID: id, Tokens: tokens, Lease: Duration(lease)}
+	return client.send(ctx, http.MethodPost, endpoint, PathReservations, reservation, nil)
 }
 
-// Renew lengthens the lease of what is set aside for a request. The error is *Unknown if
-// nothing is: a renewal that crosses the release never sets memory aside again.
+// Renew extends the lease of a request's reservation. The error is *Unknown if there is none:
+// a renewal that arrives after the release does not reserve memory again.
 func (client *Client) Renew(ctx context.Context, endpoint dogwoodfleet.Endpoint, id dogwoodfleet.RequestID, lease time.Duration) error {
-	wanted := Reservation{ID: id, Lease: Duration(lease)}
-	return client.send(ctx, http.MethodPut, endpoint, PathReservations+"/"+string(id), wanted, nil)
+	reservation := Reservation{ID: id, Lease: Duration(lease)}
+	return client.send(ctx, http.MethodPut, endpoint, PathReservations+"/"+string(id), reservation, nil)
 }
 
-// Release gives back what is set aside for a request. It is no error if nothing is.
+// Release releases a request's reservation. It is no error if there is none.
 func (client *Client) Release(ctx context.Context, endpoint dogwoodfleet.Endpoint, id dogwoodfleet.RequestID) error {
 	return client.send(ctx, http.MethodDelete, endpoint, PathReservations+"/"+string(id), nil, nil)
 }
 
-// Import hands KV memory to an engine that has a reservation for the request. Engines of
-// a gang call it on each other. The error is *Unknown if there is no reservation.
+// Import sends KV memory to an engine that has a reservation for the request. The engines of a
+// gang send it to each other. The error is *Unknown if there is no reservation.
 func (client *Client) Import(ctx context.Context, endpoint dogwoodfleet.Endpoint, id dogwoodfleet.RequestID, memory Import) error {
 	return client.send(ctx, http.MethodPost, endpoint, PathKV+"/"+string(id), memory, nil)
 }
--- a/core/edge/dogwoodengine/run.go
+++ b/core/edge/dogwoodengine/run.go
@@ -16,53 +16,55 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Run is a request for an engine.
+// Run is a request to start at an engine.
 type Run struct {
 	ID dogwoodfleet.RequestID
 	// Path is PathChat or PathCompletions.
 	Path string
-	// Body is the caller's JSON body; the client asks for a stream whatever it says.
+	// Body is the caller's JSON body. The client requests a stream even if the body does not.
 	Body     []byte
 	Priority dogwoodfleet.Priority
-	// Budget is the time left until the caller's deadline; the engine drops the request after it.
+	// Budget is the time left until the caller's deadline, after which the engine drops the
+	// request.
 	Budget time.Duration
-	// Gang are all the engines that hold the request's memory, the first of them the one
-	// that runs it; empty when one engine is enough.
+	// Gang lists all engines that hold the request's memory, the primary engine first. It is
+	// empty if one engine is enough.
 	Gang         []dogwoodfleet.Endpoint
 	PromptTokens int
 	MaxTokens    int
-	// LoadID is passed on so that a load test can tell its requests apart.
+	// LoadID identifies the request of a load test. It is forwarded to the engine.
 	LoadID string
 }
 
-// Start sends a request to an engine and returns its stream once the engine has taken it.
-// The context bounds the start alone; the stream lives until its Close. The error is
+// Start sends a request to an engine and returns its stream once the engine has accepted it.
+// The context bounds only the start; the stream stays open until its Close. The error is
 // *NotStarted, *Broken or *Answered.
-func (client *Client) Start(ctx context.Context, endpoint dogwoodfleet.Endpoint, order Run) (*Stream, error) {
-	body, err := streamedBody(order.Body)
+func (client *Client) Start(ctx context.Context, endpoint dogwoodfleet.Endpoint, run Run) (*Stream, error) {
+	body, err := streamingBody(run.Body)
 	if err != nil {
 		return nil, &NotStarted{Endpoint: endpoint.ID, Cause: err}
 	}
-	gang, err := client.reserveGang(ctx, endpoint, order)
+	gang, err := client.reserveGang(ctx, endpoint, run)
 	if err != nil {
 		return nil, &NotStarted{Endpoint: endpoint.ID, Cause: err}
 	}
 	stream := &Stream{
-		client:     client,
-		endpoint:   endpoint,
-		order:      order,
-		gang:       gang,
-		afterwards: client.afterwards(ctx),
+		client:          client,
+		endpoint:        endpoint,
+		run:             run,
+		gang:            gang,
+		runInBackground: client.backgroundRunner(ctx),
 	}
-	stream.connection, err = client.open(ctx, stream, http.MethodPost, order.Path, body)
+	stream.connection, err = client.open(ctx, stream, http.MethodPost, run.Path, body)
 	if err == nil {
 		return stream, nil
 	}
-	return client.unclearStart(ctx, stream, err)
+	return client.resolveFailedStart(ctx, stream, err)
 }
 
-// unclearStart finds out what became of a request whose first connection failed.
-func (client *Client) unclearStart(ctx context.Context, stream *Stream, cause error) (*Stream, error) {
+// resolveFailedStart determines whether a request began at the engine after its first
+// connection failed, and returns its stream if it did.
+func (client *Client) resolveFailedStart(ctx context.Context, stream *Stream, cause error) (*Stream, error) {
 	endpoint := stream.endpoint.ID
 	var answered *Answered
 	var unknown *Unknown
@@ -80,86 +82,87 @@
 		return nil, answered
 	case ctx.Err() != nil:
 		stream.Close()
-		return nil, stream.broken(ctx.Err())
+		return nil, stream.brokenError(ctx.Err())
 	}
-	client.logger.Info("start unclear, asking the engine", "endpoint", endpoint, "request", stream.order.ID, "cause", cause)
+	client.logger.Info("connection failed during start, querying the engine", "endpoint", endpoint, "request", stream.run.ID, "cause", cause)
 	err := stream.reconnect(ctx, cause)
 	if err == nil {
 		return stream, nil
 	}
 	if !errors.As(err, &unknown) {
 		stream.Close()
-		return nil, stream.broken(err)
+		return nil, stream.brokenError(err)
 	}
-	return nil, client.settle(ctx, stream, unknown.Instance, cause)
+	return nil, client.confirmNotStarted(ctx, stream, unknown.Instance, cause)
 }
 
-// settle makes sure of a request that the engine does not know. Failure guarded against: its
-// bytes may still be on their way, and run after the caller was told "not run". A cancel
-// settles it: from then on that engine process refuses the id.
-func (client *Client) settle(ctx context.Context, stream *Stream, instance dogwoodfleet.InstanceID, cause error) error {
+// confirmNotStarted cancels a request that the engine does not know, so that the engine
+// process refuses its ID from then on. Without the cancel, bytes still in transit could start
+// the request after its caller was told "not run". The error is *NotStarted if the engine
+// confirms that the request did not begin, else *Broken.
+func (client *Client) confirmNotStarted(ctx context.Context, stream *Stream, instance dogwoodfleet.InstanceID, cause error) error {
 	defer stream.Close()
-	cancelled, err := client.cancelOnce(ctx, stream.endpoint, stream.order.ID)
+	cancelled, err := client.cancelOnce(ctx, stream.endpoint, stream.run.ID)
 	if err != nil || cancelled.Begun || cancelled.Instance != instance || stream.instance != "" {
-		return stream.broken(cause)
+		return stream.brokenError(cause)
 	}
 	stream.ended = true
-	// The request may have run on an earlier process at that address, which died since.
-	// Only the process that the owner knew before the start can vouch for it.
+	// The request may have run on an earlier process at that address, which has died since.
+	// Only the process that the owner knew before the start can confirm that it did not.
 	if known := stream.endpoint.Instance; known == "" || known != instance {
-		return stream.broken(cause)
+		return stream.brokenError(cause)
 	}
 	return &NotStarted{Endpoint: stream.endpoint.ID, Cause: cause}
 }
 
-// open makes a connection that brings the stream's events.
+// open opens a connection that receives the stream's events.
 func (client *Client) open(ctx context.Context, stream *Stream, method, path string, body []byte) (*connection, error) {
-	lifetime, end := context.WithCancel(context.WithoutCancel(ctx))
-	stopWithCaller := context.AfterFunc(ctx, end)
-	defer stopWithCaller()
-	silent := time.AfterFunc(client.silence, end)
-	defer silent.Stop()
+	lifetime, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	detachFromCaller := context.AfterFunc(ctx, cancel)
+	defer detachFromCaller()
+	silenceTimer := time.AfterFunc(client.silence, cancel)
+	defer silenceTimer.Stop()
 	var connected atomic.Bool
 	traced := httptrace.WithClientTrace(lifetime, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
 	call := client.http.R().SetContext(traced).SetDoNotParseResponse(true)
-	stream.order.fill(call, stream.gang)
+	stream.run.setHeaders(call, stream.gang)
 	if method == http.MethodGet {
 		call.SetHeader("Accept", "text/event-stream")
-		call.SetHeader(HeaderLastEvent, eventID(string(stream.order.ID), stream.next-1))
+		call.SetHeader(HeaderLastEvent, eventID(string(stream.run.ID), stream.nextIndex-1))
 	} else {
 		call.SetBody(body)
 	}
-	response, err := call.Execute(method, address(stream.endpoint, path))
+	response, err := call.Execute(method, endpointURL(stream.endpoint, path))
 	if err != nil {
-		end()
+		cancel()
 		if !connected.Load() {
 			err = &dialError{cause: err}
 		}
 		return nil, Error.New("%s at %s: %w", path, stream.endpoint.ID, err)
 	}
-	if err := acceptable(response); err != nil {
-		end()
+	if err := checkStreamResponse(response); err != nil {
+		cancel()
 		return nil, err
 	}
 	if stream.instance == "" {
 		stream.instance = dogwoodfleet.InstanceID(response.Header().Get(HeaderInstance))
 		stream.cold = isCold(response.Header())
 	}
-	return newConnection(lifetime, end, response.RawBody()), nil
+	return newConnection(lifetime, cancel, response.RawBody()), nil
 }
 
-// acceptable turns an answer that is no stream into an error and closes it.
-func acceptable(response *resty.Response) error {
+// checkStreamResponse returns an error and closes the body if a response is not a stream.
+func checkStreamResponse(response *resty.Response) error {
 	header := response.Header()
 	isStream := strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
 	if response.StatusCode() == http.StatusOK && isStream {
 		return nil
 	}
 	body := response.RawBody()
-	defer body.Close() //nolint:errcheck // read to the end or given up
-	text, err := io.ReadAll(io.LimitReader(body, maxEvent))
+	defer body.Close() //nolint:errcheck // read to the end or abandoned
+	text, err := io.ReadAll(io.LimitReader(body, maxEventBytes))
 	if err != nil {
 		return Error.New("reading the answer: %w", err)
 	}
@@ -172,17 +175,18 @@
 	return &Answered{Status: response.StatusCode(), Body: text, NotRun: header.Get(HeaderNotRun) == "true"}
 }
 
-func (order *Run) fill(call *resty.Request, gang *heldGang) {
+// setHeaders sets the request's headers on the call.
+func (run *Run) setHeaders(call *resty.Request, gang *gangReservation) {
 	call.SetHeader("Content-Type", "application/json")
-	call.SetHeader(HeaderRequestID, string(order.ID))
-	call.SetHeader(HeaderPriority, strconv.Itoa(int(order.Priority)))
-	if order.Budget > 0 {
-		call.SetHeader(HeaderBudget, order.Budget.String())
+	call.SetHeader(HeaderRequestID, string(run.ID))
+	call.SetHeader(HeaderPriority, strconv.Itoa(int(run.Priority)))
+	if run.Budget > 0 {
+		call.SetHeader(HeaderBudget, run.Budget.String())
 	}
-	if order.LoadID != "" {
-		call.SetHeader(HeaderLoadID, order.LoadID)
+	if run.LoadID != "" {
+		call.SetHeader(HeaderLoadID, run.LoadID)
 	}
-	if members := gang.others(); members != "" {
-		call.SetHeader(HeaderGang, members)
+	if helpers := gang.helperAddresses(); helpers != "" {
+		call.SetHeader(HeaderGang, helpers)
 	}
 }
--- a/core/edge/dogwoodengine/start_test.go
+++ b/core/edge/dogwoodengine/start_test.go
@@ -16,17 +16,19 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// oddEngine is an engine that breaks off requests after it has read them.
-type oddEngine struct {
+// breakingEngine closes the connection of a request after it has read it, or refuses the request
+// if status is set.
+type breakingEngine struct {
 	instance string
 	posts    atomic.Int32
-	// knows is true if it lists the request after all; begun is its word on the cancel.
-	knows, begun bool
-	status       int
-	header       string
+	// listsRequest is whether the engine returns the request's stream on a reconnect; begun is what
+	// it answers to a cancel.
+	listsRequest, begun bool
+	status              int
+	header              string
 }
 
-func (engine *oddEngine) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (engine *breakingEngine) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	writer.Header().Set(HeaderInstance, engine.instance)
 	writer.Header().Set("Content-Type", "application/json")
 	switch request.Method {
@@ -42,7 +44,7 @@
 	case http.MethodDelete:
 		_, _ = fmt.Fprintf(writer, `{"Instance":%q,"Begun":%t}`, engine.instance, engine.begun)
 	case http.MethodGet:
-		if !engine.knows {
+		if !engine.listsRequest {
 			writer.WriteHeader(http.StatusNotFound)
 			return
 		}
@@ -51,23 +53,23 @@
 	}
 }
 
-// A buyer is told that a request was not run, and sends it again; meanwhile the first one
-// runs. "Not started" may only be said when the engine process that was known before vouches
-// for it, and the transport must not send the request a second time by itself.
-func TestStartThatBreaksOff(t *testing.T) {
+// If a request that ran is reported as not run, its caller sends it again and it runs twice. The
+// client may return NotStarted only if the engine process that was known before the start confirms
+// it, and the transport must not resend the request.
+func TestStartOnBrokenConnection(t *testing.T) {
 	tests := []struct {
 		name   string
-		engine *oddEngine
+		engine *breakingEngine
 		known  dogwoodfleet.InstanceID
 		want   any // a pointer to the type of the error, nil for a stream
 	}{
-		{name: "the engine vouches", engine: &oddEngine{instance: "i1"}, known: "i1", want: new(*NotStarted)},
-		{name: "the engine has begun it", engine: &oddEngine{instance: "i1", begun: true}, known: "i1", want: new(*Broken)},
-		{name: "another process answers", engine: &oddEngine{instance: "i2"}, known: "i1", want: new(*Broken)},
-		{name: "the process was not known", engine: &oddEngine{instance: "i1"}, known: "", want: new(*Broken)},
-		{name: "the engine runs it after all", engine: &oddEngine{instance: "i1", knows: true}, known: "i1"},
-		{name: "refused as not run", engine: &oddEngine{instance: "i1", status: 503, header: HeaderNotRun}, known: "i1", want: new(*NotStarted)},
-		{name: "refused without a word on that", engine: &oddEngine{instance: "i1", status: 503}, known: "i1", want: new(*Answered)},
+		{name: "the engine did not begin", engine: &breakingEngine{instance: "i1"}, known: "i1", want: new(*NotStarted)},
+		{name: "the engine began", engine: &breakingEngine{instance: "i1", begun: true}, known: "i1", want: new(*Broken)},
+		{name: "another process responds", engine: &breakingEngine{instance: "i2"}, known: "i1", want: new(*Broken)},
+		{name: "the process was unknown", engine: &breakingEngine{instance: "i1"}, known: "", want: new(*Broken)},
+		{name: "the engine has the stream", engine: &breakingEngine{instance: "i1", listsRequest: true}, known: "i1"},
+		{name: "refused with not-run header", engine: &breakingEngine{instance: "i1", status: 503, header: HeaderNotRun}, known: "i1", want: new(*NotStarted)},
+		{name: "refused without not-run header", engine: &breakingEngine{instance: "i1", status: 503}, known: "i1", want: new(*Answered)},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -90,9 +92,9 @@
 	}
 }
 
-// A dead VM answers no connection attempt at all. As no byte of the request left, it was
-// certainly not run, and another engine may have it at once.
-func TestNoConnectionIsNotStarted(t *testing.T) {
+// A dead VM does not respond to a dial. As no byte of the request was sent, it certainly did not
+// run and may be sent to another engine at once.
+func TestFailedConnectionIsNotStarted(t *testing.T) {
 	client := New(Options{
 		Silence: 50 * time.Millisecond,
 		Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
--- a/core/edge/dogwoodengine/stream.go
+++ b/core/edge/dogwoodengine/stream.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// reconnectPause is the pause before the second and later tries to reach an engine.
-	reconnectPause = 100 * time.Millisecond
-	// reconnectSilences is for how many times the silence limit an engine may be out of
-	// reach before it counts as dead. Two lost tries are not yet a dead engine.
-	reconnectSilences = 3
-	// cancelPause is the first pause between tries of a cancel; it doubles up to cancelMostPause.
-	cancelPause     = 100 * time.Millisecond
-	cancelMostPause = 2 * time.Second
-	// cancelFor is how long a cancel is tried. An engine out of reach for longer drops the
-	// request itself when its budget ends, and the owner's reconcile sweeps it.
-	cancelFor = 30 * time.Second
+	// reconnectInterval is the wait before the second and each later connection to an engine.
+	reconnectInterval = 100 * time.Millisecond
+	// reconnectTimeoutFactor is the number of silence limits for which an engine may be
+	// unreachable before it is considered dead. Two lost connections do not make it dead.
+	reconnectTimeoutFactor = 3
+	// cancelMinBackoff is the wait before the first retry of a cancel; it doubles up to
+	// cancelMaxBackoff.
+	cancelMinBackoff = 100 * time.Millisecond
+	cancelMaxBackoff = 2 * time.Second
+	// cancelTimeout bounds the retries of a cancel. An engine that is unreachable for longer drops
+	// the request when its budget ends, and the owner's reconciliation cancels what is left.
+	cancelTimeout = 30 * time.Second
 )
 
 // Event is one event of an engine's stream.
@@ -33,80 +34,80 @@
 	Data []byte
 }
 
-// errSilent tells that a connection brought nothing for the silence limit.
+// errSilent means that a connection delivered no bytes for the silence limit.
 var errSilent = Error.New("the connection fell silent")
 
-// Stream is a request's answer as it comes. It is for one goroutine.
+// Stream is the event stream of one request. It must be used by one goroutine only.
 type Stream struct {
 	client     *Client
 	endpoint   dogwoodfleet.Endpoint
-	order      Run
-	gang       *heldGang
+	run        Run
+	gang       *gangReservation
 	connection *connection
-	// instance is the engine process that took the request.
+	// instance is the engine process that accepted the request.
 	instance dogwoodfleet.InstanceID
-	// cold is what the engine said of itself when it took the request.
+	// cold is whether the engine reported itself cold when it accepted the request.
 	cold bool
-	// next is the index of the event to come.
-	next int
-	// ended is set once the engine needs no cancel any more.
+	// nextIndex is the index of the next event to return.
+	nextIndex int
+	// ended is true once the request needs no cancel at the engine.
 	ended  bool
 	closed bool
-	// afterwards runs what outlives the caller's context.
-	afterwards func(func(ctx context.Context))
+	// runInBackground runs work that outlives the caller's context.
+	runInBackground func(func(ctx context.Context))
 }
 
-// Instance returns the engine process that took the request; empty if it has not told.
+// Instance returns the engine process that accepted the request, or "" if it is not known.
 func (stream *Stream) Instance() dogwoodfleet.InstanceID {
 	return stream.instance
 }
 
-// Cold reports whether the engine said that it is cold when it took the request.
+// Cold reports whether the engine was cold when it accepted the request.
 func (stream *Stream) Cold() bool {
 	return stream.cold
 }
 
-// Next returns the stream's next event, or io.EOF after the last. It hides connections
-// that break or fall silent as long as the engine lives: each event comes once, in order.
-// The error is *Broken when the engine died, *Answered when it says that the request failed,
-// or the context's.
+// Next returns the stream's next event, or io.EOF after the last. If the connection breaks or
+// falls silent, it reconnects and resumes the stream: each event is returned once, in order. The
+// error is *Broken if the engine died, *Answered if it reported that the request failed, or the
+// context's error.
 func (stream *Stream) Next(ctx context.Context) (Event, error) {
 	for {
 		if stream.ended || stream.closed {
 			return Event{}, io.EOF
 		}
-		read, err := stream.receive(ctx)
+		received, err := stream.receive(ctx)
 		if err != nil {
 			if ctx.Err() != nil {
 				return Event{}, Error.Wrap(ctx.Err())
 			}
 			if err := stream.reconnect(ctx, err); err != nil {
-				return Event{}, stream.broken(err)
+				return Event{}, stream.brokenError(err)
 			}
 			continue
 		}
-		event, taken, err := stream.take(read)
+		event, accepted, err := stream.accept(received)
 		if err != nil {
 			return Event{}, err
 		}
-		if taken {
+		if accepted {
 			return event, nil
 		}
 	}
 }
 
-// receive waits for a frame from the connection of now.
+// receive waits for a frame from the current connection.
 func (stream *Stream) receive(ctx context.Context) (frame, error) {
 	silence := time.NewTimer(stream.client.silence)
 	defer silence.Stop()
 	for {
 		select {
-		case read, open := <-stream.connection.frames.Values():
+		case received, open := <-stream.connection.frames.Values():
 			if !open {
 				return frame{}, stream.connection.failure
 			}
-			return read, nil
-		case <-stream.connection.pulse:
+			return received, nil
+		case <-stream.connection.activity:
 			silence.Reset(stream.client.silence)
 		case <-silence.C:
 			return frame{}, errSilent
@@ -116,52 +117,54 @@
 	}
 }
 
-// take judges a frame. What belongs to another request, or leaves a hole, never reaches
-// the caller; what repeats is dropped.
-func (stream *Stream) take(read frame) (event Event, taken bool, err error) {
+// accept returns the event of a frame if it is the next one. It drops progress and repeated
+// events, and fails on an event of another request or after a gap, which must not reach the
+// caller.
+func (stream *Stream) accept(received frame) (event Event, accepted bool, err error) {
 	switch {
-	case read.kind == EventProgress:
+	case received.kind == EventProgress:
 		return Event{}, false, nil
-	case read.kind == EventError:
+	case received.kind == EventError:
 		stream.ended = true
-		return Event{}, false, failedRun(stream, read.data)
-	case read.id != string(stream.order.ID):
-		// Failure guarded against: two streams crossed inside an engine or a middle box. It
-		// would show as one caller's text in another's answer.
-		return Event{}, false, stream.broken(Error.New("an event of request %q came", read.id))
-	case read.index < stream.next:
+		return Event{}, false, errorFromEvent(stream, received.data)
+	case received.id != string(stream.run.ID):
+		// An engine or a proxy mixed up two streams. Returning the event would put one caller's
+		// text into another caller's answer.
+		return Event{}, false, stream.brokenError(Error.New("an event of request %q came", received.id))
+	case received.index < stream.nextIndex:
 		return Event{}, false, nil
-	case read.index > stream.next:
-		return Event{}, false, stream.broken(Error.New("event %d came in place of %d", read.index, stream.next))
-	case read.data == doneData:
+	case received.index > stream.nextIndex:
+		return Event{}, false, stream.brokenError(Error.New("event %d came in place of %d", received.index, stream.nextIndex))
+	case received.data == doneData:
 		stream.ended = true
 		return Event{}, false, nil
 	}
-	stream.next++
-	return Event{Index: read.index, Data: []byte(read.data)}, true, nil
+	stream.nextIndex++
+	return Event{Index: received.index, Data: []byte(received.data)}, true, nil
 }
 
-// CodeGangLost is the code of an error event that tells of the loss of a gang's member.
+// CodeGangLost is the code of the error event that reports that a gang lost a member.
 const CodeGangLost = "gang_member_lost"
 
-// failedRun makes the error of an engine's error event.
-func failedRun(stream *Stream, data string) error {
+// errorFromEvent returns the error for the data of an engine's error event.
+func errorFromEvent(stream *Stream, data string) error {
 	if code := errorCode(data); code == CodeGangLost {
-		return &Broken{Endpoint: stream.endpoint.ID, Events: stream.next, Cause: Error.New("a gang's member was lost")}
+		return &Broken{Endpoint: stream.endpoint.ID, Events: stream.nextIndex, Cause: Error.New("a gang's member was lost")}
 	}
 	return &Answered{Status: http.StatusInternalServerError, Body: []byte(data)}
 }
 
-func (stream *Stream) broken(cause error) error {
-	return &Broken{Endpoint: stream.endpoint.ID, Events: stream.next, Cause: cause}
+func (stream *Stream) brokenError(cause error) error {
+	return &Broken{Endpoint: stream.endpoint.ID, Events: stream.nextIndex, Cause: cause}
 }
 
-// reconnect asks the engine on a new connection to go on with the stream from the index
-// of the event to come. An engine that answers is not silent, however long its prefill takes.
+// reconnect opens a new connection and resumes the stream at the next event. An engine that
+// responds is not considered silent, however long its prefill takes. The error is *Unknown if the
+// engine does not know the request.
 func (stream *Stream) reconnect(ctx context.Context, cause error) error {
 	stream.disconnect()
-	giveUp := time.Now().Add(reconnectSilences * stream.client.silence)
-	path := PathStreams + "/" + string(stream.order.ID)
+	deadline := time.Now().Add(reconnectTimeoutFactor * stream.client.silence)
+	path := PathStreams + "/" + string(stream.run.ID)
 	for {
 		connection, err := stream.client.open(ctx, stream, http.MethodGet, path, nil)
 		if err == nil {
@@ -173,19 +176,21 @@
 			stream.ended = stream.instanceChanged(unknown.Instance)
 			return unknown
 		}
-		// A refused connection means that no process listens: the one that had the request is
-		// dead, and its successor would not know it.
-		if errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil || !time.Now().Before(giveUp) {
+		// A refused connection means that no process listens there: the one that ran the request
+		// is dead, and a new one would not know the request.
+		if errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil || !time.Now().Before(deadline) {
 			return Error.New("%v, then %w", cause, err)
 		}
-		if err := pause(ctx, reconnectPause); err != nil {
+		if err := sleep(ctx, reconnectInterval); err != nil {
 			return err
 		}
 	}
 }
 
-func (stream *Stream) instanceChanged(now dogwoodfleet.InstanceID) bool {
-	return stream.instance != "" && now != "" && now != stream.instance
+// instanceChanged reports whether current is another engine process than the one that accepted
+// the request.
+func (stream *Stream) instanceChanged(current dogwoodfleet.InstanceID) bool {
+	return stream.instance != "" && current != "" && current != stream.instance
 }
 
 func (stream *Stream) disconnect() {
@@ -195,8 +200,8 @@
 	}
 }
 
-// Close ends the stream. If the engine has not finished the request, it is cancelled there,
-// in the background and again until the engine confirms it.
+// Close closes the stream. If the engine has not finished the request, Close cancels it in the
+// background and retries until the engine confirms the cancel.
 func (stream *Stream) Close() {
 	if stream.closed {
 		return
@@ -204,54 +209,54 @@
 	stream.closed = true
 	stream.disconnect()
 	if !stream.ended {
-		stream.afterwards(func(ctx context.Context) {
-			stream.client.cancelUntilConfirmed(ctx, stream.endpoint, stream.order.ID)
+		stream.runInBackground(func(ctx context.Context) {
+			stream.client.cancelUntilConfirmed(ctx, stream.endpoint, stream.run.ID)
 		})
 	}
-	stream.gang.release(stream.afterwards)
+	stream.gang.release(stream.runInBackground)
 }
 
-// cancelUntilConfirmed tries a cancel again until the engine answers. A cancel that is lost
-// would leave the request holding KV memory until its budget ends.
+// cancelUntilConfirmed retries a cancel until the engine confirms it. If a cancel were lost, the
+// request would hold KV memory until its budget ends.
 func (client *Client) cancelUntilConfirmed(ctx context.Context, endpoint dogwoodfleet.Endpoint, id dogwoodfleet.RequestID) {
-	wait := cancelPause
+	backoff := cancelMinBackoff
 	for {
 		cancelled, err := client.cancelOnce(ctx, endpoint, id)
 		if err == nil {
 			client.logger.Debug("cancelled", "endpoint", endpoint.ID, "request", id, "instance", cancelled.Instance)
 			return
 		}
-		if pause(ctx, wait) != nil && client.lifetime.Err() != nil {
-			// The daemon ends. Its streams are found by their owners in the engine's list.
-			client.logger.Debug("cancel given up at the end", "endpoint", endpoint.ID, "request", id, "error", err)
+		if sleep(ctx, backoff) != nil && client.lifetime.Err() != nil {
+			// The daemon stops. The owner finds the stream in the engine's list.
+			client.logger.Debug("client closed before the cancel was confirmed", "endpoint", endpoint.ID, "request", id, "error", err)
 			return
 		}
 		if ctx.Err() != nil {
 			client.logger.Warn("cancel not confirmed", "endpoint", endpoint.ID, "request", id, "error", err)
 			return
 		}
-		wait = min(2*wait, cancelMostPause)
+		backoff = min(2*backoff, cancelMaxBackoff)
 	}
 }
 
-// afterwards returns a function that runs work in the background, for at most cancelFor, with
-// what the context carries but not its end.
-func (client *Client) afterwards(ctx context.Context) func(func(ctx context.Context)) {
+// backgroundRunner returns a function that runs work in the background for at most
+// cancelTimeout. The work's context has the values of ctx but does not end with it.
+func (client *Client) backgroundRunner(ctx context.Context) func(func(ctx context.Context)) {
 	ctx = context.WithoutCancel(ctx)
 	return func(work func(ctx context.Context)) {
-		client.inBackground(func() {
-			ctx, cancel := context.WithTimeout(ctx, cancelFor)
+		client.startBackground(func() {
+			ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 			defer cancel()
-			stop := context.AfterFunc(client.lifetime, cancel) //nolint:contextcheck,nolintlint // both contexts end the work
+			stop := context.AfterFunc(client.lifetime, cancel) //nolint:contextcheck,nolintlint // the end of either context ends the work
 			defer stop()
 			work(ctx)
 		})
 	}
 }
 
-// pause waits, but not beyond the context.
-func pause(ctx context.Context, wait time.Duration) error {
-	timer := time.NewTimer(wait)
+// sleep waits for a duration. It returns an error if the context ends first.
+func sleep(ctx context.Context, duration time.Duration) error {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/core/edge/dogwoodengine/wire.go
+++ b/core/edge/dogwoodengine/wire.go
@@ -15,9 +15,9 @@
 	HeaderLoadID    = "X-Load-Id"
 	HeaderInstance  = "X-Engine-Instance"
 	HeaderCold      = "X-Engine-Cold"
-	// HeaderNotRun is "true" on a refusal of a request that the engine did not begin.
+	// HeaderNotRun is "true" if the engine refused a request that it did not begin.
 	HeaderNotRun = "X-Not-Run"
-	// HeaderLastEvent is the standard header with which a reader of an event stream resumes.
+	// HeaderLastEvent is the standard header by which a client resumes an event stream.
 	HeaderLastEvent = "Last-Event-Id"
 )
 
@@ -33,7 +33,7 @@
 	PathOrders       = "/v1/orders"
 )
 
-// RunPhase is how far an engine is with a request.
+// RunPhase is the phase of a request at an engine.
 type RunPhase string
 
 // The phases.
@@ -45,39 +45,40 @@
 	PhaseFailed  RunPhase = "Failed"
 )
 
-// Running is one request that an engine knows.
+// Running is one request in an engine's list.
 type Running struct {
 	ID    dogwoodfleet.RequestID
 	Phase RunPhase
-	// HeldTokens is the KV memory the request holds; 0 once it is done.
+	// HeldTokens is the KV memory that the request holds; 0 once it is done.
 	HeldTokens int
-	// PrefilledTokens and PromptTokens tell how far the prefill is.
+	// PrefilledTokens is how much of PromptTokens is prefilled.
 	PrefilledTokens int
 	PromptTokens    int
-	// Events is how many events the stream has so far.
+	// Events is the number of events in the stream so far.
 	Events int
-	// Age is how long ago the request arrived at the engine.
+	// Age is the time since the request arrived at the engine.
 	Age Duration
 }
 
-// Reservation is KV memory set aside at an engine for a request that has not begun or
-// that another engine runs as the first of a gang.
+// Reservation is KV memory reserved at an engine for a request that has not begun, or that
+// another engine runs as the primary engine of a gang.
 type Reservation struct {
 	ID     dogwoodfleet.RequestID
 	Tokens int
-	// Lease is how much longer the engine keeps it without a renewal.
+	// Lease is the time after which the engine drops the reservation unless it is renewed.
 	Lease Duration
-	// ImportedTokens is how much of it holds KV imported from another engine.
+	// ImportedTokens is how many of the tokens hold KV imported from another engine.
 	ImportedTokens int `json:",omitempty"`
 }
 
-// State is an engine's own list of what holds its memory. Unlike Load it does not lag.
+// State lists the requests and reservations that hold an engine's memory. Unlike Load it does
+// not lag.
 type State struct {
 	Instance dogwoodfleet.InstanceID
-	// Leaving is true when the engine shuts down in good order: it finishes what it has and
-	// wants no new work.
+	// Leaving is true if the engine is shutting down gracefully: it finishes its requests and
+	// should get no new ones.
 	Leaving bool `json:",omitempty"`
-	// Cold is told by the answer's header, not in the list.
+	// Cold is read from the response header; the body does not state it.
 	Cold         bool `json:"-"`
 	MemoryTokens int
 	Running      []Running
@@ -96,7 +97,7 @@
 	return held
 }
 
-// Load is an engine's report on itself. It lags by about a second.
+// Load is an engine's load report. It lags by about a second.
 type Load struct {
 	Instance     dogwoodfleet.InstanceID
 	Cold         bool
@@ -105,14 +106,14 @@
 	CachedTokens int
 	Running      int
 	Waiting      int
-	// QueuedPrefillTokens is the prompt text accepted and not yet prefilled.
+	// QueuedPrefillTokens is the length of the accepted prompts that is not yet prefilled.
 	QueuedPrefillTokens int
 	Holds               Holding
-	// Loading is what an order is bringing about; nil when none is under way.
+	// Loading is the state that the engine is loading for an order; nil if it is loading none.
 	Loading *Holding `json:",omitempty"`
 }
 
-// Role is which part of the work an engine does.
+// Role is the part of the work that an engine does.
 type Role string
 
 // The roles.
@@ -122,8 +123,8 @@
 	RoleDecode  Role = "Decode"
 )
 
-// Holding is what an engine holds and does: the state that an order wants or that the
-// engine reports. An order states the whole of it, never a step towards it.
+// Holding is the model that an engine holds and the role that it has: the state that an order
+// wants or that the engine reports. An order states the complete state, never a change to it.
 type Holding struct {
 	Model    dogwoodfleet.Model
 	Version  string                 `json:",omitempty"`
@@ -131,21 +132,21 @@
 	Role     Role                   `json:",omitempty"`
 }
 
-// Order tells an engine what to hold.
+// Order states what an engine must hold.
 type Order struct {
-	// Fence is the fencing number of the lease under which the order is given.
+	// Fence is the fencing number of the lease under which the order is issued.
 	Fence  uint64
 	Wanted Holding
 }
 
-// CacheKind says what happened to a block of the prefix cache.
+// CacheKind is the kind of a prefix cache event.
 type CacheKind string
 
 // The kinds of cache event.
 const (
 	BlockStored  CacheKind = "Stored"
 	BlockRemoved CacheKind = "Removed"
-	// CacheCleared means that nothing published before holds any more.
+	// CacheCleared means that all events published before it are void.
 	CacheCleared CacheKind = "Cleared"
 )
 
@@ -156,31 +157,31 @@
 	Block    uint64 `json:",omitempty"`
 }
 
-// CacheEvents answers a question for events after a sequence number.
+// CacheEvents is the response to a query for events after a sequence number.
 type CacheEvents struct {
 	Instance dogwoodfleet.InstanceID
 	Events   []CacheEvent
-	// Last is the latest sequence number published, also where its event was lost.
+	// Last is the latest published sequence number, even if its event was lost.
 	Last uint64
 }
 
-// Cancelled answers a cancel.
+// Cancelled is the response to a cancel.
 type Cancelled struct {
 	Instance dogwoodfleet.InstanceID
-	// Begun is false when the engine had not begun the request and now never will.
+	// Begun is false if the engine had not begun the request and never will.
 	Begun bool
 }
 
 // Refused is the body of an engine's refusal.
 type Refused struct {
 	Detail string
-	// FreeTokens is what a refused reservation could have had.
+	// FreeTokens is the free memory when a reservation did not fit.
 	FreeTokens int `json:",omitempty"`
-	// Fence is the highest fencing number seen, when an order carried an older one.
+	// Fence is the highest fencing number that the engine has seen, if an order had a lower one.
 	Fence uint64 `json:",omitempty"`
 }
 
-// Import hands KV memory of a request to an engine that has a reservation for it.
+// Import is a range of a request's KV memory, sent to an engine that has a reservation for it.
 type Import struct {
 	FromTokens, ToTokens int
 }
@@ -188,12 +189,12 @@
 // Duration is a time.Duration written as "1.5s" in JSON.
 type Duration time.Duration
 
-// MarshalText writes the duration as time.Duration prints it.
+// MarshalText formats the duration as time.Duration.String does.
 func (duration Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(duration).String()), nil
 }
 
-// UnmarshalText reads what time.ParseDuration takes.
+// UnmarshalText parses the duration as time.ParseDuration does.
 func (duration *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
--- a/core/edge/dogwoodservice/service.go
+++ b/core/edge/dogwoodservice/service.go
@@ -1,12 +1,11 @@
 // Package dogwoodservice is the client of plain services. It sends each call at most once
-// and tells a call that certainly was not sent from one that may have run.
+// and distinguishes a call that certainly was not sent from one that may have run.
 //
-// Failure guarded against: net/http's Transport repeats a request by itself when a kept
-// connection turns out to be broken, and with an Idempotency-Key header it does so even
-// for POST, which would be a doubled reservation. It never does so on a connection that
-// it has just made, so every call here makes its own. That also keeps a call off
-// connections that have gone silent. It costs a round trip, about a millisecond inside a
-// region.
+// Every call opens a new connection. When a reused connection turns out to be broken,
+// net/http's Transport resends the request, with an Idempotency-Key header even a POST, and
+// a reservation would be made twice. On a new connection it never resends. A new connection
+// also can't be one that has fallen silent. It costs a round trip, about a millisecond inside
+// a region.
 package dogwoodservice
 
 import (
@@ -29,16 +28,16 @@
 var Error = errs.Class("service")
 
 const (
-	// dialTime bounds a connection's set-up: far over any link's round trip.
-	dialTime = 2 * time.Second
-	// maxHeaderBytes bounds the header of an answer.
+	// dialTimeout bounds the dial of a connection. It is far above any round-trip time.
+	dialTimeout = 2 * time.Second
+	// maxHeaderBytes bounds the header of a response.
 	maxHeaderBytes = 64 << 10
 )
 
-// HeaderRequestID tells the endpoint the try's ID.
+// HeaderRequestID is the header that carries the try's ID to the endpoint.
 const HeaderRequestID = "X-Request-Id"
 
-// NotSentError means that no byte of the call left: it certainly did not run.
+// NotSentError means that no byte of the call was sent: it certainly did not run.
 type NotSentError struct {
 	Endpoint dogwoodfleet.EndpointID
 	Err      error
@@ -52,7 +51,7 @@
 // Unwrap returns the cause.
 func (err *NotSentError) Unwrap() error { return err.Err }
 
-// BrokenError means that the connection ended after the call may have been sent.
+// BrokenError means that the connection broke when the call may already have been sent.
 type BrokenError struct {
 	Endpoint dogwoodfleet.EndpointID
 	Err      error
@@ -66,11 +65,11 @@
 // Unwrap returns the cause.
 func (err *BrokenError) Unwrap() error { return err.Err }
 
-// Order is a call of a plain service.
+// Order is a call to a plain service.
 type Order struct {
 	ID     dogwoodfleet.RequestID
 	Method string
-	// Target is the path and query at the endpoint, as the caller wrote them.
+	// Target is the path and query, as the caller wrote them.
 	Target string
 	Header http.Header
 	Body   []byte
@@ -88,7 +87,7 @@
 // New returns a client. A nil dial means TCP.
 func New(dial DialFunc) *Client {
 	if dial == nil {
-		dialer := &net.Dialer{Timeout: dialTime}
+		dialer := &net.Dialer{Timeout: dialTimeout}
 		dial = dialer.DialContext
 	}
 	return &Client{
@@ -96,13 +95,13 @@
 		transport: &http.Transport{
 			DialContext:            dial,
 			DisableKeepAlives:      true, // see the package comment
-			DisableCompression:     true, // the body is the caller's as it is
+			DisableCompression:     true, // the body is forwarded unchanged
 			MaxResponseHeaderBytes: maxHeaderBytes,
 		},
 	}
 }
 
-// Probe connects to an endpoint and closes the connection.
+// Probe opens a connection to an endpoint and closes it.
 func (client *Client) Probe(ctx context.Context, endpoint dogwoodfleet.Endpoint) error {
 	conn, err := client.dial(ctx, "tcp", endpoint.Address.String())
 	if err != nil {
@@ -111,8 +110,8 @@
 	return Error.Wrap(conn.Close())
 }
 
-// Do sends a call. The error is *NotSentError or *BrokenError. The caller closes the
-// answer's body; it ends with the context. Redirects are the caller's to follow.
+// Do sends a call. The error is *NotSentError or *BrokenError. The caller must close the
+// response body, which is readable until the context ends. Do does not follow redirects.
 func (client *Client) Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, order Order) (*http.Response, error) {
 	var connected atomic.Bool
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -125,7 +124,7 @@
 	request.Header = EndToEnd(order.Header)
 	request.Header.Set(HeaderRequestID, string(order.ID))
 	if _, given := request.Header["User-Agent"]; !given {
-		request.Header["User-Agent"] = nil // keeps net/http from adding its own
+		request.Header["User-Agent"] = nil // keeps net/http from adding its default
 	}
 	if len(order.Body) == 0 {
 		request.Body = http.NoBody
@@ -134,33 +133,32 @@
 	if err == nil {
 		return response, nil
 	}
-	// A connection that was never had has carried nothing. After that nothing is certain.
+	// Without a connection nothing was sent. With one, the call may have run.
 	if !connected.Load() {
 		return nil, Error.Wrap(&NotSentError{Endpoint: endpoint.ID, Err: err})
 	}
 	return nil, Error.Wrap(&BrokenError{Endpoint: endpoint.ID, Err: err})
 }
 
-// hopByHop are the headers that concern one connection alone (RFC 9110, section 7.6.1).
-var hopByHop = []string{
+// hopByHopHeaders are the headers that apply to one connection only (RFC 9110, section 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd copies the headers that are for the other end, without those that concern one
-// connection.
+// EndToEnd returns a copy of the header without the fields that apply to one connection only.
 func EndToEnd(header http.Header) http.Header {
-	kept := header.Clone()
-	if kept == nil {
-		kept = http.Header{}
+	endToEnd := header.Clone()
+	if endToEnd == nil {
+		endToEnd = http.Header{}
 	}
-	for _, line := range header["Connection"] {
-		for name := range strings.SplitSeq(line, ",") {
-			kept.Del(textproto.TrimString(name))
+	for _, value := range header["Connection"] {
+		for name := range strings.SplitSeq(value, ",") {
+			endToEnd.Del(textproto.TrimString(name))
 		}
 	}
-	for _, name := range hopByHop {
-		kept.Del(name)
+	for _, name := range hopByHopHeaders {
+		endToEnd.Del(name)
 	}
-	return kept
+	return endToEnd
 }
--- a/core/edge/dogwoodservice/service_test.go
+++ b/core/edge/dogwoodservice/service_test.go
@@ -17,20 +17,20 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// breakingServer answers the first request that arrives on each connection and keeps the
-// connection open. It runs every later one on it, and then closes without an answer. A
-// request with the header X-Break is run and broken off at once.
+// breakingServer answers the first request on each connection and keeps the connection open. It
+// runs the second one and closes the connection without a response. It also does so for a first
+// request with the header X-Break.
 type breakingServer struct {
-	runs  atomic.Int64
-	dials atomic.Int64
-	group sync.WaitGroup
+	runs        atomic.Int64
+	dials       atomic.Int64
+	connections sync.WaitGroup
 }
 
 func (server *breakingServer) dial(context.Context, string, string) (net.Conn, error) {
-	near, far := net.Pipe()
+	clientConn, serverConn := net.Pipe()
 	server.dials.Add(1)
-	server.group.Go(func() { server.serve(far) })
-	return near, nil
+	server.connections.Go(func() { server.serve(serverConn) })
+	return clientConn, nil
 }
 
 func (server *breakingServer) serve(conn net.Conn) {
@@ -52,26 +52,25 @@
 	}
 }
 
-// post sends one call with an idempotency key and returns whether it was answered.
-type post func(t *testing.T, body []byte, breaks bool) error
+// postFunc sends one call with an idempotency key and returns an error if it was not answered.
+type postFunc func(t *testing.T, body []byte, breaks bool) error
 
-// A buyer holds a car. The server runs the hold and its connection breaks before the
-// answer; net/http's Transport, which sees an Idempotency-Key on a connection that it used
-// before, sends it a second time by itself, and the car is held twice. The client must
-// not: of two holds the second runs once, with and without a body.
-func TestBrokenCallIsNotSentAgain(t *testing.T) {
+// The server runs a call and the connection breaks before the response. net/http's Transport
+// resends a call with an Idempotency-Key if it reused the connection, so that the call runs twice
+// and makes two reservations. The client must not resend it, with or without a body.
+func TestBrokenCallIsNotResent(t *testing.T) {
 	tests := []struct {
 		name     string
-		client   func(server *breakingServer) post
+		client   func(server *breakingServer) postFunc
 		body     []byte
 		breaks   bool
 		wantRuns int64
 	}{
-		{name: "the plain Transport repeats, with a body", client: plainTransport, body: []byte("{}"), wantRuns: 3},
-		{name: "the plain Transport repeats, without a body", client: plainTransport, wantRuns: 3},
-		{name: "the client does not, with a body", client: ourClient, body: []byte("{}"), breaks: true, wantRuns: 2},
-		{name: "the client does not, without a body", client: ourClient, breaks: true, wantRuns: 2},
-		{name: "the client uses no connection twice", client: ourClient, wantRuns: 2},
+		{name: "plain Transport resends, with a body", client: plainTransport, body: []byte("{}"), wantRuns: 3},
+		{name: "plain Transport resends, without a body", client: plainTransport, wantRuns: 3},
+		{name: "client does not resend, with a body", client: serviceClient, body: []byte("{}"), breaks: true, wantRuns: 2},
+		{name: "client does not resend, without a body", client: serviceClient, breaks: true, wantRuns: 2},
+		{name: "client reuses no connection", client: serviceClient, wantRuns: 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -96,7 +95,7 @@
 	}
 }
 
-func plainTransport(server *breakingServer) post {
+func plainTransport(server *breakingServer) postFunc {
 	transport := &http.Transport{DialContext: server.dial}
 	return func(t *testing.T, body []byte, _ bool) error {
 		t.Cleanup(transport.CloseIdleConnections)
@@ -114,7 +113,7 @@
 	}
 }
 
-func ourClient(server *breakingServer) post {
+func serviceClient(server *breakingServer) postFunc {
 	client := New(server.dial)
 	return func(t *testing.T, body []byte, breaks bool) error {
 		header := http.Header{"Idempotency-Key": {"hold-1"}}
@@ -132,7 +131,7 @@
 
 var endpoint = dogwoodfleet.Endpoint{ID: "server-1", Address: netip.MustParseAddrPort("10.0.0.1:80")}
 
-func TestCallThatCanNotConnectWasNotSent(t *testing.T) {
+func TestFailedConnectionIsNotSent(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: errors.New("refused")}
 	client := New(func(context.Context, string, string) (net.Conn, error) { return nil, refused })
 	response, err := client.Do(t.Context(), endpoint, Order{Method: http.MethodPost, Target: "/holds"})
@@ -155,6 +154,6 @@
 		t.Errorf("got %v, want only X-Kept", got)
 	}
 	if len(header) != 7 {
-		t.Errorf("got %d headers left of the caller's own, want 7", len(header))
+		t.Errorf("got %d headers in the original, want 7", len(header))
 	}
 }
