--- a/core/edge/dogwoodadmin/changes.go
+++ b/core/edge/dogwoodadmin/changes.go
@@ -14,8 +14,8 @@
 	"dogwoodmux.example/core/state/dogwoodchange"
 )
 
-// unavailableRetry is what an operator is told to wait when the store does not answer.
-const unavailableRetry = 10 * time.Second
+// unavailableRetryAfter is the Retry-After of an answer when the store does not respond.
+const unavailableRetryAfter = 10 * time.Second
 
 func (server *Server) applyText(writer http.ResponseWriter, request *http.Request) {
 	var apply dogwoodadminapi.Apply
@@ -23,14 +23,14 @@
 		return
 	}
 	if _, err := dogwoodsettings.ParseText([]byte(apply.Source)); err != nil {
-		writeInvalid(writer, err)
+		writeInvalidText(writer, err)
 		return
 	}
 	if apply.CheckOnly {
-		respond(writer, dogwoodadminapi.Accepted{Version: server.options.Changes.Current().Version, Kept: true})
+		writeJSON(writer, dogwoodadminapi.Accepted{Version: server.options.Changes.Current().Version, Kept: true})
 		return
 	}
-	if !hasID(writer, apply.ID) {
+	if !requireID(writer, apply.ID) {
 		return
 	}
 	server.submit(writer, request, dogwoodchange.Change{
@@ -43,15 +43,15 @@
 	})
 }
 
-// move makes the handler of take-outs or of bring-backs.
-func (server *Server) move(kind dogwoodchange.Kind) http.HandlerFunc {
+// moveHandler returns the handler for take-outs or for bring-backs.
+func (server *Server) moveHandler(kind dogwoodchange.Kind) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		var move dogwoodadminapi.Move
-		if !decode(writer, request, &move) || !hasID(writer, move.ID) {
+		if !decode(writer, request, &move) || !requireID(writer, move.ID) {
 			return
 		}
 		if (move.DataCentre == "") == (move.VM == "") {
-			refuse(writer, http.StatusBadRequest, dogwoodadminapi.KindInvalid, "give either DataCentre or VM")
+			writeProblem(writer, http.StatusBadRequest, dogwoodadminapi.KindInvalid, "give either DataCentre or VM")
 			return
 		}
 		server.submit(writer, request, dogwoodchange.Change{
@@ -66,17 +66,17 @@
 	}
 }
 
-// liftConviction goes through the change log too: a daemon that was away when it was
-// lifted must not go on refusing.
+// liftConviction submits the lift to the change log, so that a daemon that was not running
+// or not reachable at the time also stops rejecting the request.
 func (server *Server) liftConviction(writer http.ResponseWriter, request *http.Request) {
 	var lift dogwoodadminapi.Lift
-	if !decode(writer, request, &lift) || !hasID(writer, lift.ID) {
+	if !decode(writer, request, &lift) || !requireID(writer, lift.ID) {
 		return
 	}
 	var digest dogwoodfleet.Digest
 	decoded, err := hex.DecodeString(lift.Digest)
 	if err != nil || len(decoded) != len(digest) {
-		refuse(writer, http.StatusBadRequest, dogwoodadminapi.KindInvalid, "the digest must have 64 hexadecimal digits")
+		writeProblem(writer, http.StatusBadRequest, dogwoodadminapi.KindInvalid, "the digest must have 64 hexadecimal digits")
 		return
 	}
 	server.submit(writer, request, dogwoodchange.Change{
@@ -88,18 +88,19 @@
 	})
 }
 
-// hasID wants an ID of the client's making. Without one, a client that repeats a change
-// whose answer was lost would make it twice.
-func hasID(writer http.ResponseWriter, id string) bool {
+// requireID rejects a change without an ID chosen by the client. Without one, a client that
+// retries a change whose answer was lost would make the change twice.
+func requireID(writer http.ResponseWriter, id string) bool {
 	if id == "" {
-		refuse(writer, http.StatusBadRequest, dogwoodadminapi.KindInvalid, "ID is missing; it keeps a repeated change from being made twice")
+		writeProblem(writer, http.StatusBadRequest, dogwoodadminapi.KindInvalid, "ID is missing; it keeps a repeated change from being made twice")
 		return false
 	}
 	return true
 }
 
-// submit waits for the change although the operator may leave: a change that the log has
-// half taken is settled by the daemon, not given up.
+// submit submits the change to the change log and answers with its outcome. It continues if
+// the operator disconnects, so that the daemon still determines the outcome of a change whose
+// write has started.
 func (server *Server) submit(writer http.ResponseWriter, request *http.Request, change dogwoodchange.Change) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(request.Context()), changeTimeout)
 	defer cancel()
@@ -110,7 +111,7 @@
 		return
 	}
 	server.options.Logger.Info("Change accepted.", "kind", change.Kind, "author", change.Author, "version", accepted.Version, "kept", accepted.Kept)
-	respond(writer, dogwoodadminapi.Accepted{Version: accepted.Version, Kept: accepted.Kept})
+	writeJSON(writer, dogwoodadminapi.Accepted{Version: accepted.Version, Kept: accepted.Kept})
 }
 
 func (server *Server) writeChangeError(writer http.ResponseWriter, change dogwoodchange.Change, err error) {
@@ -121,30 +122,31 @@
 	case errors.As(err, &conflict):
 		server.writeConflict(writer, change, conflict)
 	case errors.As(err, &refused) && refused.Cause != nil:
-		writeInvalid(writer, refused.Cause)
+		writeInvalidText(writer, refused.Cause)
 	case errors.As(err, &refused):
-		refuse(writer, http.StatusUnprocessableEntity, dogwoodadminapi.KindRefused, refused.Error())
+		writeProblem(writer, http.StatusUnprocessableEntity, dogwoodadminapi.KindRefused, refused.Error())
 	case errors.As(err, &unavailable):
 		problem := dogwoodproblem.New(http.StatusServiceUnavailable, dogwoodadminapi.KindUnavailable, "nothing was changed: "+err.Error())
-		problem.RetryAfter = unavailableRetry
+		problem.RetryAfter = unavailableRetryAfter
 		dogwoodproblem.Write(writer, problem, nil)
 	default:
-		// *Unknown, or an error this layer does not know: neither says that nothing was done.
-		refuse(writer, http.StatusGatewayTimeout, dogwoodadminapi.KindUnknown, "the change may or may not have been made; see \"dogwoodctl status\": "+err.Error())
+		// *Unknown or an unexpected error: the change may have been made.
+		writeProblem(writer, http.StatusGatewayTimeout, dogwoodadminapi.KindUnknown, "the change may or may not have been made; see \"dogwoodctl status\": "+err.Error())
 	}
 }
 
-// writeConflict tells what came in between, so that the operator can judge the other's edit.
+// writeConflict answers with the changes made since the version that the change is based on,
+// so that the operator can review them.
 func (server *Server) writeConflict(writer http.ResponseWriter, change dogwoodchange.Change, conflict *dogwoodchange.Conflict) {
 	problem := dogwoodproblem.New(http.StatusConflict, dogwoodadminapi.KindConflict, conflict.Error())
 	dogwoodproblem.Write(writer, problem, dogwoodadminapi.Conflict{
 		Problem: problem,
 		Current: conflict.Current,
-		Changes: rows(server.options.Changes.Since(change.BasedOn).Changes),
+		Changes: changeRows(server.options.Changes.Since(change.BasedOn).Changes),
 	})
 }
 
-func writeInvalid(writer http.ResponseWriter, err error) {
+func writeInvalidText(writer http.ResponseWriter, err error) {
 	problem := dogwoodproblem.New(http.StatusUnprocessableEntity, dogwoodadminapi.KindInvalid, "the text has faults")
 	invalid := dogwoodadminapi.Invalid{Problem: problem}
 	var problems *dogwoodsettings.Problems
--- a/core/edge/dogwoodadmin/server.go
+++ b/core/edge/dogwoodadmin/server.go
@@ -1,6 +1,7 @@
-// Package dogwoodadmin is the administration API's server: HTTP under /admin/v1 with the
-// administration key, health for the platform, and expvar. The operations themselves are
-// behind small interfaces. The types on the wire are in dogwoodadminapi.
+// Package dogwoodadmin is the server of the administration API. It serves the paths under
+// /admin/v1 and expvar to clients with the administration key, and health checks to the
+// platform. The operations are implemented behind small interfaces; the types of the API are
+// in dogwoodadminapi.
 package dogwoodadmin
 
 import (
@@ -29,45 +30,45 @@
 var Error = errs.Class("administration")
 
 const (
-	// mostBody bounds a request's body. The largest is a text: at 2,700 customers of about
-	// 200 bytes it has some 600 kB.
-	mostBody = 4 << 20
-	// changeTimeout bounds a change, so that the client, which waits longer, learns the
-	// outcome instead of giving up on it.
+	// maxBodyBytes bounds the body of a request. The largest body is an operators' text:
+	// about 600 kB for 2,700 customers of about 200 bytes each.
+	maxBodyBytes = 4 << 20
+	// changeTimeout bounds a change. The client's timeout is longer, so that the client
+	// receives the outcome.
 	changeTimeout = 5 * time.Second
-	// statusTimeout bounds the calls to the other daemons for a status.
+	// statusTimeout bounds the calls to the other daemons for a status or a burn report.
 	statusTimeout = 2 * time.Second
 )
 
-// Changes is the change log.
+// Changes submits changes to the change log and returns its state.
 type Changes interface {
 	Submit(ctx context.Context, change dogwoodchange.Change) (dogwoodchange.Accepted, error)
 	Current() dogwoodchange.View
 	Since(version uint64) dogwoodchange.News
 }
 
-// Overview gathers the status of all daemons.
+// Overview collects the status of all daemons.
 type Overview interface {
 	Status(ctx context.Context) dogwoodadminapi.Status
 }
 
-// Entries tells which addresses callers near a data centre are told; empty means this
-// daemon's own.
+// Entries returns the entry addresses for callers near a data centre. An empty data centre
+// means the daemon's own.
 type Entries interface {
 	Entry(dataCentre dogwoodfleet.DataCentre) dogwoodadminapi.Entry
 }
 
-// Burn merges every daemon's counters into a report.
+// Burn merges the counters of all daemons into a report.
 type Burn interface {
 	Report(ctx context.Context) dogwoodburn.Report
 }
 
-// Convictions knows the requests that are refused because they killed endpoints.
+// Convictions lists the requests that are rejected because they crashed endpoints.
 type Convictions interface {
 	Convictions() []dogwoodadminapi.Conviction
 }
 
-// Options are what a server works with.
+// Options are the dependencies of a Server.
 type Options struct {
 	Key         string
 	Changes     Changes
@@ -75,97 +76,100 @@
 	Entries     Entries
 	Burn        Burn
 	Convictions Convictions
-	// Ready is nil when the daemon can serve, else why it can't.
+	// Ready returns nil if the daemon can serve, else the reason why it can't.
 	Ready  func() error
 	Logger hclog.Logger
 }
 
-// Server answers the administration API.
+// Server is the http.Handler of the administration API.
 type Server struct {
 	options Options
 	key     [sha256.Size]byte
 	mux     *http.ServeMux
 }
 
-// New returns a server. It is an http.Handler.
+// New returns a Server with a handler for each path of the API.
 func New(options Options) *Server {
 	server := &Server{options: options, key: sha256.Sum256([]byte(options.Key)), mux: http.NewServeMux()}
-	server.route()
+	server.registerRoutes()
 	return server
 }
 
-// route binds the paths. A known path with another method is answered 405 by ServeMux.
-func (server *Server) route() {
-	guarded := map[string]http.HandlerFunc{
+// registerRoutes registers the handlers. ServeMux answers a known path with another method
+// with status 405.
+func (server *Server) registerRoutes() {
+	withKey := map[string]http.HandlerFunc{
 		"GET " + dogwoodadminapi.PathText:        server.getText,
 		"POST " + dogwoodadminapi.PathText:       server.applyText,
-		"POST " + dogwoodadminapi.PathTakeOuts:   server.move(dogwoodchange.TakeOut),
-		"POST " + dogwoodadminapi.PathBringBacks: server.move(dogwoodchange.BringBack),
+		"POST " + dogwoodadminapi.PathTakeOuts:   server.moveHandler(dogwoodchange.TakeOut),
+		"POST " + dogwoodadminapi.PathBringBacks: server.moveHandler(dogwoodchange.BringBack),
 		"GET " + dogwoodadminapi.PathChanges:     server.listChanges,
-		"GET " + dogwoodadminapi.PathStatus:      server.status,
-		"GET " + dogwoodadminapi.PathBurn:        server.burn,
-		"GET " + dogwoodadminapi.PathEntry:       server.entry,
+		"GET " + dogwoodadminapi.PathStatus:      server.getStatus,
+		"GET " + dogwoodadminapi.PathBurn:        server.getBurn,
+		"GET " + dogwoodadminapi.PathEntry:       server.getEntry,
 		"GET " + dogwoodadminapi.PathConvictions: server.listConvictions,
 		"POST " + dogwoodadminapi.PathLifts:      server.liftConviction,
 		"GET /debug/vars":                        expvar.Handler().ServeHTTP,
 	}
-	for pattern, handler := range guarded {
-		server.mux.HandleFunc(pattern, server.guard(handler))
+	for pattern, handler := range withKey {
+		server.mux.HandleFunc(pattern, server.requireKey(handler))
 	}
-	server.mux.HandleFunc("GET /healthz", live)
-	server.mux.HandleFunc("GET /readyz", server.ready)
+	server.mux.HandleFunc("GET /healthz", serveLiveness)
+	server.mux.HandleFunc("GET /readyz", server.serveReadiness)
 	server.mux.HandleFunc("/", func(writer http.ResponseWriter, _ *http.Request) {
-		refuse(writer, http.StatusNotFound, dogwoodadminapi.KindNotFound, "there is nothing at this path")
+		writeProblem(writer, http.StatusNotFound, dogwoodadminapi.KindNotFound, "there is nothing at this path")
 	})
 }
 
-// ServeHTTP answers one request.
+// ServeHTTP serves one request.
 func (server *Server) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	request.Body = http.MaxBytesReader(writer, request.Body, mostBody)
+	request.Body = http.MaxBytesReader(writer, request.Body, maxBodyBytes)
 	server.mux.ServeHTTP(writer, request)
 }
 
-// guard lets only callers with the key through. Digests of equal length are compared in
-// constant time, so that answer times tell nothing about the key.
-func (server *Server) guard(next http.HandlerFunc) http.HandlerFunc {
+// requireKey wraps a handler so that it serves only requests with the administration key. It
+// compares digests of equal length in constant time, so that response times reveal nothing
+// about the key.
+func (server *Server) requireKey(handler http.HandlerFunc) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		given, isBearer := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
-		digest := sha256.Sum256([]byte(given))
+		key, isBearer := strings.CutPrefix(request.Header.Get("Authorization"), "Bearer ")
+		digest := sha256.Sum256([]byte(key))
 		if !isBearer || subtle.ConstantTimeCompare(digest[:], server.key[:]) != 1 {
 			writer.Header().Set("WWW-Authenticate", "Bearer")
-			refuse(writer, http.StatusUnauthorized, dogwoodadminapi.KindUnauthorized, "the administration key is missing or wrong")
+			writeProblem(writer, http.StatusUnauthorized, dogwoodadminapi.KindUnauthorized, "the administration key is missing or wrong")
 			return
 		}
-		next(writer, request)
+		handler(writer, request)
 	}
 }
 
-// live says that the process runs and answers.
-func live(writer http.ResponseWriter, _ *http.Request) {
-	_, _ = io.WriteString(writer, "live\n") // the prober may have left
+// serveLiveness reports that the process is running and answers requests.
+func serveLiveness(writer http.ResponseWriter, _ *http.Request) {
+	_, _ = io.WriteString(writer, "live\n") // the client may have disconnected
 }
 
-func (server *Server) ready(writer http.ResponseWriter, _ *http.Request) {
+func (server *Server) serveReadiness(writer http.ResponseWriter, _ *http.Request) {
 	if server.options.Ready != nil {
 		if err := server.options.Ready(); err != nil {
-			refuse(writer, http.StatusServiceUnavailable, dogwoodadminapi.KindNotReady, err.Error())
+			writeProblem(writer, http.StatusServiceUnavailable, dogwoodadminapi.KindNotReady, err.Error())
 			return
 		}
 	}
-	_, _ = io.WriteString(writer, "ready\n") // the prober may have left
+	_, _ = io.WriteString(writer, "ready\n") // the client may have disconnected
 }
 
-func refuse(writer http.ResponseWriter, status int, kind, detail string) {
+func writeProblem(writer http.ResponseWriter, status int, kind, detail string) {
 	dogwoodproblem.Write(writer, dogwoodproblem.New(status, kind, detail), nil)
 }
 
-func respond(writer http.ResponseWriter, value any) {
+func writeJSON(writer http.ResponseWriter, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.Header().Set("Cache-Control", "no-store")
-	_ = json.NewEncoder(writer).Encode(value) // the operator may have left; the change stands
+	_ = json.NewEncoder(writer).Encode(value) // the operator may have disconnected; an accepted change stays in force
 }
 
-// decode reads a body of exactly one known type; a misspelt field must not mean its default.
+// decode reads a body that is one JSON value of the type of value. It rejects unknown fields,
+// so that a misspelt field is not silently left at its default.
 func decode(writer http.ResponseWriter, request *http.Request, value any) bool {
 	decoder := json.NewDecoder(request.Body)
 	decoder.DisallowUnknownFields()
@@ -178,9 +182,9 @@
 	case err == nil:
 		return true
 	case errors.As(err, &tooLarge):
-		refuse(writer, http.StatusRequestEntityTooLarge, dogwoodadminapi.KindTooLarge, "the body is larger than 4 MiB")
+		writeProblem(writer, http.StatusRequestEntityTooLarge, dogwoodadminapi.KindTooLarge, "the body is larger than 4 MiB")
 	default:
-		refuse(writer, http.StatusBadRequest, dogwoodadminapi.KindInvalid, "the body can't be read: "+err.Error())
+		writeProblem(writer, http.StatusBadRequest, dogwoodadminapi.KindInvalid, "the body can't be read: "+err.Error())
 	}
 	return false
 }
--- a/core/edge/dogwoodadmin/server_test.go
+++ b/core/edge/dogwoodadmin/server_test.go
@@ -19,27 +19,27 @@
 const goodText = `{"Services": [{"Name": "desk", "Kind": "PlainService", "Deadline": "5s", "MaxDeadline": "1m", "ColdLimit": 1, "WarmLimit": 8}],
 "Customers": [{"Name": "a", "Weight": 1, "KeySHA256": ["aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa"]}]}`
 
-// changes answers every submit alike and keeps what was submitted.
-type changes struct {
+// fakeChanges answers every Submit with the same result and records the submitted changes.
+type fakeChanges struct {
 	err       error
 	accepted  dogwoodchange.Accepted
 	submitted []dogwoodchange.Change
 }
 
-func (changes *changes) Submit(_ context.Context, change dogwoodchange.Change) (dogwoodchange.Accepted, error) {
+func (changes *fakeChanges) Submit(_ context.Context, change dogwoodchange.Change) (dogwoodchange.Accepted, error) {
 	changes.submitted = append(changes.submitted, change)
 	return changes.accepted, changes.err
 }
 
-func (changes *changes) Current() dogwoodchange.View {
+func (changes *fakeChanges) Current() dogwoodchange.View {
 	return dogwoodchange.View{Version: 9, TextVersion: 7, Source: []byte(goodText)}
 }
 
-func (changes *changes) Since(uint64) dogwoodchange.News {
+func (changes *fakeChanges) Since(uint64) dogwoodchange.News {
 	return dogwoodchange.News{Changes: []dogwoodchange.Change{{Version: 8, Kind: dogwoodchange.ApplyText, Author: "other"}}}
 }
 
-func send(changes *changes, method, path, key, body string) *httptest.ResponseRecorder {
+func send(changes *fakeChanges, method, path, key, body string) *httptest.ResponseRecorder {
 	server := New(Options{
 		Key:     "secret",
 		Changes: changes,
@@ -63,7 +63,7 @@
 	return string(body)
 }
 
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	takeOut := `{"ID": "1", "Author": "me", "DataCentre": "oita-c"}`
 	tests := []struct {
 		name               string
@@ -75,12 +75,12 @@
 	}{
 		{"no key", "GET", dogwoodadminapi.PathText, "", "", nil, 401, dogwoodadminapi.KindUnauthorized, ""},
 		{"wrong key", "GET", dogwoodadminapi.PathText, "secre", "", nil, 401, dogwoodadminapi.KindUnauthorized, ""},
-		{"metrics want the key", "GET", "/debug/vars", "", "", nil, 401, dogwoodadminapi.KindUnauthorized, ""},
-		{"live needs none", "GET", "/healthz", "", "", nil, 200, "", "live"},
+		{"metrics without a key", "GET", "/debug/vars", "", "", nil, 401, dogwoodadminapi.KindUnauthorized, ""},
+		{"liveness without a key", "GET", "/healthz", "", "", nil, 200, "", "live"},
 		{"not ready", "GET", "/readyz", "", "", nil, 503, dogwoodadminapi.KindNotReady, "not read yet"},
 		{"no such path", "GET", "/admin/v2/text", "secret", "", nil, 404, dogwoodadminapi.KindNotFound, ""},
 		{"text", "GET", dogwoodadminapi.PathText, "secret", "", nil, 200, "", `"Version":7`},
-		{"bad since", "GET", dogwoodadminapi.PathChanges + "?since=x", "secret", "", nil, 400, dogwoodadminapi.KindInvalid, ""},
+		{"invalid since", "GET", dogwoodadminapi.PathChanges + "?since=x", "secret", "", nil, 400, dogwoodadminapi.KindInvalid, ""},
 		{"apply", "POST", dogwoodadminapi.PathText, "secret", applyBody(goodText), nil, 200, "", `"Version":8,"Kept":true`},
 		{"apply with faults", "POST", dogwoodadminapi.PathText, "secret", applyBody("{}"), nil, 422, dogwoodadminapi.KindInvalid, "Services"},
 		{"unknown field", "POST", dogwoodadminapi.PathText, "secret", `{"Sauce": ""}`, nil, 400, dogwoodadminapi.KindInvalid, "Sauce"},
@@ -88,16 +88,16 @@
 		{"crossed", "POST", dogwoodadminapi.PathText, "secret", applyBody(goodText), &dogwoodchange.Conflict{BasedOn: 7, Current: 8}, 409, dogwoodadminapi.KindConflict, `"Author":"other"`},
 		{"store down", "POST", dogwoodadminapi.PathText, "secret", applyBody(goodText), &dogwoodchange.Unavailable{Cause: errors.New("down")}, 503, dogwoodadminapi.KindUnavailable, "nothing was changed"},
 		{"answer lost", "POST", dogwoodadminapi.PathText, "secret", applyBody(goodText), &dogwoodchange.Unknown{ID: "1", Cause: errors.New("lost")}, 504, dogwoodadminapi.KindUnknown, "may or may not"},
-		{"error of an unknown kind", "POST", dogwoodadminapi.PathText, "secret", applyBody(goodText), errors.New("odd"), 504, dogwoodadminapi.KindUnknown, "may or may not"},
-		{"last place", "POST", dogwoodadminapi.PathTakeOuts, "secret", takeOut, &dogwoodchange.Refused{Reason: "desk would have no endpoint"}, 422, dogwoodadminapi.KindRefused, "no endpoint"},
+		{"unexpected error", "POST", dogwoodadminapi.PathText, "secret", applyBody(goodText), errors.New("odd"), 504, dogwoodadminapi.KindUnknown, "may or may not"},
+		{"last endpoint of a service", "POST", dogwoodadminapi.PathTakeOuts, "secret", takeOut, &dogwoodchange.Refused{Reason: "desk would have no endpoint"}, 422, dogwoodadminapi.KindRefused, "no endpoint"},
 		{"take-out without an ID", "POST", dogwoodadminapi.PathTakeOuts, "secret", `{"VM": "a"}`, nil, 400, dogwoodadminapi.KindInvalid, "ID is missing"},
-		{"take-out of two places", "POST", dogwoodadminapi.PathTakeOuts, "secret", `{"ID": "1", "VM": "a", "DataCentre": "b"}`, nil, 400, dogwoodadminapi.KindInvalid, "either"},
+		{"take-out of a VM and a data centre", "POST", dogwoodadminapi.PathTakeOuts, "secret", `{"ID": "1", "VM": "a", "DataCentre": "b"}`, nil, 400, dogwoodadminapi.KindInvalid, "either"},
 		{"lift with a short digest", "POST", dogwoodadminapi.PathLifts, "secret", `{"ID": "1", "Digest": "ab"}`, nil, 400, dogwoodadminapi.KindInvalid, "64"},
-		{"body too large", "POST", dogwoodadminapi.PathTakeOuts, "secret", `{"ID": "` + strings.Repeat("x", mostBody) + `"}`, nil, 413, dogwoodadminapi.KindTooLarge, ""},
+		{"body too large", "POST", dogwoodadminapi.PathTakeOuts, "secret", `{"ID": "` + strings.Repeat("x", maxBodyBytes) + `"}`, nil, 413, dogwoodadminapi.KindTooLarge, ""},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			changes := &changes{err: test.err, accepted: dogwoodchange.Accepted{Version: 8, Kept: true}}
+			changes := &fakeChanges{err: test.err, accepted: dogwoodchange.Accepted{Version: 8, Kept: true}}
 			got := send(changes, test.method, test.path, test.key, test.body)
 			if got.Code != test.wantStatus {
 				t.Errorf("got status %d, want %d: %s", got.Code, test.wantStatus, got.Body)
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestMoveSubmitsWhatWasAsked(t *testing.T) {
+func TestMoveSubmitsRequestedChange(t *testing.T) {
 	tests := []struct {
 		path string
 		want dogwoodchange.Kind
@@ -129,7 +129,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.path, func(t *testing.T) {
-			changes := &changes{}
+			changes := &fakeChanges{}
 			if got := send(changes, http.MethodPost, test.path, "secret", `{"ID": "1", "Author": "me", "VM": "engine-1", "Force": true}`); got.Code != http.StatusOK {
 				t.Fatalf("got status %d, want 200: %s", got.Code, got.Body)
 			}
--- a/core/edge/dogwoodadmin/views.go
+++ b/core/edge/dogwoodadmin/views.go
@@ -12,23 +12,23 @@
 
 func (server *Server) getText(writer http.ResponseWriter, _ *http.Request) {
 	view := server.options.Changes.Current()
-	respond(writer, dogwoodadminapi.Text{Version: view.TextVersion, Source: string(view.Source)})
+	writeJSON(writer, dogwoodadminapi.Text{Version: view.TextVersion, Source: string(view.Source)})
 }
 
 func (server *Server) listChanges(writer http.ResponseWriter, request *http.Request) {
 	since := uint64(0)
-	if given := request.URL.Query().Get("since"); given != "" {
-		parsed, err := strconv.ParseUint(given, 10, 64)
+	if value := request.URL.Query().Get("since"); value != "" {
+		parsed, err := strconv.ParseUint(value, 10, 64)
 		if err != nil {
-			refuse(writer, http.StatusBadRequest, dogwoodadminapi.KindInvalid, "since is no version")
+			writeProblem(writer, http.StatusBadRequest, dogwoodadminapi.KindInvalid, "since is no version")
 			return
 		}
 		since = parsed
 	}
-	respond(writer, dogwoodadminapi.Changes{Changes: rows(server.options.Changes.Since(since).Changes)})
+	writeJSON(writer, dogwoodadminapi.Changes{Changes: changeRows(server.options.Changes.Since(since).Changes)})
 }
 
-func rows(changes []dogwoodchange.Change) []dogwoodadminapi.ChangeRow {
+func changeRows(changes []dogwoodchange.Change) []dogwoodadminapi.ChangeRow {
 	rows := make([]dogwoodadminapi.ChangeRow, len(changes))
 	for i, change := range changes {
 		rows[i] = dogwoodadminapi.ChangeRow{
@@ -44,23 +44,23 @@
 	return rows
 }
 
-func (server *Server) status(writer http.ResponseWriter, request *http.Request) {
+func (server *Server) getStatus(writer http.ResponseWriter, request *http.Request) {
 	ctx, cancel := context.WithTimeout(request.Context(), statusTimeout)
 	defer cancel()
-	respond(writer, server.options.Overview.Status(ctx))
+	writeJSON(writer, server.options.Overview.Status(ctx))
 }
 
-func (server *Server) burn(writer http.ResponseWriter, request *http.Request) {
+func (server *Server) getBurn(writer http.ResponseWriter, request *http.Request) {
 	ctx, cancel := context.WithTimeout(request.Context(), statusTimeout)
 	defer cancel()
-	respond(writer, server.options.Burn.Report(ctx))
+	writeJSON(writer, server.options.Burn.Report(ctx))
 }
 
-func (server *Server) entry(writer http.ResponseWriter, request *http.Request) {
+func (server *Server) getEntry(writer http.ResponseWriter, request *http.Request) {
 	dataCentre := dogwoodfleet.DataCentre(request.URL.Query().Get("datacentre"))
-	respond(writer, server.options.Entries.Entry(dataCentre))
+	writeJSON(writer, server.options.Entries.Entry(dataCentre))
 }
 
 func (server *Server) listConvictions(writer http.ResponseWriter, _ *http.Request) {
-	respond(writer, dogwoodadminapi.Convictions{Convictions: server.options.Convictions.Convictions()})
+	writeJSON(writer, dogwoodadminapi.Convictions{Convictions: server.options.Convictions.Convictions()})
 }
--- a/core/edge/dogwoodcaller/answer.go
+++ b/core/edge/dogwoodcaller/answer.go
@@ -10,50 +10,50 @@
 	"dogwoodmux.example/core/edge/dogwoodengine"
 )
 
-// stream answers with server-sent events. The last is "[DONE]", or an "error" event with
-// the problem if the stream failed after its start.
-func (edge *Edge) stream(ctx context.Context, exchange *exchange, call *dogwooddispatch.Call) error {
+// serveStream answers with server-sent events. The last one is "[DONE]", or an "error" event
+// with the problem if the stream failed after its start.
+func (edge *Edge) serveStream(ctx context.Context, exchange *exchange, call *dogwooddispatch.Call) error {
 	answer := &streamAnswer{exchange: exchange}
 	err := edge.options.Dispatcher.Prompt(ctx, call, answer)
 	if err == nil {
 		answer.begin()
-		_ = answer.write("data: ", []byte("[DONE]")) // the caller may have left
+		_ = answer.writeEvent("data: ", []byte("[DONE]")) // the caller may have disconnected
 		return nil
 	}
 	if answer.Begun() {
-		encoded, problem := json.Marshal(exchange.problem(asFailure(err)))
-		if problem != nil {
-			return Error.Wrap(problem)
+		encoded, marshalErr := json.Marshal(exchange.problem(asFailure(err)))
+		if marshalErr != nil {
+			return Error.Wrap(marshalErr)
 		}
-		_ = answer.write("event: error\ndata: ", encoded)
+		_ = answer.writeEvent("event: error\ndata: ", encoded)
 	}
 	return err
 }
 
-// wholeAnswer collects events until the answer is complete.
-type wholeAnswer struct {
+// bufferedAnswer collects events until the answer is complete.
+type bufferedAnswer struct {
 	exchange *exchange
 	events   []dogwoodengine.Event
 }
 
-// Event keeps an event.
-func (answer *wholeAnswer) Event(event dogwooddispatch.Event) error {
+// Event appends an event.
+func (answer *bufferedAnswer) Event(event dogwooddispatch.Event) error {
 	if len(answer.events) == 0 {
-		answer.exchange.firstToken = time.Since(answer.exchange.begun)
+		answer.exchange.firstToken = time.Since(answer.exchange.arrived)
 	}
 	answer.events = append(answer.events, dogwoodengine.Event{Index: event.Index, Data: event.Data})
 	return nil
 }
 
-// Begun is false: nothing is sent before the end.
-func (answer *wholeAnswer) Begun() bool { return false }
+// Begun returns false, because nothing is sent before the answer is complete.
+func (answer *bufferedAnswer) Begun() bool { return false }
 
-// Restart drops the events of a try that broke off.
-func (answer *wholeAnswer) Restart() { answer.events = nil }
+// Restart drops the events of a try that ended before its answer was complete.
+func (answer *bufferedAnswer) Restart() { answer.events = nil }
 
-// whole answers with one JSON object.
-func (edge *Edge) whole(ctx context.Context, exchange *exchange, call *dogwooddispatch.Call) error {
-	answer := &wholeAnswer{exchange: exchange}
+// serveJSON answers with one JSON object.
+func (edge *Edge) serveJSON(ctx context.Context, exchange *exchange, call *dogwooddispatch.Call) error {
+	answer := &bufferedAnswer{exchange: exchange}
 	if err := edge.options.Dispatcher.Prompt(ctx, call, answer); err != nil {
 		return err
 	}
@@ -62,8 +62,8 @@
 		return Error.Wrap(err)
 	}
 	exchange.status = http.StatusOK
-	exchange.boundWrite()
+	exchange.setWriteDeadline()
 	exchange.writer.Header().Set("Content-Type", "application/json")
-	_, _ = exchange.writer.Write(assembled) // the caller may have left
+	_, _ = exchange.writer.Write(assembled) // the caller may have disconnected
 	return nil
 }
--- a/core/edge/dogwoodcaller/caller.go
+++ b/core/edge/dogwoodcaller/caller.go
@@ -1,10 +1,10 @@
-// Package dogwoodcaller is the callers' HTTP edge: model prompts in the OpenAI style,
-// plain services, and the entry addresses. It reads and checks requests and writes their
-// outcome; what becomes of them is decided in dogwooddispatch.
+// Package dogwoodcaller serves the callers' HTTP API: model prompts in the OpenAI format,
+// calls to plain services, and the entry addresses. It reads and checks requests and writes
+// their answers; dogwooddispatch sends them to endpoints.
 //
-// Every request ends in one answer: the endpoint's, or an RFC 9457 problem that says
-// whether the request was run. A stream that fails after its start ends in an "error"
-// event with the same problem, never silently.
+// Every request gets one answer: the endpoint's, or an RFC 9457 problem that states
+// whether the request was run. A stream that fails after its start ends with an "error"
+// event that contains the same problem.
 package dogwoodcaller
 
 import (
@@ -25,7 +25,7 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("caller")
 
-// The headers of the callers' protocol.
+// Headers of the callers' HTTP API.
 const (
 	HeaderDeadline       = "Dogwood-Deadline"
 	HeaderIdempotencyKey = "Idempotency-Key"
@@ -35,7 +35,7 @@
 	HeaderLoadID         = "X-Load-Id"
 )
 
-// The paths of the callers' protocol.
+// Paths of the callers' HTTP API.
 const (
 	PathEntry       = "/v1/entry"
 	PathChat        = "/v1/chat/completions"
@@ -44,90 +44,93 @@
 )
 
 const (
-	// maxPromptBytes bounds a prompt's body: a million tokens at four bytes each, and as
-	// much again for JSON's escapes.
+	// maxPromptBytes bounds the body of a prompt: a million tokens at four bytes each,
+	// doubled for JSON escapes.
 	maxPromptBytes = 8 << 20
 	// maxCallBytes bounds the body of a call to a plain service.
 	maxCallBytes = 1 << 20
-	// maxHeaderBytes bounds a request's header.
+	// maxHeaderBytes bounds the header of a request.
 	maxHeaderBytes = 32 << 10
-	// headerTime is how long a header may take to arrive.
-	headerTime = 5 * time.Second
-	// bodyTime is how long a body may take: 8 MB at 2 Mbit/s, a slow caller's line.
-	bodyTime = 32 * time.Second
-	// writeTime is how long one write may block before its reader counts as gone.
-	writeTime = 15 * time.Second
-	// idleTime is how long a connection without a request is kept.
-	idleTime = 2 * time.Minute
-	// maxKeyLength bounds an Idempotency-Key: it becomes part of a row's key.
+	// headerTimeout bounds the time for reading a request's header.
+	headerTimeout = 5 * time.Second
+	// bodyTimeout bounds the time for reading a body: 8 MB at 2 Mbit/s, for callers with a
+	// slow connection.
+	bodyTimeout = 32 * time.Second
+	// writeTimeout is how long one write may block before the caller is considered gone.
+	writeTimeout = 15 * time.Second
+	// idleTimeout is how long a connection without a request stays open.
+	idleTimeout = 2 * time.Minute
+	// maxKeyLength bounds an Idempotency-Key, which becomes part of a row's key.
 	maxKeyLength = 200
 )
 
-// Dispatcher carries requests to their endpoints. Its errors are *dogwooddispatch.Failure.
+// Dispatcher sends requests to endpoints. Its errors are of type *dogwooddispatch.Failure.
 type Dispatcher interface {
 	NewID() dogwoodfleet.RequestID
 	Prompt(ctx context.Context, call *dogwooddispatch.Call, answer dogwooddispatch.PromptAnswer) error
 	Service(ctx context.Context, call *dogwooddispatch.Call) (*dogwooddispatch.WholeAnswer, error)
 }
 
-// Entry is the answer to GET /v1/entry.
+// Entry is the answer to GET /v1/entry: the addresses to which the caller should send its
+// requests.
 type Entry struct {
-	// Addresses are those to use, the best first.
+	// Addresses are ordered best first.
 	Addresses []netip.AddrPort
-	// KeepSeconds is how long the caller may keep using them without asking again.
+	// KeepSeconds is how long the caller may use the addresses before it requests them again.
 	KeepSeconds int
 }
 
-// Entries tells callers which addresses to use.
+// Entries returns the addresses that a customer's callers should use.
 type Entries interface {
 	Entry(customer dogwoodfleet.Customer) Entry
 }
 
-// Options are what the edge is made from.
+// Options are the dependencies of an Edge.
 type Options struct {
 	Place      dogwoodfleet.Place
 	Text       func() *dogwoodsettings.Text
 	Dispatcher Dispatcher
 	Entries    Entries
-	// Record counts an outcome for the burn of objectives; it must not block.
+	// Record counts an outcome for the burn rates of the objectives. It must not block.
 	Record func(outcome dogwoodburn.Outcome)
 	Logger hclog.Logger
 }
 
-// Edge serves callers.
+// Edge is the http.Handler of the callers' HTTP API.
 type Edge struct {
 	options Options
 	mux     *http.ServeMux
 	keys    keyring
 }
 
-// New returns the callers' edge.
+// New returns an Edge with a handler for each path of the API.
 func New(options Options) *Edge {
 	edge := &Edge{options: options, mux: http.NewServeMux()}
-	edge.mux.Handle("GET "+PathEntry, edge.handle(edge.entry))
-	edge.mux.Handle("POST "+PathChat, edge.handle(edge.prompt))
-	edge.mux.Handle("POST "+PathCompletions, edge.handle(edge.prompt))
-	edge.mux.Handle(PathServices+"{service}/", edge.handle(edge.service))
-	edge.mux.Handle("/", edge.handle(unknownPath))
+	edge.mux.Handle("GET "+PathEntry, edge.handle(edge.serveEntry))
+	edge.mux.Handle("POST "+PathChat, edge.handle(edge.servePrompt))
+	edge.mux.Handle("POST "+PathCompletions, edge.handle(edge.servePrompt))
+	edge.mux.Handle(PathServices+"{service}/", edge.handle(edge.serveService))
+	edge.mux.Handle("/", edge.handle(rejectUnknownPath))
 	return edge
 }
 
-// ServeHTTP serves one request. Paths are matched as they were sent: the mux would
-// answer an unclean one with a redirect, which a caller may follow with another method.
+// ServeHTTP serves one request. It rejects unclean paths, because the mux would answer them
+// with a redirect, which a caller may follow with another method.
 func (edge *Edge) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	if !cleanPath(request.URL) {
-		edge.handle(uncleanPath).ServeHTTP(writer, request)
+	if !isCleanPath(request.URL) {
+		edge.handle(rejectUncleanPath).ServeHTTP(writer, request)
 		return
 	}
 	edge.mux.ServeHTTP(writer, request)
 }
 
-// Server returns an http.Server for the edge, with limits on slow and large senders.
+// Server returns an http.Server for the edge that limits the size of headers, the time for
+// reading them and the idle time of connections.
 func (edge *Edge) Server() *http.Server {
 	return &http.Server{
 		Handler:           edge,
-		ReadHeaderTimeout: headerTime,
-		IdleTimeout:       idleTime,
+		ReadHeaderTimeout: headerTimeout,
+		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          edge.options.Logger.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
 	}
--- a/core/edge/dogwoodcaller/caller_test.go
+++ b/core/edge/dogwoodcaller/caller_test.go
@@ -20,7 +20,7 @@
 	"dogwoodmux.example/core/duty/dogwooddispatch"
 )
 
-// fakeDispatcher keeps the last call and ends it as told.
+// fakeDispatcher records the last call and answers it with the given events, answer or error.
 type fakeDispatcher struct {
 	call   *dogwooddispatch.Call
 	events []string
@@ -100,19 +100,19 @@
 		wantReason           dogwoodfleet.Reason
 	}{
 		{name: "no key", method: "GET", target: "/v1/entry", header: []string{"Authorization", ""}, wantStatus: 401, wantReason: dogwoodfleet.ReasonKey},
-		{name: "another key", method: "GET", target: "/v1/entry", header: []string{"Authorization", "Bearer kez"}, wantStatus: 401, wantReason: dogwoodfleet.ReasonKey},
+		{name: "unknown key", method: "GET", target: "/v1/entry", header: []string{"Authorization", "Bearer kez"}, wantStatus: 401, wantReason: dogwoodfleet.ReasonKey},
 		{name: "no such path", method: "GET", target: "/v2", wantStatus: 400, wantReason: dogwoodfleet.ReasonBadRequest},
 		{name: "dotted path", method: "POST", target: "/services/desk/search/../holds", wantStatus: 400, wantReason: dogwoodfleet.ReasonBadRequest},
 		{name: "encoded slash", method: "POST", target: "/services/desk/search%2fholds", wantStatus: 400, wantReason: dogwoodfleet.ReasonBadRequest},
-		{name: "no JSON", method: "POST", target: "/v1/chat/completions", body: "{", wantStatus: 400, wantReason: dogwoodfleet.ReasonBadRequest},
+		{name: "invalid JSON", method: "POST", target: "/v1/chat/completions", body: "{", wantStatus: 400, wantReason: dogwoodfleet.ReasonBadRequest},
 		{name: "no such model", method: "POST", target: "/v1/chat/completions", body: `{"model":"other"}`, wantStatus: 400, wantReason: dogwoodfleet.ReasonBadRequest},
 		{name: "bad deadline", method: "POST", target: "/v1/completions", body: promptBody, header: []string{"Dogwood-Deadline", "soon"}, wantStatus: 400, wantReason: dogwoodfleet.ReasonBadRequest},
 		{name: "long prompt", method: "POST", target: "/v1/completions", body: `{"model":"model","prompt":"` + strings.Repeat("x", 500) + `"}`, wantStatus: 413, wantReason: dogwoodfleet.ReasonTooLarge},
 		{name: "large body", method: "POST", target: "/services/desk/holds", body: strings.Repeat("x", maxCallBytes+1), wantStatus: 413, wantReason: dogwoodfleet.ReasonTooLarge},
-		{name: "another's service", method: "GET", target: "/services/secret/x", wantStatus: 401, wantReason: dogwoodfleet.ReasonKey},
+		{name: "service of another customer", method: "GET", target: "/services/secret/x", wantStatus: 401, wantReason: dogwoodfleet.ReasonKey},
 		{name: "no such service", method: "GET", target: "/services/none/x", wantStatus: 400, wantReason: dogwoodfleet.ReasonBadRequest},
-		{name: "pool as plain", method: "GET", target: "/services/pool/x", wantStatus: 400, wantReason: dogwoodfleet.ReasonBadRequest},
-		{name: "long key", method: "POST", target: "/services/desk/holds", header: []string{"Idempotency-Key", strings.Repeat("k", maxKeyLength+1)}, wantStatus: 400, wantReason: dogwoodfleet.ReasonBadRequest},
+		{name: "engine pool as plain service", method: "GET", target: "/services/pool/x", wantStatus: 400, wantReason: dogwoodfleet.ReasonBadRequest},
+		{name: "long idempotency key", method: "POST", target: "/services/desk/holds", header: []string{"Idempotency-Key", strings.Repeat("k", maxKeyLength+1)}, wantStatus: 400, wantReason: dogwoodfleet.ReasonBadRequest},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -126,16 +126,16 @@
 				t.Errorf("got %d %+v, want %d %s, not run", recorder.Code, problem, test.wantStatus, test.wantReason)
 			}
 			if got, want := problem.RequestID, dogwoodfleet.RequestID("request-1"); got != want || recorder.Header().Get(HeaderRequestID) != string(want) {
-				t.Errorf("got the request id %q, want %q", got, want)
+				t.Errorf("got request ID %q, want %q", got, want)
 			}
 			if fake.call != nil {
-				t.Errorf("got it dispatched: %+v", fake.call)
+				t.Errorf("got a dispatched call, want none: %+v", fake.call)
 			}
 		})
 	}
 }
 
-func TestPlainCallIsPassedOn(t *testing.T) {
+func TestPlainCallIsForwarded(t *testing.T) {
 	fake := &fakeDispatcher{answer: &dogwooddispatch.WholeAnswer{
 		Status: http.StatusCreated, Header: http.Header{"X-Answer": {"1"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}}, Body: []byte("held"), Stored: true,
 	}}
@@ -151,7 +151,7 @@
 		}
 	}
 	if got, want := call.Request.Deadline.Sub(call.Request.Arrived), 10*time.Second; got != want {
-		t.Errorf("got the deadline in %v, want the cap of %v", got, want)
+		t.Errorf("got a deadline after %v, want the cap of %v", got, want)
 	}
 	if recorder.Code != http.StatusCreated || recorder.Body.String() != "held" || recorder.Header().Get("X-Answer") != "1" ||
 		recorder.Header().Get("X-Hop") != "" || recorder.Header().Get(HeaderStored) != "true" {
@@ -184,9 +184,9 @@
 	}
 }
 
-// A draft's engine dies after the first words. The page must show an error and not take
-// half a draft for a whole one: the stream ends in an error event, without [DONE].
-func TestBrokenStreamEndsInAProblem(t *testing.T) {
+// An engine dies after the first events of a stream. The stream must end with an error event
+// and without [DONE], so that the caller does not take the partial answer for a complete one.
+func TestBrokenStreamEndsWithErrorEvent(t *testing.T) {
 	fake := &fakeDispatcher{events: []string{`{"n":1}`}, err: &dogwooddispatch.Failure{Reason: dogwoodfleet.ReasonEndpointDied, Run: dogwoodfleet.WasRun}}
 	recorder := send(newTestEdge(fake), "POST", "/v1/chat/completions", `{"model":"model","stream":true}`)
 	want := "data: {\"n\":1}\n\nevent: error\ndata: {"
@@ -212,7 +212,7 @@
 		dogwoodfleet.ReasonRunning, dogwoodfleet.ReasonOutcome,
 	}
 	for _, reason := range reasons {
-		if _, ok := kinds[reason]; !ok {
+		if _, ok := problemKinds[reason]; !ok {
 			t.Errorf("%s has no status", reason)
 		}
 	}
--- a/core/edge/dogwoodcaller/entry.go
+++ b/core/edge/dogwoodcaller/entry.go
@@ -5,16 +5,16 @@
 	"net/http"
 )
 
-// entry tells the caller which addresses to use.
-func (edge *Edge) entry(exchange *exchange) error {
+// serveEntry returns the addresses that the caller should use.
+func (edge *Edge) serveEntry(exchange *exchange) error {
 	encoded, err := json.Marshal(edge.options.Entries.Entry(exchange.customer.Name))
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	exchange.status = http.StatusOK
-	exchange.boundWrite()
+	exchange.setWriteDeadline()
 	exchange.writer.Header().Set("Content-Type", "application/json")
 	exchange.writer.Header().Set("Cache-Control", "no-store")
-	_, _ = exchange.writer.Write(append(encoded, '\n')) // the caller may have left
+	_, _ = exchange.writer.Write(append(encoded, '\n')) // the caller may have disconnected
 	return nil
 }
--- a/core/edge/dogwoodcaller/exchange.go
+++ b/core/edge/dogwoodcaller/exchange.go
@@ -13,43 +13,44 @@
 	"dogwoodmux.example/core/duty/dogwooddispatch"
 )
 
-// requests counts outcomes under "Requests": Answered, and each reason of a failure.
-var requests = expvar.NewMap("Requests")
+// requestCounters counts answered requests and, by reason, failed ones.
+var requestCounters = expvar.NewMap("Requests")
 
-// exchange is one request and its answer.
+// exchange holds the state of one request and its answer.
 type exchange struct {
 	id       dogwoodfleet.RequestID
-	begun    time.Time
+	arrived  time.Time
 	text     *dogwoodsettings.Text
 	customer *dogwoodsettings.Customer
 	service  dogwoodfleet.Service
-	// call is what was dispatched; nil for a request that was refused before.
+	// call is the dispatched call; nil if the request was rejected before its dispatch.
 	call       *dogwooddispatch.Call
 	firstToken time.Duration
-	// bodyRead is true once the request's body has come whole.
-	bodyRead bool
-	status   int
-	writer   http.ResponseWriter
-	request  *http.Request
-	control  *http.ResponseController
+	// bodyRead reports whether the request's body was read to its end.
+	bodyRead   bool
+	status     int
+	writer     http.ResponseWriter
+	request    *http.Request
+	controller *http.ResponseController
 }
 
-// handler serves an exchange. It has written the answer if it returns nil; an error is
-// written as a problem.
+// handler serves an exchange. It writes the answer and returns nil, or returns an error,
+// which handle writes as a problem.
 type handler func(exchange *exchange) error
 
-// handle gives a request its id, finds its customer and writes and logs its outcome.
+// handle returns an http.Handler that assigns the request an ID, authenticates its customer,
+// calls serve, writes an error as a problem and records and logs the outcome.
 func (edge *Edge) handle(serve handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		exchange := &exchange{
-			id:      edge.options.Dispatcher.NewID(),
-			begun:   time.Now(),
-			text:    edge.options.Text(),
-			writer:  writer,
-			request: request,
-			control: http.NewResponseController(writer),
+			id:         edge.options.Dispatcher.NewID(),
+			arrived:    time.Now(),
+			text:       edge.options.Text(),
+			writer:     writer,
+			request:    request,
+			controller: http.NewResponseController(writer),
 		}
-		exchange.boundRead()
+		exchange.setReadDeadline()
 		writer.Header().Set(HeaderRequestID, string(exchange.id))
 		err := edge.authenticate(exchange)
 		if err == nil {
@@ -57,10 +58,10 @@
 		}
 		failure := asFailure(err)
 		if failure != nil {
-			exchange.refuse(failure)
+			exchange.writeFailure(failure)
 		}
-		edge.record(exchange, failure)
-		edge.log(exchange, failure)
+		edge.recordOutcome(exchange, failure)
+		edge.logOutcome(exchange, failure)
 	})
 }
 
@@ -84,23 +85,23 @@
 	return &dogwooddispatch.Failure{Reason: dogwoodfleet.ReasonInternal, Run: dogwoodfleet.RunUnknown, Detail: err.Error()}
 }
 
-// refuse writes a failure as the answer, unless one has begun.
-func (exchange *exchange) refuse(failure *dogwooddispatch.Failure) {
+// writeFailure writes a failure as the answer, unless an answer has already begun.
+func (exchange *exchange) writeFailure(failure *dogwooddispatch.Failure) {
 	if exchange.status != 0 {
 		return
 	}
 	problem := exchange.problem(failure)
 	exchange.status = problem.Status
 	if !exchange.bodyRead && exchange.request.ContentLength != 0 {
-		// Else net/http reads the rest of the body before it sends the refusal.
+		// Without this header, net/http reads the rest of the body before it sends the answer.
 		exchange.writer.Header().Set("Connection", "close")
 	}
-	exchange.boundWrite()
+	exchange.setWriteDeadline()
 	dogwoodproblem.Write(exchange.writer, problem, nil)
 }
 
 func (exchange *exchange) problem(failure *dogwooddispatch.Failure) dogwoodproblem.Problem {
-	kind := kindOf(failure.Reason)
+	kind := problemKindOf(failure.Reason)
 	problem := dogwoodproblem.New(kind.status, kind.name, failure.Detail)
 	problem.NotRun = dogwoodproblem.NotRunOf(failure.Run)
 	problem.Reason = failure.Reason
@@ -109,14 +110,14 @@
 	return problem
 }
 
-// boundWrite gives the next write its time. A reader that takes nothing would otherwise
-// hold the request, its slot and its memory until the deadline.
-func (exchange *exchange) boundWrite() {
-	_ = exchange.control.SetWriteDeadline(time.Now().Add(writeTime)) // not every test's writer has one
+// setWriteDeadline bounds the next write to writeTimeout. Without it, a caller that reads
+// nothing would hold the request, its slot and its memory until the request's deadline.
+func (exchange *exchange) setWriteDeadline() {
+	_ = exchange.controller.SetWriteDeadline(time.Now().Add(writeTimeout)) // unsupported by the writers of some tests
 }
 
-// record counts how a dispatched request ended.
-func (edge *Edge) record(exchange *exchange, failure *dogwooddispatch.Failure) {
+// recordOutcome counts the outcome of a dispatched request.
+func (edge *Edge) recordOutcome(exchange *exchange, failure *dogwooddispatch.Failure) {
 	call := exchange.call
 	if call == nil || edge.options.Record == nil {
 		return
@@ -138,7 +139,7 @@
 	edge.options.Record(outcome)
 }
 
-func (edge *Edge) log(exchange *exchange, failure *dogwooddispatch.Failure) {
+func (edge *Edge) logOutcome(exchange *exchange, failure *dogwooddispatch.Failure) {
 	customer := dogwoodfleet.Customer("")
 	if exchange.customer != nil {
 		customer = exchange.customer.Name
@@ -146,13 +147,13 @@
 	fields := []any{
 		"request", exchange.id, "method", exchange.request.Method, "path", exchange.request.URL.Path,
 		"customer", customer, "service", exchange.service, "status", exchange.status,
-		"took", time.Since(exchange.begun).Round(time.Millisecond),
+		"took", time.Since(exchange.arrived).Round(time.Millisecond),
 	}
 	if failure == nil {
-		requests.Add("Answered", 1)
+		requestCounters.Add("Answered", 1)
 		edge.options.Logger.Info("answered", fields...)
 		return
 	}
-	requests.Add(string(failure.Reason), 1)
+	requestCounters.Add(string(failure.Reason), 1)
 	edge.options.Logger.Info("not answered", append(fields, "reason", failure.Reason, "run", failure.Run, "detail", failure.Detail)...)
 }
--- a/core/edge/dogwoodcaller/kind.go
+++ b/core/edge/dogwoodcaller/kind.go
@@ -6,18 +6,18 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// statusCallerLeft is logged for a caller that left; no one reads it. The number is the
-// one that other servers log.
-const statusCallerLeft = 499
+// statusClientClosedRequest is logged for a caller that disconnected before its answer. No
+// caller receives it; nginx logs the same number.
+const statusClientClosedRequest = 499
 
-// kind is how a reason shows in HTTP.
-type kind struct {
+// problemKind is the HTTP status and the problem name that represent a reason.
+type problemKind struct {
 	status int
 	name   string
 }
 
-// kinds is the one table from reasons to statuses.
-var kinds = map[dogwoodfleet.Reason]kind{
+// problemKinds maps every reason to its status and problem name.
+var problemKinds = map[dogwoodfleet.Reason]problemKind{
 	dogwoodfleet.ReasonBadRequest:    {status: http.StatusBadRequest, name: "bad-request"},
 	dogwoodfleet.ReasonKey:           {status: http.StatusUnauthorized, name: "unauthorized"},
 	dogwoodfleet.ReasonKeyMissing:    {status: http.StatusBadRequest, name: "key-missing"},
@@ -35,13 +35,13 @@
 	dogwoodfleet.ReasonShutdown:      {status: http.StatusServiceUnavailable, name: "shutdown"},
 	dogwoodfleet.ReasonEndpointDied:  {status: http.StatusBadGateway, name: "endpoint-died"},
 	dogwoodfleet.ReasonEndpointError: {status: http.StatusBadGateway, name: "endpoint-error"},
-	dogwoodfleet.ReasonCancelled:     {status: statusCallerLeft, name: "cancelled"},
+	dogwoodfleet.ReasonCancelled:     {status: statusClientClosedRequest, name: "cancelled"},
 	dogwoodfleet.ReasonInternal:      {status: http.StatusInternalServerError, name: "internal"},
 }
 
-func kindOf(reason dogwoodfleet.Reason) kind {
-	if found, ok := kinds[reason]; ok {
-		return found
+func problemKindOf(reason dogwoodfleet.Reason) problemKind {
+	if kind, ok := problemKinds[reason]; ok {
+		return kind
 	}
-	return kinds[dogwoodfleet.ReasonInternal]
+	return problemKinds[dogwoodfleet.ReasonInternal]
 }
--- a/core/edge/dogwoodcaller/prompt.go
+++ b/core/edge/dogwoodcaller/prompt.go
@@ -11,13 +11,13 @@
 	"dogwoodmux.example/core/edge/dogwoodengine"
 )
 
-// prefixBlocks bounds the blocks of a prompt that routing looks at: 64 blocks of 1 KiB are
-// 16,000 tokens, longer than the instructions and examples that prompts share.
-const prefixBlocks = 64
+// maxPrefixBlocks bounds the blocks of a prompt that routing considers: 64 blocks of 1 KiB
+// are 16,000 tokens, more than the instructions and examples that prompts have in common.
+const maxPrefixBlocks = 64
 
-// prompt runs a model request, streamed or whole.
-func (edge *Edge) prompt(exchange *exchange) error {
-	body, err := exchange.body(maxPromptBytes)
+// servePrompt dispatches a model request and answers with a stream or one JSON object.
+func (edge *Edge) servePrompt(exchange *exchange) error {
+	body, err := exchange.readBody(maxPromptBytes)
 	if err != nil {
 		return err
 	}
@@ -25,14 +25,14 @@
 	if err != nil {
 		return badRequest(err.Error())
 	}
-	service, err := exchange.pool(prompt.Model)
+	service, err := exchange.enginePool(prompt.Model)
 	if err != nil {
 		return err
 	}
-	if failure := tooLong(service, prompt); failure != nil {
+	if failure := checkPromptLength(service, prompt); failure != nil {
 		return failure
 	}
-	call, err := edge.call(exchange, service, body)
+	call, err := edge.newCall(exchange, service, body)
 	if err != nil {
 		return err
 	}
@@ -40,46 +40,46 @@
 	call.Request.Model = prompt.Model
 	call.Request.PromptTokens = prompt.Tokens()
 	call.Request.MaxTokens = prompt.MaxTokens
-	call.Request.Repeatable = true // a model's answer changes nothing but the text it returns
+	call.Request.Repeatable = true // a model request has no side effects
 	call.Request.Digest = digest(call.Request.Customer, []byte(call.Target), body)
-	call.Request.Blocks = dogwoodprefix.Blocks(prompt.Text, prefixBlocks)
-	ctx, cancel := exchange.bounded(call.Request.Deadline)
+	call.Request.Blocks = dogwoodprefix.Blocks(prompt.Text, maxPrefixBlocks)
+	ctx, cancel := exchange.withDeadline(call.Request.Deadline)
 	defer cancel()
 	if prompt.Stream {
-		return edge.stream(ctx, exchange, call)
+		return edge.serveStream(ctx, exchange, call)
 	}
-	return edge.whole(ctx, exchange, call)
+	return edge.serveJSON(ctx, exchange, call)
 }
 
-// pool finds the engine pool that a prompt is for: the service that the caller names in a
-// header, else the first one that holds the model and that the customer may call.
-func (exchange *exchange) pool(model dogwoodfleet.Model) (*dogwoodsettings.Service, error) {
-	if named := exchange.request.Header.Get(HeaderService); named != "" {
-		service, err := exchange.allowed(dogwoodfleet.Service(named))
+// enginePool returns the engine pool for a prompt: the service that the caller names in a
+// header, else the first pool that has the model and that the customer may call.
+func (exchange *exchange) enginePool(model dogwoodfleet.Model) (*dogwoodsettings.Service, error) {
+	if name := exchange.request.Header.Get(HeaderService); name != "" {
+		service, err := exchange.allowedService(dogwoodfleet.Service(name))
 		if err == nil && service.Kind != dogwoodfleet.EnginePool {
-			return nil, badRequest(named + " is not an engine pool")
+			return nil, badRequest(name + " is not an engine pool")
 		}
 		return service, err
 	}
-	var refused error
+	var lastErr error
 	for i := range exchange.text.Services {
 		service := &exchange.text.Services[i]
-		if service.Kind != dogwoodfleet.EnginePool || modelOf(service, model) == nil {
+		if service.Kind != dogwoodfleet.EnginePool || findModel(service, model) == nil {
 			continue
 		}
-		found, err := exchange.allowed(service.Name)
+		allowed, err := exchange.allowedService(service.Name)
 		if err == nil {
-			return found, nil
+			return allowed, nil
 		}
-		refused = err
+		lastErr = err
 	}
-	if refused != nil {
-		return nil, refused
+	if lastErr != nil {
+		return nil, lastErr
 	}
 	return nil, badRequest("no service holds the model " + string(model))
 }
 
-func modelOf(service *dogwoodsettings.Service, name dogwoodfleet.Model) *dogwoodsettings.Model {
+func findModel(service *dogwoodsettings.Service, name dogwoodfleet.Model) *dogwoodsettings.Model {
 	for i := range service.Models {
 		if service.Models[i].Name == name {
 			return &service.Models[i]
@@ -88,15 +88,15 @@
 	return nil
 }
 
-func tooLong(service *dogwoodsettings.Service, prompt *dogwoodengine.Prompt) error {
-	model := modelOf(service, prompt.Model)
+func checkPromptLength(service *dogwoodsettings.Service, prompt *dogwoodengine.Prompt) error {
+	model := findModel(service, prompt.Model)
 	if model == nil || model.MaxPromptTokens == 0 || prompt.Tokens() <= model.MaxPromptTokens {
 		return nil
 	}
 	return &dogwooddispatch.Failure{Reason: dogwoodfleet.ReasonTooLarge, Run: dogwoodfleet.NotRun, Detail: "the prompt is longer than the model takes"}
 }
 
-// streamAnswer sends events to the caller as they come.
+// streamAnswer sends each event to the caller when it arrives.
 type streamAnswer struct {
 	exchange *exchange
 }
@@ -104,7 +104,7 @@
 // Event writes one server-sent event.
 func (answer *streamAnswer) Event(event dogwooddispatch.Event) error {
 	answer.begin()
-	return answer.write("data: ", event.Data)
+	return answer.writeEvent("data: ", event.Data)
 }
 
 // Begun reports whether the status has been sent.
@@ -112,7 +112,8 @@
 	return answer.exchange.status != 0
 }
 
-// Restart has nothing to drop: what was sent is not followed by another try.
+// Restart does nothing: streamAnswer keeps no events, and a stream that has begun is not
+// restarted.
 func (answer *streamAnswer) Restart() {}
 
 func (answer *streamAnswer) begin() {
@@ -123,13 +124,13 @@
 	header.Set("Content-Type", "text/event-stream")
 	header.Set("Cache-Control", "no-store")
 	answer.exchange.status = http.StatusOK
-	answer.exchange.firstToken = time.Since(answer.exchange.begun)
+	answer.exchange.firstToken = time.Since(answer.exchange.arrived)
 	answer.exchange.writer.WriteHeader(http.StatusOK)
 }
 
-func (answer *streamAnswer) write(prefix string, data []byte) error {
+func (answer *streamAnswer) writeEvent(prefix string, data []byte) error {
 	exchange := answer.exchange
-	exchange.boundWrite()
+	exchange.setWriteDeadline()
 	line := make([]byte, 0, len(prefix)+len(data)+2)
 	line = append(line, prefix...)
 	line = append(line, data...)
@@ -137,5 +138,5 @@
 	if _, err := exchange.writer.Write(line); err != nil {
 		return Error.Wrap(err)
 	}
-	return Error.Wrap(exchange.control.Flush())
+	return Error.Wrap(exchange.controller.Flush())
 }
--- a/core/edge/dogwoodcaller/read.go
+++ b/core/edge/dogwoodcaller/read.go
@@ -21,9 +21,10 @@
 	return &dogwooddispatch.Failure{Reason: dogwoodfleet.ReasonBadRequest, Run: dogwoodfleet.NotRun, Detail: detail}
 }
 
-// cleanPath is false for paths that two readers may understand differently: one rule for
-// what may be repeated must not be decided on another path than the endpoint sees.
-func cleanPath(address *url.URL) bool {
+// isCleanPath reports whether the path has no empty, dotted or encoded segments. An endpoint
+// may interpret such a path differently, so that the rule for repeatable calls could be
+// chosen for a path other than the one that the endpoint serves.
+func isCleanPath(address *url.URL) bool {
 	cleaned := path.Clean("/" + address.Path)
 	if strings.HasSuffix(address.Path, "/") && cleaned != "/" {
 		cleaned += "/"
@@ -32,16 +33,16 @@
 	return cleaned == address.Path && !strings.Contains(encoded, "%2f") && !strings.Contains(encoded, "%2e")
 }
 
-func uncleanPath(*exchange) error {
+func rejectUncleanPath(*exchange) error {
 	return badRequest("the path has empty, dotted or encoded segments")
 }
 
-func unknownPath(exchange *exchange) error {
+func rejectUnknownPath(exchange *exchange) error {
 	return badRequest("no such path or method: " + exchange.request.Method + " " + exchange.request.URL.Path)
 }
 
-// body reads the request's body within its limits of size and time.
-func (exchange *exchange) body(limit int64) ([]byte, error) {
+// readBody reads the request's body within its limits of size and time.
+func (exchange *exchange) readBody(limit int64) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(exchange.writer, exchange.request.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -51,50 +52,53 @@
 		return nil, badRequest("the body could not be read in time: " + err.Error())
 	}
 	exchange.bodyRead = true
-	// From here on a read only watches whether the caller is still there.
-	_ = exchange.control.SetReadDeadline(time.Time{}) // not every test's writer has one
+	// From here on, reads only detect whether the caller disconnects.
+	_ = exchange.controller.SetReadDeadline(time.Time{}) // unsupported by the writers of some tests
 	return body, nil
 }
 
-// boundRead gives the body its time. It stays in force if the body is not read to its
-// end: net/http reads the rest before it sends a refusal, and without a limit a caller
-// that sends a byte a second would keep the request, and its own answer, for good.
-func (exchange *exchange) boundRead() {
-	_ = exchange.control.SetReadDeadline(time.Now().Add(bodyTime)) // not every test's writer has one
+// setReadDeadline bounds the time for reading the body to bodyTimeout. The deadline stays in
+// force if the body is not read to its end: net/http reads the rest before it sends the
+// answer, and without a limit a caller that sends one byte per second would hold the request
+// and delay its answer indefinitely.
+func (exchange *exchange) setReadDeadline() {
+	_ = exchange.controller.SetReadDeadline(time.Now().Add(bodyTimeout)) // unsupported by the writers of some tests
 }
 
-// deadline returns when the request must have ended: as stated, at most the service's
-// cap, or the service's default.
+// deadline returns the time by which the request must end. The duration is the one in the
+// Dogwood-Deadline header, capped by the service's MaxDeadline, or the service's default.
 func (exchange *exchange) deadline(service *dogwoodsettings.Service) (time.Time, error) {
-	allowed := time.Duration(service.Deadline)
-	if stated := exchange.request.Header.Get(HeaderDeadline); stated != "" {
-		parsed, err := time.ParseDuration(stated)
+	timeout := time.Duration(service.Deadline)
+	if value := exchange.request.Header.Get(HeaderDeadline); value != "" {
+		parsed, err := time.ParseDuration(value)
 		if err != nil || parsed <= 0 {
 			return time.Time{}, badRequest(HeaderDeadline + " must be a duration such as 30s")
 		}
-		allowed = parsed
+		timeout = parsed
 		if limit := time.Duration(service.MaxDeadline); limit > 0 {
-			allowed = min(allowed, limit)
+			timeout = min(timeout, limit)
 		}
 	}
-	return exchange.begun.Add(allowed), nil
+	return exchange.arrived.Add(timeout), nil
 }
 
-// allowed checks that the customer may call the service.
-func (exchange *exchange) allowed(name dogwoodfleet.Service) (*dogwoodsettings.Service, error) {
+// allowedService returns the named service, or an error if it does not exist or the customer
+// may not call it. A customer without a list of services may call all.
+func (exchange *exchange) allowedService(name dogwoodfleet.Service) (*dogwoodsettings.Service, error) {
 	service, ok := exchange.text.Service(name)
 	if !ok {
 		return nil, badRequest("no such service: " + string(name))
 	}
-	if may := exchange.customer.Services; len(may) > 0 && !slices.Contains(may, name) {
+	if allowed := exchange.customer.Services; len(allowed) > 0 && !slices.Contains(allowed, name) {
 		return nil, &dogwooddispatch.Failure{Reason: dogwoodfleet.ReasonKey, Run: dogwoodfleet.NotRun, Detail: "this API key may not call " + string(name)}
 	}
 	exchange.service = name
 	return service, nil
 }
 
-// call fills in what prompts and plain calls have in common.
-func (edge *Edge) call(exchange *exchange, service *dogwoodsettings.Service, body []byte) (*dogwooddispatch.Call, error) {
+// newCall sets the exchange's call and fills in the fields that prompts and calls to plain
+// services have in common.
+func (edge *Edge) newCall(exchange *exchange, service *dogwoodsettings.Service, body []byte) (*dogwooddispatch.Call, error) {
 	deadline, err := exchange.deadline(service)
 	if err != nil {
 		return nil, err
@@ -108,7 +112,7 @@
 			ID:       exchange.id,
 			Customer: exchange.customer.Name,
 			Service:  service.Name,
-			Arrived:  exchange.begun,
+			Arrived:  exchange.arrived,
 			Deadline: deadline,
 			Origin:   edge.options.Place,
 		},
@@ -121,7 +125,7 @@
 	return exchange.call, nil
 }
 
-// digest identifies a customer's call by its content.
+// digest returns a hash that identifies a customer's call by its content.
 func digest(customer dogwoodfleet.Customer, parts ...[]byte) dogwoodfleet.Digest {
 	hash := sha256.New()
 	hash.Write([]byte(customer))
@@ -132,7 +136,8 @@
 	return dogwoodfleet.Digest(hash.Sum(nil))
 }
 
-// bounded gives a request its deadline. It also ends when the caller's connection does.
-func (exchange *exchange) bounded(deadline time.Time) (context.Context, context.CancelFunc) {
+// withDeadline returns a context that ends at the deadline or when the caller's connection
+// closes.
+func (exchange *exchange) withDeadline(deadline time.Time) (context.Context, context.CancelFunc) {
 	return context.WithDeadline(exchange.request.Context(), deadline)
 }
--- a/core/edge/dogwoodcaller/service.go
+++ b/core/edge/dogwoodcaller/service.go
@@ -12,63 +12,63 @@
 	"dogwoodmux.example/core/edge/dogwoodservice"
 )
 
-// service passes a call to a plain service with its method, path, headers and body.
-func (edge *Edge) service(exchange *exchange) error {
+// serveService forwards a call to a plain service with its method, path, headers and body.
+func (edge *Edge) serveService(exchange *exchange) error {
 	name := dogwoodfleet.Service(exchange.request.PathValue("service"))
-	service, err := exchange.allowed(name)
+	service, err := exchange.allowedService(name)
 	if err != nil {
 		return err
 	}
 	if service.Kind != dogwoodfleet.PlainService {
 		return badRequest(string(name) + " is not a plain service")
 	}
-	body, err := exchange.body(maxCallBytes)
+	body, err := exchange.readBody(maxCallBytes)
 	if err != nil {
 		return err
 	}
-	call, err := edge.call(exchange, service, body)
+	call, err := edge.newCall(exchange, service, body)
 	if err != nil {
 		return err
 	}
 	path := strings.TrimPrefix(exchange.request.URL.Path, PathServices+string(name))
-	call.Target = target(exchange.request.URL, path)
-	call.Header = forwarded(exchange.request.Header)
+	call.Target = endpointTarget(exchange.request.URL, path)
+	call.Header = forwardedHeader(exchange.request.Header)
 	call.Request.Repeatable = repeatable(service, call.Method, path)
 	call.Request.Digest = digest(call.Request.Customer, []byte(name), []byte(call.Method), []byte(call.Target), body)
-	ctx, cancel := exchange.bounded(call.Request.Deadline)
+	ctx, cancel := exchange.withDeadline(call.Request.Deadline)
 	defer cancel()
 	answer, err := edge.options.Dispatcher.Service(ctx, call)
 	if err != nil {
 		return err
 	}
-	exchange.answer(answer)
+	exchange.writeAnswer(answer)
 	return nil
 }
 
-// target is the path and query at the endpoint.
-func target(address *url.URL, path string) string {
-	written := (&url.URL{Path: path}).EscapedPath()
+// endpointTarget returns the path and query of the request to the endpoint.
+func endpointTarget(address *url.URL, path string) string {
+	target := (&url.URL{Path: path}).EscapedPath()
 	if address.RawQuery != "" {
-		written += "?" + address.RawQuery
+		target += "?" + address.RawQuery
 	}
-	return written
+	return target
 }
 
-// forwarded keeps the headers that are for the endpoint: not those of this connection,
-// nor the API key, which is for this system alone.
-func forwarded(header http.Header) http.Header {
-	kept := dogwoodservice.EndToEnd(header)
-	kept.Del("Authorization")
-	kept.Del(HeaderDeadline)
-	kept.Del("Content-Length") // net/http writes it for the body it sends
-	return kept
+// forwardedHeader returns the headers that the endpoint receives: without those of this
+// connection, the deadline and the API key, which must not leave this system.
+func forwardedHeader(header http.Header) http.Header {
+	forwarded := dogwoodservice.EndToEnd(header)
+	forwarded.Del("Authorization")
+	forwarded.Del(HeaderDeadline)
+	forwarded.Del("Content-Length") // net/http sets it for the body that it sends
+	return forwarded
 }
 
-// repeatable says whether a call may run twice: as the first matching call of the text
-// states, else only if HTTP calls its method safe.
+// repeatable reports whether a call may run more than once. The first matching call in the
+// service's settings decides; without one, only the safe methods of HTTP are repeatable.
 func repeatable(service *dogwoodsettings.Service, method, path string) bool {
 	for _, call := range service.Calls {
-		if matches(call, method, path) {
+		if matchesCall(call, method, path) {
 			return call.Repeatable
 		}
 	}
@@ -80,15 +80,15 @@
 	}
 }
 
-func matches(call dogwoodsettings.Call, method, path string) bool {
+func matchesCall(call dogwoodsettings.Call, method, path string) bool {
 	mux := http.NewServeMux()
 	mux.Handle(strings.TrimSpace(call.Method+" "+call.Path), http.NotFoundHandler())
 	_, pattern := mux.Handler(&http.Request{Method: method, URL: &url.URL{Path: path}})
 	return pattern != ""
 }
 
-// answer writes an endpoint's answer.
-func (exchange *exchange) answer(answer *dogwooddispatch.WholeAnswer) {
+// writeAnswer writes an endpoint's answer.
+func (exchange *exchange) writeAnswer(answer *dogwooddispatch.WholeAnswer) {
 	header := exchange.writer.Header()
 	for name, values := range dogwoodservice.EndToEnd(answer.Header) {
 		header[name] = values
@@ -102,7 +102,7 @@
 		header.Set(HeaderStored, "true")
 	}
 	exchange.status = answer.Status
-	exchange.boundWrite()
+	exchange.setWriteDeadline()
 	exchange.writer.WriteHeader(answer.Status)
-	_, _ = exchange.writer.Write(answer.Body) // the caller may have left
+	_, _ = exchange.writer.Write(answer.Body) // the caller may have disconnected
 }
