--- a/core/state/dogwoodcopy/copy.go
+++ b/core/state/dogwoodcopy/copy.go
@@ -1,9 +1,10 @@
-// Package dogwoodcopy is a daemon's copy of one table of a store, with as much history as
-// it takes to tell others what has changed since they were told last.
+// Package dogwoodcopy holds a daemon's copy of one table of a store, with enough history to
+// send other daemons only what has changed since their last query.
 //
-// Load pattern: a few rows change at a time, and every daemon must know of each within
-// moments. If each daemon asks the store for each change, the store is asked as often as
-// there are daemons times changes; with a copy a few daemons ask, and tell the others.
+// Load pattern: a few rows change at a time, and every daemon must learn of each change
+// within moments. If every daemon queried the store for each change, the number of queries
+// would be the number of daemons times the number of changes. With a copy, a few daemons
+// query the store and send the changes to the others.
 package dogwoodcopy
 
 import (
@@ -13,11 +14,11 @@
 	"time"
 )
 
-// mostDeleted is how many deleted rows are remembered: more than a fleet of endpoints
-// replaces in the minutes for which a daemon that asks may have been away.
-const mostDeleted = 1000
+// maxDeletedRows bounds the deleted rows that a copy holds. It is more than the number of
+// endpoints that a fleet replaces in the minutes for which a querying daemon may be away.
+const maxDeletedRows = 1000
 
-// Row is one row at its last change.
+// Row is a row as of its last change.
 type Row struct {
 	Key     string
 	Value   []byte
@@ -25,65 +26,68 @@
 	Deleted bool
 }
 
-// Answer is what was told of a table.
+// Answer is the answer to a query for a table or its changes.
 type Answer struct {
-	// Whole means that Rows are all rows; else they are those that changed.
+	// Whole is true if Rows are all rows of the table; otherwise they are the changed ones.
 	Whole bool
 	Rows  []Row
-	// Version is that of the table as it was told; ask for changes after it.
+	// Version is the version of the table in this answer; the next query asks for changes
+	// after it.
 	Version int64
-	// Proven is the moment as of which the answer holds, on a clock that goes on while the
-	// machine is suspended.
+	// Proven is the time as of which the answer is confirmed to be current, on a clock that
+	// also advances while the machine is suspended.
 	Proven time.Duration
 }
 
 // Copy is a copy of a table. It is safe for concurrent use.
 type Copy struct {
 	mutex   sync.Mutex
-	rows    map[string]Row // deleted ones too
+	rows    map[string]Row // includes deleted rows
 	deleted int
-	// since is the version from which on the changes are complete; -1 before the first answer.
-	since   int64
-	version int64
-	// proven is when the store itself last proved the copy, heard when anyone did.
-	proven, heard time.Duration
-	direct        bool
-	// took is closed at the next answer.
-	took chan struct{}
+	// historyStart is the version after which all changes are known; -1 before the first answer.
+	historyStart int64
+	version      int64
+	// storeConfirmed is the time as of which the store itself last confirmed the copy,
+	// lastConfirmed the latest time as of which the store or a peer did.
+	storeConfirmed, lastConfirmed time.Duration
+	hasStoreAnswer                bool
+	// updated is closed at the next answer.
+	updated chan struct{}
 }
 
-// New returns a copy of which nothing is known.
+// New returns an empty copy of a table whose rows are not known yet.
 func New() *Copy {
-	return &Copy{rows: map[string]Row{}, since: -1, version: -1, took: make(chan struct{})}
+	return &Copy{rows: map[string]Row{}, historyStart: -1, version: -1, updated: make(chan struct{})}
 }
 
-// Take takes in an answer. Direct means that it came from the store itself: only such an
-// answer is a proof that may be passed on, or two daemons could prove to each other what
-// neither knows.
-func (table *Copy) Take(answer Answer, direct bool) {
+// Take applies an answer. If fromStore is true, it came from the store itself. Only such an
+// answer is a confirmation that may be forwarded; otherwise two daemons could confirm to each
+// other what neither has learned from the store.
+func (table *Copy) Take(answer Answer, fromStore bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	if answer.Whole {
 		clear(table.rows)
-		table.deleted, table.since = 0, answer.Version
+		table.deleted, table.historyStart = 0, answer.Version
 	}
 	for _, row := range answer.Rows {
 		table.put(row)
 	}
-	if direct {
-		table.proven, table.direct = answer.Proven, true
+	if fromStore {
+		table.storeConfirmed, table.hasStoreAnswer = answer.Proven, true
 	}
-	table.heard = max(table.heard, answer.Proven)
+	table.lastConfirmed = max(table.lastConfirmed, answer.Proven)
 	if answer.Version > table.version || answer.Whole {
 		table.version = answer.Version
 	}
-	if table.deleted > mostDeleted {
-		table.forget()
+	if table.deleted > maxDeletedRows {
+		table.dropDeleted()
 	}
-	close(table.took)
-	table.took = make(chan struct{})
+	close(table.updated)
+	table.updated = make(chan struct{})
 }
 
+// put stores a row unless a later version of it is known. The caller holds the mutex.
 func (table *Copy) put(row Row) {
 	before, known := table.rows[row.Key]
 	if known && before.Version > row.Version {
@@ -98,54 +102,57 @@
 	table.rows[row.Key] = row
 }
 
-// forget drops all deleted rows: who asks for changes from before is told the whole table.
-func (table *Copy) forget() {
+// dropDeleted drops all deleted rows. Queries for changes after an older version then get the
+// whole table. The caller holds the mutex.
+func (table *Copy) dropDeleted() {
 	for key, row := range table.rows {
 		if row.Deleted {
 			delete(table.rows, key)
 		}
 	}
-	table.deleted, table.since = 0, table.version
+	table.deleted, table.historyStart = 0, table.version
 }
 
-// Since returns what changed after a version, or the whole table where that is not known
-// any more, and a channel that is closed at the next answer. It is proven as of the store's
-// own last word. It returns false if the store has never proved the copy itself.
+// Since returns the changes after a version, or the whole table if these are no longer known,
+// and a channel that is closed at the next answer. It is confirmed as of the last answer from
+// the store itself. It returns false if the store itself has never confirmed the copy.
 func (table *Copy) Since(version int64) (Answer, <-chan struct{}, bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	answer := table.after(version)
-	answer.Proven = table.proven
-	return answer, table.took, table.direct && table.since >= 0
+	answer := table.changesAfter(version)
+	answer.Proven = table.storeConfirmed
+	return answer, table.updated, table.hasStoreAnswer && table.historyStart >= 0
 }
 
-// Latest is Since as of the last proof from anyone. It must be told only to daemons that tell
-// nobody else, or two could prove to each other what neither knows. It returns false before
-// the first answer.
+// Latest is like Since, but confirmed as of the last answer from the store or a peer. Its
+// answer must be sent only to daemons that don't forward it; otherwise two daemons could
+// confirm to each other what neither has learned from the store. It returns false before the
+// first answer.
 func (table *Copy) Latest(version int64) (Answer, <-chan struct{}, bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	answer := table.after(version)
-	answer.Proven = table.heard
-	return answer, table.took, table.since >= 0
+	answer := table.changesAfter(version)
+	answer.Proven = table.lastConfirmed
+	return answer, table.updated, table.historyStart >= 0
 }
 
-// Known returns the version of the copy, -1 before the first answer, and when anyone last
-// proved it.
+// Known returns the version of the copy, -1 before the first answer, and the time as of which
+// the store or a peer last confirmed it.
 func (table *Copy) Known() (version int64, proven time.Duration) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	return table.version, table.heard
+	return table.version, table.lastConfirmed
 }
 
-// after lists what changed after a version. The caller holds the mutex.
-func (table *Copy) after(version int64) Answer {
-	answer := Answer{Whole: version < table.since, Version: table.version}
+// changesAfter returns the changes after a version, or the whole table if these are no longer
+// known. The caller holds the mutex.
+func (table *Copy) changesAfter(version int64) Answer {
+	answer := Answer{Whole: version < table.historyStart, Version: table.version}
 	for _, row := range table.rows {
 		if answer.Whole && !row.Deleted || !answer.Whole && row.Version > version {
 			answer.Rows = append(answer.Rows, row)
 		}
 	}
-	slices.SortFunc(answer.Rows, func(one, other Row) int { return cmp.Compare(one.Version, other.Version) })
+	slices.SortFunc(answer.Rows, func(a, b Row) int { return cmp.Compare(a.Version, b.Version) })
 	return answer
 }
--- a/core/state/dogwoodcopy/copy_test.go
+++ b/core/state/dogwoodcopy/copy_test.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-func keysOf(answer Answer) map[string]string {
-	keys := map[string]string{}
+func valuesByKey(answer Answer) map[string]string {
+	values := map[string]string{}
 	for _, row := range answer.Rows {
 		if !row.Deleted {
-			keys[row.Key] = string(row.Value)
+			values[row.Key] = string(row.Value)
 		}
 	}
-	return keys
+	return values
 }
 
-// A daemon that was told the table at some version asks for changes. It must be told each
-// row that changed or went since then, and the whole table if it was told before the copy
-// began, or it would send to endpoints that have left.
+// A daemon that knows the table at some version queries its changes. It must get each row that
+// was changed or deleted since then, and the whole table if its version is from before the
+// start of the copy's history. Otherwise it would send requests to endpoints that have left.
 func TestChangesSinceAVersion(t *testing.T) {
 	table := New()
 	if _, _, ok := table.Since(-1); ok {
@@ -36,7 +36,7 @@
 		{name: "nothing new", version: 12},
 		{name: "the last change", version: 11, want: []Row{{Key: "a", Deleted: true}}},
 		{name: "all changes", version: 10, want: []Row{{Key: "c"}, {Key: "a", Deleted: true}}},
-		{name: "from before the copy", version: 9, whole: true, want: []Row{{Key: "b"}, {Key: "c"}}},
+		{name: "before the start of the history", version: 9, whole: true, want: []Row{{Key: "b"}, {Key: "c"}}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -53,20 +53,20 @@
 	}
 }
 
-// Two daemons that are both cut off from the store ask each other. If what one was told by
-// the other counted as a proof, they would accept withdrawn keys for ever.
-func TestWhatAPeerToldIsNoProof(t *testing.T) {
+// Two daemons that have both lost the store query each other. If the answer of a peer counted as
+// a confirmation, they would accept withdrawn keys for ever.
+func TestPeerAnswerIsNoConfirmation(t *testing.T) {
 	table := New()
 	table.Take(Answer{Whole: true, Version: 5, Proven: time.Second}, true)
 	table.Take(Answer{Version: 5, Proven: time.Minute}, false)
 	if answer, _, _ := table.Since(5); answer.Proven != time.Second {
-		t.Errorf("got a proof as of %s, want as of the store's own answer, %s", answer.Proven, time.Second)
+		t.Errorf("got a confirmation as of %s, want as of the store's own answer, %s", answer.Proven, time.Second)
 	}
 }
 
-// Daemons follow a copy at random paces while endpoints come and go by the thousand, also
-// past what the copy remembers. Each must end with the same rows.
-func TestFollowersEndWithTheSameRows(t *testing.T) {
+// Daemons follow a copy at random paces while thousands of endpoints register and leave, which
+// also exceeds the history of the copy. All must end with the same rows.
+func TestFollowersEndWithSameRows(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		table, version := New(), int64(1)
@@ -91,31 +91,32 @@
 		for i, follower := range followers {
 			follow(follower)
 			got, _, _ := follower.Since(-1)
-			if fmt.Sprint(keysOf(got)) != fmt.Sprint(keysOf(want)) {
+			if fmt.Sprint(valuesByKey(got)) != fmt.Sprint(valuesByKey(want)) {
 				t.Errorf("seed %d: follower %d has %d rows, want the same %d", seed, i, len(got.Rows), len(want.Rows))
 			}
 		}
 	}
 }
 
-// So many rows went that a daemon forgets the deleted ones, the last of them told by the same
-// answer. Who was told just before it must still learn of that one, or it sends to an endpoint
-// that has left until the table is read whole.
-func TestTheRowThatMakesACopyForgetIsTold(t *testing.T) {
+// So many rows are deleted that the copy drops its deleted rows, and the last deletion comes in
+// the answer that causes this. A follower that queried just before must still learn of this
+// deletion; otherwise it sends requests to an endpoint that has left until it reads the whole
+// table.
+func TestDeletionThatExceedsHistoryReachesFollowers(t *testing.T) {
 	table := New()
 	table.Take(Answer{Whole: true, Rows: []Row{{Key: "last", Version: 1}}, Version: 1}, true)
-	for i := range int64(mostDeleted) {
+	for i := range int64(maxDeletedRows) {
 		table.Take(Answer{Rows: []Row{{Key: fmt.Sprint(i), Version: i + 2, Deleted: true}}, Version: i + 2}, true)
 	}
 	follower := New()
 	before, _, _ := table.Since(-1)
 	follower.Take(before, true)
-	version := int64(mostDeleted) + 2
+	version := int64(maxDeletedRows) + 2
 	table.Take(Answer{Rows: []Row{{Key: "last", Version: version, Deleted: true}}, Version: version}, true)
 	after, _, _ := table.Since(follower.version)
 	follower.Take(after, true)
 	got, _, _ := follower.Since(-1)
 	if len(got.Rows) != 0 {
-		t.Errorf("got rows %v at who was told before, want none", got.Rows)
+		t.Errorf("got rows %v at the follower, want none", got.Rows)
 	}
 }
--- a/core/state/dogwoodcopy/told_test.go
+++ b/core/state/dogwoodcopy/told_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// A key is withdrawn while an answer is on its way between two daemons whose clocks have nothing
-// in common. If the way made the proof look younger than it is, the key would be accepted for
-// longer than it may be.
-func TestAProofGrowsNoYoungerOnItsWay(t *testing.T) {
+// A key is withdrawn while an answer is in transit between two daemons whose clocks are unrelated.
+// If the network latency made the confirmation look younger than it is, the key would be accepted
+// for longer than allowed.
+func TestTransitMakesConfirmationNoYounger(t *testing.T) {
 	const (
-		asked   = time.Hour       // on the clock of the daemon that asks
-		arrived = 3 * time.Minute // on that of the daemon that tells
+		sent    = time.Hour       // on the clock of the querying daemon
+		arrived = 3 * time.Minute // on the clock of the answering daemon
 		age     = 700 * time.Millisecond
 	)
 	tests := []struct {
@@ -25,7 +25,7 @@
 	}{
 		{name: "news", answer: Answer{Rows: []Row{{Key: "a", Version: 9}}, Version: 9}, after: 7, wantVersion: 9, wantRows: 1},
 		{name: "nothing new", answer: Answer{Version: 9}, after: 9, wantVersion: 9},
-		{name: "who asks knows more", answer: Answer{Version: 9}, after: 12, wantVersion: 12},
+		{name: "newer version at the querying daemon", answer: Answer{Version: 9}, after: 12, wantVersion: 12},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -38,9 +38,9 @@
 			if err := gob.NewDecoder(&wire).Decode(&told); err != nil {
 				t.Fatal(err)
 			}
-			got := told.Heard(asked, test.after)
-			if got.Proven != asked-age {
-				t.Errorf("got a proof %s before the question, want %s", asked-got.Proven, age)
+			got := told.Heard(sent, test.after)
+			if got.Proven != sent-age {
+				t.Errorf("got a confirmation %s before the query, want %s", sent-got.Proven, age)
 			}
 			if got.Version != test.wantVersion || len(got.Rows) != test.wantRows || got.Whole {
 				t.Errorf("got %+v, want version %d and %d rows", got, test.wantVersion, test.wantRows)
--- a/core/state/dogwoodlease/lease.go
+++ b/core/state/dogwoodlease/lease.go
@@ -1,14 +1,15 @@
-// Package dogwoodlease decides which daemon may give orders (load a model, change a role)
+// Package dogwoodlease decides which daemon may issue orders (load a model, change a role)
 // to the endpoints of a shard, and with which fencing number.
 //
-// A daemon renews one session row; the rows of its shards are written only when they
-// change hands, so that writes grow with daemons and not with endpoints. The version of a
-// shard's row is its fencing number. A session is taken to have lapsed only by a
-// conditional write that ends it: the write fails if the session was renewed meanwhile,
-// however old the reads were that led to it.
+// Each daemon renews one session row. The row of a shard is written only when its holder
+// changes, so the number of writes grows with the number of daemons and not of endpoints.
+// The version of a shard's row is its fencing number. A session counts as expired only
+// after a conditional write has ended it. That write fails if the session was renewed in
+// the meantime, so stale reads can't end a live session.
 //
-// Without it, a holder that was paused past its lease wakes and undoes what its successor
-// ordered, or two daemons load two models onto one engine in turn.
+// Without leases, a holder that was paused past the end of its lease would resume and undo
+// the orders of its successor, or two daemons would alternately load different models onto
+// one engine.
 package dogwoodlease
 
 import (
@@ -31,67 +32,68 @@
 var Error = errs.Class("lease")
 
 const (
-	// SessionTable holds the daemons' sessions.
+	// SessionTable is the table of the daemons' sessions.
 	SessionTable = "sessions"
-	// ShardTable holds which session has a shard.
+	// ShardTable is the table that records which session holds each shard.
 	ShardTable = "shards"
-	// DefaultTerm is how long a session lasts after the sending of its renewal. Orders are
-	// not urgent; a dead holder's shards change hands within about two terms, and 500
-	// daemons write 50 rows a second.
+	// DefaultTerm is how long a session lasts after its renewal was sent. Orders are not
+	// urgent, so it is acceptable that the shards of a dead holder are taken over only
+	// after about two terms. With this term, 500 daemons write 50 rows a second.
 	DefaultTerm = 30 * time.Second
-	// renewShare of a term passes between renewals: two may fail before the third is late.
-	renewShare = 3
-	// marginShare of a term is kept back at its end, for the time between the check of a
-	// lease and the order's arrival, and for clocks that run at other rates.
-	marginShare = 10
-	// lookEvery is how often shards that are wanted and not held are looked at.
-	lookEvery = 2 * time.Second
-	// takeAtOnce bounds the shards tried in one look: when a data centre is lost, the reads
-	// that look for its shards come over half a minute and not at once.
-	takeAtOnce = 16
-	// keepSessions is how long rows of ended sessions stay, so that a late write of a
-	// session that is gone still meets its end.
-	keepSessions = 24 * time.Hour
-	callWithin   = 2 * time.Second
+	// renewalsPerTerm is the number of renewals in a term: two may fail before the third is late.
+	renewalsPerTerm = 3
+	// marginDivisor sets the safety margin at the end of a term, which is Term/marginDivisor.
+	// The margin covers the time between the check of a lease and the arrival of the order,
+	// and clocks that run at different rates.
+	marginDivisor = 10
+	// checkInterval is the time between checks for shards to take or release.
+	checkInterval = 2 * time.Second
+	// maxTakesPerCheck bounds the shards that one check tries to take. When a data centre is
+	// lost, it spreads the reads of its shards' rows over half a minute.
+	maxTakesPerCheck = 16
+	// sessionRowTTL is how long the store keeps a session's row after the last write, so that
+	// a late renewal of an ended session still conflicts with the write that ended it.
+	sessionRowTTL = 24 * time.Hour
+	callTimeout   = 2 * time.Second
 )
 
-// Store is what leases need of the table service.
+// Store is the part of the table service that leases use.
 type Store interface {
 	Read(ctx context.Context, table, key string) (dogwoodtable.Row, bool, error)
 	Commit(ctx context.Context, writes ...dogwoodtable.Write) ([]uint64, error)
 }
 
-// Options configure a holder.
+// Options configures a Holder.
 type Options struct {
 	Store Store
 	Self  dogwoodfleet.InstanceID
-	// Term is 0 for DefaultTerm. All daemons must have the same.
+	// Term defaults to DefaultTerm if 0. It must be the same on all daemons.
 	Term time.Duration
-	// LongestOrder is the longest time from the check of a lease until an order that was
-	// sent then has ended or was given up.
+	// LongestOrder is the longest time from the check of a lease until the order sent under
+	// it has ended or was abandoned.
 	LongestOrder time.Duration
-	// Logger is nil for none.
+	// Logger may be nil to disable logging.
 	Logger hclog.Logger
 }
 
-// Fence is the right to give orders to a shard's endpoints.
+// Fence is the right to issue orders to a shard's endpoints.
 type Fence struct {
-	// Number is higher than that of every holder before.
+	// Number is higher than the number of every previous holder.
 	Number uint64
-	// Until is when the right ends. Take a new Fence just before each order.
+	// Until is when the right ends. Get a new Fence just before each order.
 	Until time.Time
-	// Unchecked is when orders may begin to endpoints that ignore fencing numbers: by then
-	// the last order of the holder before has ended.
+	// Unchecked is the earliest time for orders to endpoints that ignore fencing numbers:
+	// by then the last order of the previous holder has ended.
 	Unchecked time.Time
 }
 
-// Covers tells whether an order may be sent now to an endpoint that checks fencing numbers,
-// or to one that does not.
+// Covers reports whether an order may be sent now to an endpoint, which checks fencing
+// numbers or does not, as given by checksFencing.
 func (fence Fence) Covers(checksFencing bool, now time.Time) bool {
 	return now.Before(fence.Until) && (checksFencing || !now.Before(fence.Unchecked))
 }
 
-// NotHeld tells that this daemon may give no orders for a shard.
+// NotHeld is the error that this daemon may not issue orders for a shard.
 type NotHeld struct {
 	Shard  string
 	Reason string
@@ -104,54 +106,57 @@
 // session is the value of a session's row.
 type session struct {
 	Holder dogwoodfleet.InstanceID
-	// Renewal is random, to tell one's own renewal from another's write.
+	// Renewal is a random value by which a daemon recognizes its own write.
 	Renewal string
 	Ended   bool
 }
 
 // shardRow is the value of a shard's row.
 type shardRow struct {
-	// Session holds the shard; empty if it was given up.
+	// Session is the session that holds the shard; empty if the shard was released.
 	Session string
 	Holder  dogwoodfleet.InstanceID
-	// Settled is true if the orders of the holder before had ended when the row was given up.
+	// Settled is true if all orders of the previous holder had ended when it released the shard.
 	Settled bool
 }
 
-// Holder holds leases for one daemon while Run runs. It is safe for concurrent use.
+// Holder acquires and holds leases for one daemon while Run is running. It is safe for
+// concurrent use.
 type Holder struct {
 	options Options
 
 	mutex  sync.Mutex
 	wanted map[string]bool
 	held   map[string]*heldShard
-	// own is the session that now counts; its key changes when it was ended by another.
+	// own is this daemon's current session. It is replaced by one with a new key after
+	// another daemon has ended it.
 	own ownSession
-	// seen are sessions of others as first seen at a version.
-	seen map[string]seenSession
+	// observed records for sessions of other daemons the latest version read, and when it was
+	// first read.
+	observed map[string]observedSession
 }
 
 type ownSession struct {
 	key     string
 	version uint64
-	// sent is when the latest renewal known to be in the store was sent; the term runs
-	// from then. Both clocks count, see isOver.
+	// sent is when the latest renewal known to be stored was sent; the term starts then.
+	// The monotonic and the wall clock are both used, see termIsOver.
 	sent time.Time
 }
 
 type heldShard struct {
 	number    uint64
 	unchecked time.Time
-	// dropped is when the shard was no longer wanted; zero while it is.
-	dropped time.Time
+	// unwantedSince is when the shard ceased to be wanted; zero while it is wanted.
+	unwantedSince time.Time
 }
 
-type seenSession struct {
+type observedSession struct {
 	version uint64
-	at      time.Time
+	since   time.Time
 }
 
-// New returns a holder that holds nothing.
+// New returns a Holder without leases.
 func New(options Options) *Holder {
 	if options.Term == 0 {
 		options.Term = DefaultTerm
@@ -160,11 +165,11 @@
 		options.Logger = hclog.NewNullLogger()
 	}
 	return &Holder{
-		options: options,
-		wanted:  map[string]bool{},
-		held:    map[string]*heldShard{},
-		seen:    map[string]seenSession{},
-		own:     ownSession{key: newSessionKey(options.Self)},
+		options:  options,
+		wanted:   map[string]bool{},
+		held:     map[string]*heldShard{},
+		observed: map[string]observedSession{},
+		own:      ownSession{key: newSessionKey(options.Self)},
 	}
 }
 
@@ -172,8 +177,8 @@
 	return string(self) + "-" + uuid.NewString()[:8]
 }
 
-// Want sets the shards that this daemon should hold. Those no longer wanted give no more
-// orders from now on, and are given up when the last order sent has ended.
+// Want sets the shards that this daemon should hold. For shards that are no longer wanted,
+// no more orders are permitted; they are released after the last order sent has ended.
 func (holder *Holder) Want(shards []string) {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
@@ -184,21 +189,21 @@
 	now := time.Now()
 	for name, held := range holder.held {
 		switch {
-		case holder.wanted[name] && !held.dropped.IsZero() && now.Sub(held.dropped) < holder.options.LongestOrder:
-			held.dropped = time.Time{}
-		case !holder.wanted[name] && held.dropped.IsZero():
-			held.dropped = now
+		case holder.wanted[name] && !held.unwantedSince.IsZero() && now.Sub(held.unwantedSince) < holder.options.LongestOrder:
+			held.unwantedSince = time.Time{}
+		case !holder.wanted[name] && held.unwantedSince.IsZero():
+			held.unwantedSince = now
 		}
 	}
 }
 
-// Held returns the shards for which this daemon may give orders now, sorted.
+// Held returns the shards for which this daemon may issue orders now, sorted.
 func (holder *Holder) Held() []string {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	var shards []string
 	for name, held := range holder.held {
-		if held.dropped.IsZero() && !holder.isOver(time.Now()) {
+		if held.unwantedSince.IsZero() && !holder.termIsOver(time.Now()) {
 			shards = append(shards, name)
 		}
 	}
@@ -206,7 +211,7 @@
 	return shards
 }
 
-// Fence returns the right to give an order now. Call it just before each order, and give
+// Fence returns the right to issue an order now. Call it just before each order, and send
 // the order only if the fence covers its endpoint. The error is *NotHeld.
 func (holder *Holder) Fence(shard string) (Fence, error) {
 	holder.mutex.Lock()
@@ -216,30 +221,32 @@
 	switch {
 	case !ok:
 		return Fence{}, &NotHeld{Shard: shard, Reason: "not held"}
-	case !held.dropped.IsZero():
-		return Fence{}, &NotHeld{Shard: shard, Reason: "being given up"}
-	case holder.isOver(now):
+	case !held.unwantedSince.IsZero():
+		return Fence{}, &NotHeld{Shard: shard, Reason: "being released"}
+	case holder.termIsOver(now):
 		return Fence{}, &NotHeld{Shard: shard, Reason: "the session's term is over"}
 	}
-	return Fence{Number: held.number, Until: holder.until(), Unchecked: held.unchecked}, nil
+	return Fence{Number: held.number, Until: holder.leaseEnd(), Unchecked: held.unchecked}, nil
 }
 
-func (holder *Holder) until() time.Time {
-	return holder.own.sent.Add(holder.options.Term - holder.options.Term/marginShare)
+// leaseEnd returns when the leases end: the end of the session's term less the margin.
+func (holder *Holder) leaseEnd() time.Time {
+	return holder.own.sent.Add(holder.options.Term - holder.options.Term/marginDivisor)
 }
 
-// isOver tells whether the session's term is over. It asks the monotonic clock, which no
-// one sets, and also the wall clock, since the monotonic one stops while a VM is suspended
-// and a holder that wakes would believe that it still holds. The caller holds the mutex.
-func (holder *Holder) isOver(now time.Time) bool {
-	until := holder.until()
-	return holder.own.sent.IsZero() || !now.Before(until) || !now.Round(0).Before(until.Round(0))
+// termIsOver reports whether the session's term, less the margin, is over. It compares the
+// monotonic clock, which is not affected by clock adjustments, and also the wall clock:
+// the monotonic clock stops while a VM is suspended, so a holder that resumes would still
+// treat its leases as valid. The caller holds the mutex.
+func (holder *Holder) termIsOver(now time.Time) bool {
+	end := holder.leaseEnd()
+	return holder.own.sent.IsZero() || !now.Before(end) || !now.Round(0).Before(end.Round(0))
 }
 
 func encode(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
-		panic(Error.Wrap(err)) // the rows hold nothing that JSON can't
+		panic(Error.Wrap(err)) // can't happen: all row types can be encoded as JSON
 	}
 	return encoded
 }
--- a/core/state/dogwoodlease/run.go
+++ b/core/state/dogwoodlease/run.go
@@ -11,20 +11,21 @@
 	"dogwoodmux.example/core/state/dogwoodtable"
 )
 
-// Run renews the session, takes the wanted shards and gives up those not wanted, until the
-// context ends. Call Release after it for a hand-over without waiting.
+// Run renews the session, takes the wanted shards and releases the others, until the
+// context ends. Call Release afterwards so that successors need not wait for the term to end.
 func (holder *Holder) Run(ctx context.Context) error {
 	var group errgroup.Group
 	group.Go(func() error {
-		// A daemon that wants no shard writes nothing.
-		return every(ctx, holder.options.Term/renewShare, lookEvery, holder.renewIfWanted)
+		// A daemon that neither wants nor holds a shard writes no session row.
+		return runPeriodically(ctx, holder.options.Term/renewalsPerTerm, checkInterval, holder.renewIfWanted)
 	})
-	group.Go(func() error { return every(ctx, lookEvery, lookEvery, holder.look) })
+	group.Go(func() error { return runPeriodically(ctx, checkInterval, checkInterval, holder.checkShards) })
 	return group.Wait()
 }
 
-// Release ends the session at once. Call it when Run has ended and no order is under way:
-// successors then need not wait for the term nor for orders.
+// Release releases all shards and ends the session at once. Call it after Run has returned
+// and no order is in progress, so that successors need not wait for the end of the term or
+// of orders.
 func (holder *Holder) Release(ctx context.Context) error {
 	holder.mutex.Lock()
 	own, shards := holder.own, holder.held
@@ -32,7 +33,7 @@
 	holder.own = ownSession{key: newSessionKey(holder.options.Self)}
 	holder.mutex.Unlock()
 	for name, held := range shards {
-		if err := holder.giveUpRow(ctx, name, held.number); err != nil {
+		if err := holder.releaseRow(ctx, name, held.number); err != nil {
 			return err
 		}
 	}
@@ -42,20 +43,22 @@
 	return holder.endSession(ctx, own.key, own.version)
 }
 
-func (holder *Holder) renewIfWanted(ctx context.Context) (settled bool) {
+// renewIfWanted renews the session if the daemon wants or holds a shard. It returns false if
+// it should be called again soon.
+func (holder *Holder) renewIfWanted(ctx context.Context) (ok bool) {
 	holder.mutex.Lock()
 	idle := len(holder.wanted) == 0 && len(holder.held) == 0
 	holder.mutex.Unlock()
 	if idle {
-		return false // look again soon, since a shard may be wanted then
+		return false // check again soon, since a shard may be wanted by then
 	}
 	return holder.renew(ctx)
 }
 
-// renew writes the session's row. The term counts from before the write was sent. It
-// returns false if it should be tried again soon.
+// renew writes the session's row. The term starts before the write is sent. It returns
+// false if it should be called again soon.
 func (holder *Holder) renew(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	holder.mutex.Lock()
 	own := holder.own
@@ -67,38 +70,39 @@
 		Key:     own.key,
 		Version: own.version,
 		Value:   encode(session{Holder: holder.options.Self, Renewal: renewal}),
-		KeepFor: keepSessions,
+		KeepFor: sessionRowTTL,
 	})
 	if err == nil {
-		holder.renewed(own.key, versions[0], sent)
+		holder.recordRenewal(own.key, versions[0], sent)
 		return true
 	}
 	if dogwoodtable.IsUnavailable(err) {
 		return false
 	}
-	// The renewal's answer was lost, or an earlier one's was: see what stands there.
+	// The response to this renewal or to an earlier one was lost: read what is stored.
 	row, found, err := holder.options.Store.Read(ctx, SessionTable, own.key)
 	if err != nil || !found || row.Version < own.version {
-		return false // an old read tells nothing
+		return false // a stale read
 	}
-	present, err := decode[session](row.Value)
+	stored, err := decode[session](row.Value)
 	switch {
 	case err != nil:
 		return false
-	case present.Ended:
-		holder.lost(own.key)
+	case stored.Ended:
+		holder.replaceSession(own.key)
 		return false
-	case present.Renewal == renewal:
-		holder.renewed(own.key, row.Version, sent)
+	case stored.Renewal == renewal:
+		holder.recordRenewal(own.key, row.Version, sent)
 		return true
 	}
-	// An earlier renewal that was taken for lost: go on from its version, but count the
-	// term from the one before, whose sending time is known.
-	holder.renewed(own.key, row.Version, own.sent)
+	// An earlier renewal that seemed to have failed was stored. Continue from its version, but
+	// keep the start of the term: the send time of that renewal is not known any more.
+	holder.recordRenewal(own.key, row.Version, own.sent)
 	return false
 }
 
-func (holder *Holder) renewed(key string, version uint64, sent time.Time) {
+// recordRenewal records a stored renewal unless a later one is recorded already.
+func (holder *Holder) recordRenewal(key string, version uint64, sent time.Time) {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	if holder.own.key == key && version > holder.own.version {
@@ -106,9 +110,9 @@
 	}
 }
 
-// lost drops all leases: another daemon has ended this session. A new one begins under a
-// new key, since the end of the old must stay.
-func (holder *Holder) lost(key string) {
+// replaceSession drops all leases after another daemon has ended this session. The new
+// session has a new key, since the row that ended the old one must stay.
+func (holder *Holder) replaceSession(key string) {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	if holder.own.key != key {
@@ -119,48 +123,48 @@
 	holder.own = ownSession{key: newSessionKey(holder.options.Self)}
 }
 
-// look takes wanted shards that are free and gives up unwanted ones.
-func (holder *Holder) look(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, callWithin)
+// checkShards takes wanted shards that are free and releases unwanted ones.
+func (holder *Holder) checkShards(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	take, drop := holder.due(time.Now())
-	for name, number := range drop {
-		if holder.giveUpRow(ctx, name, number) == nil {
+	take, release := holder.dueShards(time.Now())
+	for name, number := range release {
+		if holder.releaseRow(ctx, name, number) == nil {
 			holder.mutex.Lock()
 			delete(holder.held, name)
 			holder.mutex.Unlock()
 		}
 	}
 	for _, name := range take {
-		holder.take(ctx, name)
+		holder.takeShard(ctx, name)
 	}
 	return true
 }
 
-// due returns the shards to take, and those whose last order has ended since they were
-// dropped.
-func (holder *Holder) due(now time.Time) (take []string, drop map[string]uint64) {
+// dueShards returns the shards to take, and the unwanted ones to release with their fencing
+// numbers. An unwanted shard is due once the last order for it must have ended.
+func (holder *Holder) dueShards(now time.Time) (take []string, release map[string]uint64) {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
-	drop = map[string]uint64{}
+	release = map[string]uint64{}
 	for name, held := range holder.held {
-		if !held.dropped.IsZero() && now.Sub(held.dropped) >= holder.options.LongestOrder {
-			drop[name] = held.number
+		if !held.unwantedSince.IsZero() && now.Sub(held.unwantedSince) >= holder.options.LongestOrder {
+			release[name] = held.number
 		}
 	}
-	if holder.isOver(now) {
-		return nil, drop
+	if holder.termIsOver(now) {
+		return nil, release
 	}
 	for name := range holder.wanted {
-		if _, held := holder.held[name]; !held && len(take) < takeAtOnce {
+		if _, held := holder.held[name]; !held && len(take) < maxTakesPerCheck {
 			take = append(take, name)
 		}
 	}
-	return take, drop
+	return take, release
 }
 
-// take tries to get one shard.
-func (holder *Holder) take(ctx context.Context, name string) {
+// takeShard tries to take one shard.
+func (holder *Holder) takeShard(ctx context.Context, name string) {
 	row, found, err := holder.options.Store.Read(ctx, ShardTable, name)
 	if err != nil {
 		return
@@ -171,18 +175,19 @@
 	unchecked := time.Now()
 	var version uint64
 	if found {
-		present, err := decode[shardRow](row.Value)
+		stored, err := decode[shardRow](row.Value)
 		if err != nil {
 			holder.options.Logger.Error("Row of a shard can't be read.", "shard", name, "error", err)
 			return
 		}
-		if present.Session != "" && present.Session != own && !holder.hasEnded(ctx, present.Session) {
+		if stored.Session != "" && stored.Session != own && !holder.ensureEnded(ctx, stored.Session) {
 			return
 		}
-		// A row of this very session is a write whose answer was lost, or an old read of a
-		// shard given up since; it is written again, since only that tells them apart.
-		if !present.Settled {
-			// The holder before may have sent an order just before its term ended.
+		// A row that names this session comes from a write whose response was lost, or from a
+		// stale read of a shard that was released since. Only another conditional write shows
+		// which.
+		if !stored.Settled {
+			// The previous holder may have sent an order just before its term ended.
 			unchecked = time.Now().Add(holder.options.LongestOrder)
 		}
 		version = row.Version
@@ -194,42 +199,43 @@
 		Value:   encode(shardRow{Session: own, Holder: holder.options.Self}),
 	})
 	if err == nil {
-		holder.hold(own, name, versions[0], unchecked)
+		holder.recordShard(own, name, versions[0], unchecked)
 	}
 }
 
-func (holder *Holder) hold(own, name string, number uint64, unchecked time.Time) {
+// recordShard records a shard that was taken under the session with the key own.
+func (holder *Holder) recordShard(own, name string, number uint64, unchecked time.Time) {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	if holder.own.key != own {
-		return // the session was ended meanwhile
+		return // the session was ended in the meantime
 	}
 	shard := &heldShard{number: number, unchecked: unchecked}
 	if !holder.wanted[name] {
-		shard.dropped = time.Now()
+		shard.unwantedSince = time.Now()
 	}
 	holder.held[name] = shard
 	holder.options.Logger.Info("Shard taken.", "shard", name, "fence", number)
 }
 
-// hasEnded tells whether a session is certainly over, ending it if its term has passed.
-// Only the conditional write decides; a read that is old makes it fail.
-func (holder *Holder) hasEnded(ctx context.Context, key string) bool {
+// ensureEnded reports whether a session has certainly ended, and ends it if its term has
+// passed. Only the conditional write decides; it fails after a stale read.
+func (holder *Holder) ensureEnded(ctx context.Context, key string) bool {
 	row, found, err := holder.options.Store.Read(ctx, SessionTable, key)
 	if err != nil {
 		return false
 	}
 	if !found {
-		// An old read, or the row has expired a day after its last renewal.
+		// Either the read is stale, or the row expired a day after its last write.
 		return holder.endSession(ctx, key, 0) == nil
 	}
-	present, err := decode[session](row.Value)
+	stored, err := decode[session](row.Value)
 	if err != nil {
 		return false
 	}
-	if present.Ended {
+	if stored.Ended {
 		holder.mutex.Lock()
-		delete(holder.seen, key)
+		delete(holder.observed, key)
 		holder.mutex.Unlock()
 		return true
 	}
@@ -240,42 +246,43 @@
 		return false
 	}
 	holder.mutex.Lock()
-	delete(holder.seen, key)
+	delete(holder.observed, key)
 	holder.mutex.Unlock()
 	return true
 }
 
-// termPassed tells whether a session has stood at one version for a whole term of this
-// daemon's clock, plus the margin that its holder keeps back at the end.
+// termPassed reports whether a session has stayed at one version for a whole term on this
+// daemon's clock plus the margin. The first call for a version starts the measurement.
 func (holder *Holder) termPassed(key string, version uint64) bool {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	now := time.Now()
-	seen, ok := holder.seen[key]
-	if !ok || version > seen.version {
-		holder.seen[key] = seenSession{version: version, at: now}
+	observed, ok := holder.observed[key]
+	if !ok || version > observed.version {
+		holder.observed[key] = observedSession{version: version, since: now}
 		return false
 	}
-	if version < seen.version {
-		return false // an old read
+	if version < observed.version {
+		return false // a stale read
 	}
-	return now.Sub(seen.at) >= holder.options.Term+holder.options.Term/marginShare
+	return now.Sub(observed.since) >= holder.options.Term+holder.options.Term/marginDivisor
 }
 
+// endSession marks a session as ended if its row still has the given version.
 func (holder *Holder) endSession(ctx context.Context, key string, version uint64) error {
 	_, err := holder.options.Store.Commit(ctx, dogwoodtable.Write{
 		Table:   SessionTable,
 		Key:     key,
 		Version: version,
 		Value:   encode(session{Ended: true}),
-		KeepFor: keepSessions,
+		KeepFor: sessionRowTTL,
 	})
 	return Error.Wrap(err)
 }
 
-// giveUpRow writes that a shard has no holder and no order under way. That another holds
-// it already is as good.
-func (holder *Holder) giveUpRow(ctx context.Context, name string, number uint64) error {
+// releaseRow writes that a shard has no holder and no order in progress. A conflict counts
+// as success, since another daemon then holds the shard.
+func (holder *Holder) releaseRow(ctx context.Context, name string, number uint64) error {
 	_, err := holder.options.Store.Commit(ctx, dogwoodtable.Write{
 		Table: ShardTable, Key: name, Version: number, Value: encode(shardRow{Settled: true}),
 	})
@@ -285,12 +292,13 @@
 	return Error.Wrap(err)
 }
 
-// every calls step until the context ends, after the period, or sooner if it returns false.
-func every(ctx context.Context, period, soon time.Duration, step func(ctx context.Context) bool) error {
+// runPeriodically calls step until the context ends: again after the period, or after
+// retryDelay, if that is shorter, when step returned false.
+func runPeriodically(ctx context.Context, period, retryDelay time.Duration, step func(ctx context.Context) bool) error {
 	for {
 		wait := period
 		if !step(ctx) {
-			wait = min(soon, period)
+			wait = min(retryDelay, period)
 		}
 		const jitterShare = 10
 		timer := time.NewTimer(wait - rand.N(wait/jitterShare))
--- a/core/state/dogwoodmember/beat.go
+++ b/core/state/dogwoodmember/beat.go
@@ -9,51 +9,57 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Beat is a heartbeat: the sender's news of itself, first, and of all it hears, each as id (4
-// bytes), count and age in hundredths of a second (varints).
+// Beat is a heartbeat. It carries updates about the sender itself, first, and about all other
+// daemons that the sender considers alive. Each update consists of the id (4 bytes), the count
+// and the age in hundredths of a second (varints).
 type Beat struct {
 	News []byte
 }
 
-// BeatReply is the answer to a beat: a beat itself, so that one call serves both.
+// BeatReply is the reply to a heartbeat. It carries the receiver's own updates, so that one
+// call transmits heartbeats in both directions.
 type BeatReply struct {
 	News []byte
-	// Unknown are ids in the beat whose record the receiver lacks; the sender introduces them.
+	// Unknown are the ids in the heartbeat whose records the receiver lacks; the sender
+	// introduces them.
 	Unknown []uint32
 }
 
-// Target is a neighbour that a beat goes to.
+// Target is a daemon to which a heartbeat is sent.
 type Target struct {
 	VM   dogwoodfleet.VM
 	Peer netip.AddrPort
 }
 
+// ageUnit is the unit of the ages in a heartbeat.
 const ageUnit = 10 * time.Millisecond
 
-// NextBeat counts a beat and returns it with the neighbours it goes to now.
+// NextBeat increments this daemon's count and returns the next heartbeat and the daemons to
+// which it must be sent now.
 func (members *Members) NextBeat(now time.Time) (Beat, []Target) {
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
 	members.counter++
 	targets := members.targets(now)
 	members.urgent = false
-	return Beat{News: members.news(now)}, targets
+	return Beat{News: members.encodeUpdates(now)}, targets
 }
 
-// news is what this daemon tells of itself, first, and of those that it takes for alive.
-// The caller holds the mutex.
-func (members *Members) news(now time.Time) []byte {
-	news := appendNews(nil, members.self.id(), members.counter, 0)
+// encodeUpdates returns the updates about this daemon, first, and about those that it considers
+// alive. The caller holds the mutex.
+func (members *Members) encodeUpdates(now time.Time) []byte {
+	updates := appendUpdate(nil, members.self.id(), members.counter, 0)
 	for _, peer := range members.peers {
 		if members.isAlive(peer, now) {
-			news = appendNews(news, peer.record.id(), peer.counter, now.Sub(peer.heard))
+			updates = appendUpdate(updates, peer.record.id(), peer.counter, now.Sub(peer.lastSeen))
 		}
 	}
-	return news
+	return updates
 }
 
-// targets returns the living neighbours, and those of the silent daemons whose turn it is
-// to be tried. The caller holds the mutex.
+// targets returns the living neighbours to which this daemon sends heartbeats, the living
+// daemons whose latest update is old, and the silent daemons that are due for a probe. The
+// caller holds the mutex.
 func (members *Members) targets(now time.Time) []Target {
 	living := []dogwoodfleet.VM{members.self.VM}
 	var targets []Target
@@ -62,13 +68,14 @@
 		case peer.region != members.self.Place.Region || !peer.address.IsValid():
 		case members.isAlive(peer, now):
 			living = append(living, vm)
-			// Without asking, news that comes over five hops and is lost on one of them is taken
-			// for a death: one in thirty minutes at 25 daemons and 2 % loss.
-			if now.Sub(peer.heard) > askAfter {
+			// Updates arrive over up to five hops and may be lost on any of them. Without direct
+			// heartbeats, a living daemon is considered dead once in thirty minutes at 25 daemons
+			// and 2 % loss.
+			if now.Sub(peer.lastSeen) > directHeartbeatAge {
 				targets = append(targets, Target{VM: vm, Peer: peer.address})
 			}
-		case peer.isDue(now):
-			peer.tried = now
+		case peer.probeIsDue(now):
+			peer.lastProbe = now
 			targets = append(targets, Target{VM: vm, Peer: peer.address})
 		}
 	}
@@ -79,109 +86,114 @@
 	}
 	for _, vm := range chosen {
 		peer, ok := members.peers[vm]
-		asked := ok && now.Sub(peer.heard) > askAfter
-		if ok && !asked && (members.urgent || members.isCaller(peer, now)) {
+		added := ok && now.Sub(peer.lastSeen) > directHeartbeatAge
+		if ok && !added && (members.urgent || members.isInitiator(peer, now)) {
 			targets = append(targets, Target{VM: vm, Peer: peer.address})
 		}
 	}
 	return targets
 }
 
-// isDue tells whether a daemon that is not heard is to be tried now.
-func (peer *peer) isDue(now time.Time) bool {
-	if peer.sought.IsZero() {
-		peer.sought = now
+// probeIsDue reports whether a silent daemon must be probed now. The first call records the
+// start of probing.
+func (peer *peer) probeIsDue(now time.Time) bool {
+	if peer.firstProbe.IsZero() {
+		peer.firstProbe = now
 	}
-	meets := peer.heard.IsZero() && now.Sub(peer.sought) < meetWithin
-	return meets || now.Sub(peer.tried) >= probeEvery
+	starting := peer.lastSeen.IsZero() && now.Sub(peer.firstProbe) < startupProbeWindow
+	return starting || now.Sub(peer.lastProbe) >= probeInterval
 }
 
-// isCaller tells whether this daemon makes the calls between itself and a neighbour: the
-// one with the lower name does, since a call and its answer are a beat each way, and the
-// other one too when no call has come for a while.
-func (members *Members) isCaller(peer *peer, now time.Time) bool {
-	return members.self.VM < peer.vm || now.Sub(peer.called) > calledWithin
+// isInitiator reports whether this daemon calls a neighbour, rather than only replying to its
+// calls. The daemon with the lower name calls, since the reply is the heartbeat in the other
+// direction. The other daemon calls too if it has received no call for a while.
+func (members *Members) isInitiator(peer *peer, now time.Time) bool {
+	return members.self.VM < peer.vm || now.Sub(peer.lastCall) > inboundHeartbeatTTL
 }
 
-// Hear takes in a beat.
+// Hear applies a received heartbeat and returns the reply.
 func (members *Members) Hear(beat Beat, now time.Time) BeatReply {
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
-	if id, _, _, _, ok := cutNews(beat.News); ok {
-		if vm, known := members.ids[id]; known {
-			members.peers[vm].called = now
+	if id, _, _, _, ok := cutUpdate(beat.News); ok {
+		if vm, known := members.vmsByID[id]; known {
+			members.peers[vm].lastCall = now
 		}
 	}
-	unknown := members.hearAll(beat.News, now)
-	members.refresh(now)
-	return BeatReply{News: members.news(now), Unknown: unknown}
+	unknown := members.applyUpdates(beat.News, now)
+	members.refreshAlive(now)
+	return BeatReply{News: members.encodeUpdates(now), Unknown: unknown}
 }
 
-// HearReply takes in the answer to a beat and returns what to introduce and to ask for.
+// HearReply applies the reply to a heartbeat. It returns the records to introduce to the peer
+// and the ids to request from it.
 func (members *Members) HearReply(reply BeatReply, now time.Time) Introduction {
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
-	wanted := members.hearAll(reply.News, now)
-	members.refresh(now)
+	wanted := members.applyUpdates(reply.News, now)
+	members.refreshAlive(now)
 	return Introduction{Members: members.records(reply.Unknown), Wanted: wanted}
 }
 
-// hearAll notes all news and returns the ids whose record is not known. The caller holds
-// the mutex.
-func (members *Members) hearAll(news []byte, now time.Time) (unknown []uint32) {
-	for len(news) > 0 {
-		id, count, age, rest, ok := cutNews(news)
+// applyUpdates applies all updates and returns the ids whose records are not known. The caller
+// holds the mutex.
+func (members *Members) applyUpdates(updates []byte, now time.Time) (unknown []uint32) {
+	for len(updates) > 0 {
+		id, count, age, rest, ok := cutUpdate(updates)
 		if !ok {
 			break
 		}
-		news = rest
-		if members.hear(id, count, now.Add(-age)) || id == members.self.id() {
+		updates = rest
+		if members.applyUpdate(id, count, now.Add(-age)) || id == members.self.id() {
 			continue
 		}
-		if _, old := members.retired[id]; !old {
+		if _, retired := members.retired[id]; !retired {
 			unknown = append(unknown, id)
 		}
 	}
 	return unknown
 }
 
-// hear notes a count of a daemon. It returns false if the id is unknown.
-func (members *Members) hear(id, count uint32, at time.Time) bool {
-	vm, ok := members.ids[id]
+// applyUpdate records the count of a daemon. It returns false if the id is unknown. The caller
+// holds the mutex.
+func (members *Members) applyUpdate(id, count uint32, at time.Time) bool {
+	vm, ok := members.vmsByID[id]
 	if !ok {
 		return false
 	}
 	peer := members.peers[vm]
 	if count > peer.counter {
 		peer.counter = count
-		if at.After(peer.heard) {
-			peer.heard = at
+		if at.After(peer.lastSeen) {
+			peer.lastSeen = at
 		}
 	}
 	return true
 }
 
-func appendNews(news []byte, id, count uint32, age time.Duration) []byte {
-	news = binary.BigEndian.AppendUint32(news, id)
-	news = binary.AppendUvarint(news, uint64(count))
-	return binary.AppendUvarint(news, uint64(max(age, 0)/ageUnit))
+func appendUpdate(updates []byte, id, count uint32, age time.Duration) []byte {
+	updates = binary.BigEndian.AppendUint32(updates, id)
+	updates = binary.AppendUvarint(updates, uint64(count))
+	return binary.AppendUvarint(updates, uint64(max(age, 0)/ageUnit))
 }
 
-func cutNews(news []byte) (id, count uint32, age time.Duration, rest []byte, ok bool) {
+// cutUpdate decodes the first update and returns the rest. It returns false if the update is
+// malformed or older than peerTTL.
+func cutUpdate(updates []byte) (id, count uint32, age time.Duration, rest []byte, ok bool) {
 	const idBytes = 4
-	if len(news) < idBytes {
+	if len(updates) < idBytes {
 		return 0, 0, 0, nil, false
 	}
-	id = binary.BigEndian.Uint32(news)
-	news = news[idBytes:]
-	counted, read := binary.Uvarint(news)
+	id = binary.BigEndian.Uint32(updates)
+	updates = updates[idBytes:]
+	counted, read := binary.Uvarint(updates)
 	if read <= 0 {
 		return 0, 0, 0, nil, false
 	}
-	news = news[read:]
-	units, read := binary.Uvarint(news)
-	if read <= 0 || units > uint64(forgetAfter/ageUnit) {
+	updates = updates[read:]
+	units, read := binary.Uvarint(updates)
+	if read <= 0 || units > uint64(peerTTL/ageUnit) {
 		return 0, 0, 0, nil, false
 	}
-	return id, uint32(counted), time.Duration(units) * ageUnit, news[read:], true
+	return id, uint32(counted), time.Duration(units) * ageUnit, updates[read:], true
 }
--- a/core/state/dogwoodmember/endpoints.go
+++ b/core/state/dogwoodmember/endpoints.go
@@ -11,19 +11,19 @@
 	"dogwoodmux.example/core/state/dogwoodchange"
 )
 
-// Endpoints returns the endpoints that are listed for a service of the text. InForce is
-// false for those that get no new work. Callers must not change the slice.
+// Endpoints returns the endpoints that are listed for a service of the operators' text. InForce
+// is false for those that get no new work. Callers must not change the slice.
 func (members *Members) Endpoints() []dogwoodfleet.Endpoint {
 	return members.fleet.Load().endpoints
 }
 
-// Listed returns the platform's list as it was last read. Callers must not change it.
+// Listed returns the platform's list as last read. Callers must not change it.
 func (members *Members) Listed() []dogwoodfleet.ListedVM {
 	return members.fleet.Load().listed
 }
 
-// SetListed takes in the platform's list. An empty list is taken for a fault of the list:
-// the daemon itself runs on a VM that must stand there.
+// SetListed applies the platform's list. An empty list is ignored as faulty, since the list
+// must contain the VM of this daemon.
 func (members *Members) SetListed(listed []dogwoodfleet.ListedVM) {
 	if len(listed) == 0 {
 		return
@@ -44,14 +44,14 @@
 			members.peers[vm.Name] = found
 		}
 		found.listed = true
-		if !found.known {
+		if !found.hasRecord {
 			found.address, found.region = vm.Peer, vm.Place.Region
 		}
 	}
-	members.derive()
+	members.refreshEndpoints()
 }
 
-// SetView takes in the operators' changes.
+// SetView applies a view of the operators' changes unless a newer one was applied before.
 func (members *Members) SetView(view dogwoodchange.View) {
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
@@ -59,11 +59,11 @@
 		return
 	}
 	members.view = view
-	members.derive()
+	members.refreshEndpoints()
 }
 
-// SetEndpointLeaving notes that an endpoint itself said now that it leaves, or that it does
-// not. The word counts for some seconds.
+// SetEndpointLeaving records that an endpoint has just reported that it is leaving, or that it
+// is not. A report that it is leaving expires after some seconds.
 func (members *Members) SetEndpointLeaving(endpoint dogwoodfleet.EndpointID, leaving bool) {
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
@@ -74,23 +74,24 @@
 		delete(members.leaving, endpoint)
 	}
 	if before != leaving {
-		members.derive()
+		members.refreshEndpoints()
 	}
 }
 
-// forgetLeaving drops words that are old. The caller holds the mutex.
-func (members *Members) forgetLeaving(now time.Time) {
+// expireLeaving drops old reports of endpoints that they are leaving. The caller holds the mutex.
+func (members *Members) expireLeaving(now time.Time) {
 	before := len(members.leaving)
 	maps.DeleteFunc(members.leaving, func(_ dogwoodfleet.EndpointID, at time.Time) bool {
-		return now.Sub(at) > leavingHolds
+		return now.Sub(at) > leavingTTL
 	})
 	if len(members.leaving) != before {
-		members.derive()
+		members.refreshEndpoints()
 	}
 }
 
-// derive publishes the endpoints if they changed. The caller holds the mutex.
-func (members *Members) derive() {
+// refreshEndpoints publishes the list, and the endpoints if they changed. The caller holds the
+// mutex.
+func (members *Members) refreshEndpoints() {
 	var endpoints []dogwoodfleet.Endpoint
 	for _, vm := range members.listed {
 		if vm.Service == "" || members.view.Text == nil {
@@ -119,18 +120,18 @@
 	before := members.fleet.Load()
 	changed := !reflect.DeepEqual(before.endpoints, endpoints)
 	if !changed {
-		// The same slice tells its readers that nothing changed: what they work out from it
-		// takes 50 ms at 5,900 endpoints and the list is read every two seconds.
+		// Keeping the same slice lets readers detect that nothing changed and skip their
+		// computations, which take 50 ms at 5,900 endpoints; the list is read every two seconds.
 		endpoints = before.endpoints
 	}
 	members.fleet.Store(&fleet{listed: members.listed, endpoints: endpoints})
 	if changed {
-		members.announce()
+		members.notifyWatchers()
 	}
 }
 
-// InService tells whether callers may be sent to that daemon: it is not leaving, and
-// neither by the list nor by operators out of service.
+// InService reports whether callers may be sent to a daemon: it must not be leaving, neither
+// by its own record nor by the platform's list, and must not be taken out by operators.
 func (members *Members) InService(member Member) bool {
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
@@ -142,8 +143,7 @@
 	})
 }
 
-// Peers returns the addresses of all other daemons that are listed or heard, in every
-// region, the living first.
+// Peers returns the addresses of all other known daemons in every region, the living first.
 func (members *Members) Peers() []Target {
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
--- a/core/state/dogwoodmember/endpoints_test.go
+++ b/core/state/dogwoodmember/endpoints_test.go
@@ -15,8 +15,9 @@
 	}
 }
 
-// A data centre is taken out, one VM elsewhere too, one leaves by the platform's list and
-// one by its own word. Work sent to any of them is cut when its VM goes.
+// A data centre and a VM elsewhere are taken out, a third VM is leaving according to the
+// platform's list, and an endpoint reports that it is leaving. Work sent to any of them would
+// be cut off when its VM stops.
 func TestEndpointsInForce(t *testing.T) {
 	members := New(Options{Self: Member{VM: "entry-1"}})
 	members.SetView(dogwoodchange.View{
@@ -60,8 +61,9 @@
 	check("after it stays after all")
 }
 
-// Callers ask for entries while one entry's data centre is out, one entry leaves by the list
-// and one by its own word. Callers that were sent there would have to go again.
+// Callers request entry daemons while one is in a data centre that is taken out, one is leaving
+// according to the list and one according to its own record. Callers that were sent to any of
+// them would soon have to switch to another.
 func TestEntriesInService(t *testing.T) {
 	members := New(Options{Self: Member{VM: "entry-1"}})
 	members.SetView(dogwoodchange.View{Version: 1, OutDataCentres: []dogwoodfleet.DataCentre{"oita-c"}})
--- a/core/state/dogwoodmember/introduction.go
+++ b/core/state/dogwoodmember/introduction.go
@@ -2,68 +2,69 @@
 
 import "time"
 
-// Introduction carries records of daemons, and asks for some.
+// Introduction carries records of daemons and requests others.
 type Introduction struct {
 	Members []Member
-	// Wanted are ids whose records the sender lacks.
+	// Wanted are the ids of records that the sender lacks.
 	Wanted []uint32
 }
 
-// IsEmpty tells whether there is nothing to say.
+// IsEmpty reports whether the introduction carries and requests no records.
 func (introduction Introduction) IsEmpty() bool {
 	return len(introduction.Members) == 0 && len(introduction.Wanted) == 0
 }
 
-// records returns the records of the ids that are known.
+// records returns the records of those ids that are known. The caller holds the mutex.
 func (members *Members) records(ids []uint32) []Member {
 	var records []Member
 	for _, id := range ids {
 		if id == members.self.id() {
 			records = append(records, members.self)
-		} else if vm, ok := members.ids[id]; ok {
+		} else if vm, ok := members.vmsByID[id]; ok {
 			records = append(records, members.peers[vm].record)
 		}
 	}
 	return records
 }
 
-// Introduce takes in records of daemons and answers with those that are wanted. An older
-// start does not replace a later one.
+// Introduce applies the records of an introduction and returns those that it requests. The
+// record of an older instance does not replace that of a later one.
 func (members *Members) Introduce(introduction Introduction) Introduction {
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
-	members.learn(introduction.Members)
+	members.applyRecords(introduction.Members)
 	return Introduction{Members: members.records(introduction.Wanted)}
 }
 
-func (members *Members) learn(records []Member) {
+// applyRecords adds or replaces the records of other daemons. The caller holds the mutex.
+func (members *Members) applyRecords(records []Member) {
 	for _, record := range records {
 		if record.VM == members.self.VM {
 			continue
 		}
 		known, ok := members.peers[record.VM]
 		if !ok {
-			known = &peer{vm: record.VM, learnt: time.Now()}
+			known = &peer{vm: record.VM, introduced: time.Now()}
 			members.peers[record.VM] = known
 		}
-		if known.known {
+		if known.hasRecord {
 			if record.Instance != known.record.Instance {
-				members.lost = time.Now()
+				members.lastLoss = time.Now()
 			}
-			if !record.later(known.record) {
+			if !record.supersedes(known.record) {
 				if record != known.record {
 					members.retired[record.id()] = time.Now()
 				}
 				continue
 			}
-			delete(members.ids, known.record.id())
+			delete(members.vmsByID, known.record.id())
 			members.retired[known.record.id()] = time.Now()
 		}
 		if known.record.Instance != record.Instance {
-			known.counter, known.heard = 0, time.Time{}
+			known.counter, known.lastSeen = 0, time.Time{}
 		}
-		known.known, known.record = true, record
+		known.hasRecord, known.record = true, record
 		known.address, known.region = record.Peer, record.Place.Region
-		members.ids[record.id()] = record.VM
+		members.vmsByID[record.id()] = record.VM
 	}
 }
--- a/core/state/dogwoodmember/member.go
+++ b/core/state/dogwoodmember/member.go
@@ -1,14 +1,15 @@
-// Package dogwoodmember knows which daemons are alive and which endpoints are in force.
+// Package dogwoodmember tracks which daemons are alive and which endpoints are in force.
 //
-// The platform's list of VMs lags, so it serves to find daemons; whether they live is
-// decided by heartbeats. A daemon counts its own beats and tells its neighbours the latest
-// count of every daemon it knows, with the time since that count was news. A daemon is
-// alive while anyone's news of it is younger than the silence allowed. So a lost beat, or
-// a link that carries only one direction, does not make a daemon dead while others hear it,
-// and no daemon needs a link to every other.
+// The platform's list of VMs lags, so it is used only to find daemons; heartbeats decide
+// whether they are alive. A daemon counts its own heartbeats and sends its neighbours the
+// latest count of every living daemon that it knows, with the age of that count. A daemon
+// is alive while the youngest update about it, from any daemon, is not older than the
+// allowed silence. So a lost heartbeat or a link that works in one direction only does not
+// make a daemon count as dead while others receive its heartbeats, and no daemon needs a
+// link to every other.
 //
-// Without it, a dead daemon keeps owning endpoints until the platform's list catches up,
-// and requests for these wait for minutes.
+// Without heartbeats, a dead daemon would own endpoints until the platform's list is
+// updated, and requests for these endpoints would wait for minutes.
 package dogwoodmember
 
 import (
@@ -34,33 +35,37 @@
 const (
 	// BeatEvery is the time between two heartbeats to a neighbour.
 	BeatEvery = 500 * time.Millisecond
-	// DefaultSilence is how old the latest news of a daemon may be: four beats and a half, so
-	// that three lost in a row are borne, and a dead daemon is seen in less than 3 s with
-	// the way of the last news and the next tick.
+	// DefaultSilence is the maximum age of the latest update about a living daemon. It is four
+	// and a half heartbeats: three heartbeats lost in a row are tolerated, and a dead daemon is
+	// detected in less than 3 s, including the latency of the last update and of the next tick.
 	DefaultSilence = 2250 * time.Millisecond
-	// askAfter is the age of the latest news of a daemon at which it is asked directly, whoever
-	// else is its neighbour: late enough that few living daemons reach it (five hops take
-	// 1.25 s on average), and soon enough for one beat or two before they count as dead.
-	askAfter = 1500 * time.Millisecond
-	// TickEvery is how often ages are looked at.
+	// directHeartbeatAge is the age of the latest update about a daemon after which it is sent
+	// heartbeats directly, neighbour or not. Few living daemons reach this age (five hops take
+	// 1.25 s on average), and it leaves time for one or two heartbeats before the daemon counts
+	// as dead.
+	directHeartbeatAge = 1500 * time.Millisecond
+	// TickEvery is the time between two calls of Tick.
 	TickEvery = 100 * time.Millisecond
-	// probeEvery is how often a daemon that is listed but not heard is tried: rarely, so
-	// that regions that lost each other don't meet in a herd.
-	probeEvery = 2 * time.Second
-	// meetWithin is for how long one that was never heard is tried with every beat: after a loss of
-	// power the others listen some moments later than this daemon looks for them.
-	meetWithin = 3 * time.Second
-	// calledWithin is how recent the last beat of a neighbour must be for this daemon to leave
-	// the beats between them to it: two beats and a bit.
-	calledWithin = 2*BeatEvery + 200*time.Millisecond
-	// forgetAfter is when a daemon that is neither heard nor listed is forgotten.
-	forgetAfter = 10 * time.Minute
-	// leavingHolds is how long an endpoint's own word that it leaves counts. Its owner hears it
-	// every second or so; a daemon that owned it before must not go by it for ever.
-	leavingHolds = 10 * time.Second
+	// probeInterval is the time between two heartbeats to a daemon that is listed but silent.
+	// It is long, so that regions that lost their connection don't reconnect with a thundering
+	// herd.
+	probeInterval = 2 * time.Second
+	// startupProbeWindow is how long a daemon without any heartbeat so far is probed with every
+	// heartbeat: after a power failure, other daemons may start to listen some moments after
+	// this daemon's first probe.
+	startupProbeWindow = 3 * time.Second
+	// inboundHeartbeatTTL is how long a neighbour's heartbeat, once received, relieves this
+	// daemon of sending its own to that neighbour. It is slightly more than two heartbeats.
+	inboundHeartbeatTTL = 2*BeatEvery + 200*time.Millisecond
+	// peerTTL is how long a daemon is kept that is neither listed nor sends heartbeats.
+	peerTTL = 10 * time.Minute
+	// leavingTTL is how long an endpoint's report that it is leaving stays valid. Its owner
+	// receives the report about every second; without a limit, a former owner would use an
+	// old report for ever.
+	leavingTTL = 10 * time.Second
 )
 
-// Member is one start of a daemon.
+// Member is the record of one instance of a daemon.
 type Member struct {
 	VM       dogwoodfleet.VM
 	Instance dogwoodfleet.InstanceID
@@ -68,17 +73,18 @@
 	Serve    netip.AddrPort
 	Peer     netip.AddrPort
 	Admin    netip.AddrPort
-	// Cores is the processor that the daemon has; 0 if unknown.
+	// Cores is the number of processor cores available to the daemon; 0 if unknown.
 	Cores float64
-	// Started is on the daemon's own clock; of two starts on one VM the later counts.
+	// Started is the start time on the daemon's own clock; of two instances on one VM the
+	// later one counts.
 	Started time.Time
-	// Leaving is true when the daemon takes no more new work.
+	// Leaving is true when the daemon accepts no more new work.
 	Leaving bool
 }
 
-// id is short, since it is sent with every beat. Two daemons of one region share an id
-// once in some hundred thousand fleets of today's size; one of them then goes unseen
-// until it starts again.
+// id returns a short id for the record, since it is sent with every heartbeat. Two daemons of
+// one region have the same id in one of some hundred thousand fleets of today's size; one of
+// the two then stays undetected until it restarts.
 func (member Member) id() uint32 {
 	text := string(member.VM) + "\x00" + string(member.Instance)
 	if member.Leaving {
@@ -87,81 +93,85 @@
 	return uint32(xxhash.Sum64String(text))
 }
 
-// later tells whether a member's record replaces the other of the same VM.
-func (member Member) later(other Member) bool {
+// supersedes reports whether the record replaces another one of the same VM.
+func (member Member) supersedes(other Member) bool {
 	if member.Instance == other.Instance {
 		return member.Leaving && !other.Leaving
 	}
 	return member.Started.After(other.Started)
 }
 
-// Neighbours chooses whom a daemon sends its heartbeats. The members are sorted and
-// include self. The choice must be mutual and must connect all.
+// Neighbours selects the daemons to which a daemon sends heartbeats. The members are sorted
+// and include self. The relation must be symmetric and must connect all members.
 type Neighbours interface {
 	Neighbours(self dogwoodfleet.VM, members []dogwoodfleet.VM) []dogwoodfleet.VM
 }
 
-// Options configure members.
+// Options configures Members.
 type Options struct {
 	Self Member
-	// Silence is 0 for DefaultSilence.
+	// Silence defaults to DefaultSilence if 0.
 	Silence time.Duration
-	// Neighbours is nil for all, the full mesh.
+	// Neighbours may be nil for a full mesh.
 	Neighbours Neighbours
-	// Logger is nil for none.
+	// Logger may be nil to disable logging.
 	Logger hclog.Logger
 }
 
-// Members is what one daemon knows of the others. It is safe for concurrent use.
+// Members holds what one daemon knows about the others. It is safe for concurrent use.
 type Members struct {
 	options Options
 	alive   atomic.Pointer[[]Member]
 	fleet   atomic.Pointer[fleet]
 
-	mutex   sync.Mutex
-	self    Member
-	counter uint32
-	peers   map[dogwoodfleet.VM]*peer
-	ids     map[uint32]dogwoodfleet.VM // of known records
-	retired map[uint32]time.Time       // ids of records that were replaced
-	listed  []dogwoodfleet.ListedVM
-	view    dogwoodchange.View
-	leaving map[dogwoodfleet.EndpointID]time.Time // by the endpoint's own word, and when it last said so
-	changed chan struct{}
-	ticked  time.Time
-	// urgent has the next beat go to all neighbours, also to those that beat this daemon.
+	mutex    sync.Mutex
+	self     Member
+	counter  uint32
+	peers    map[dogwoodfleet.VM]*peer
+	vmsByID  map[uint32]dogwoodfleet.VM // by the ids of current records
+	retired  map[uint32]time.Time       // when the records with these ids were replaced
+	listed   []dogwoodfleet.ListedVM
+	view     dogwoodchange.View
+	leaving  map[dogwoodfleet.EndpointID]time.Time // when each endpoint last reported that it is leaving
+	changed  chan struct{}
+	lastTick time.Time
+	// urgent makes the next heartbeat go to all neighbours, also to those that send heartbeats
+	// to this daemon.
 	urgent bool
-	// lost is when a start of a daemon was last replaced or forgotten, with all it knew.
-	lost time.Time
+	// lastLoss is when an instance of a daemon was last replaced or dropped, and the state in
+	// its memory lost with it.
+	lastLoss time.Time
 }
 
-// peer is another daemon, listed, heard or both.
+// peer is another daemon that is listed, was introduced, or both.
 type peer struct {
 	vm      dogwoodfleet.VM
 	address netip.AddrPort
 	region  dogwoodfleet.Region
 	listed  bool
-	// known is true once the record of this start is known.
-	known   bool
-	record  Member
-	counter uint32
-	// heard is when the latest count was news at the daemon that heard it directly.
-	heard time.Time
-	// sought is when it was first tried, tried when it was last.
-	sought, tried time.Time
-	// called is when its latest beat came here.
-	called time.Time
-	// learnt is when it was introduced: until it is heard or listed, it is remembered from then.
-	learnt time.Time
+	// hasRecord is true once record is set.
+	hasRecord bool
+	record    Member
+	counter   uint32
+	// lastSeen is when the daemon that received the latest count directly received it.
+	lastSeen time.Time
+	// firstProbe and lastProbe are when the peer was first and last probed while silent.
+	firstProbe, lastProbe time.Time
+	// lastCall is when the peer last sent a heartbeat to this daemon.
+	lastCall time.Time
+	// introduced is when the peer's record was first received. The peer is kept for peerTTL
+	// from then, even if it is neither listed nor sends heartbeats.
+	introduced time.Time
 }
 
-// fleet is what is derived from the list and the changes.
+// fleet holds the platform's list and the endpoints derived from it and the operators'
+// changes.
 type fleet struct {
 	listed    []dogwoodfleet.ListedVM
 	endpoints []dogwoodfleet.Endpoint
 }
 
-// New returns members that know only of themselves.
+// New returns Members that contain only this daemon.
 func New(options Options) *Members {
 	if options.Silence == 0 {
 		options.Silence = DefaultSilence
@@ -173,7 +183,7 @@
 		options: options,
 		self:    options.Self,
 		peers:   map[dogwoodfleet.VM]*peer{},
-		ids:     map[uint32]dogwoodfleet.VM{},
+		vmsByID: map[uint32]dogwoodfleet.VM{},
 		retired: map[uint32]time.Time{},
 		leaving: map[dogwoodfleet.EndpointID]time.Time{},
 		changed: make(chan struct{}),
@@ -190,21 +200,21 @@
 	return members.self
 }
 
-// Alive returns the daemons that live, this one included, in the order of their VMs'
-// names. Callers must not change the slice.
+// Alive returns the living daemons, this one included, sorted by VM name. Callers must not
+// change the slice.
 func (members *Members) Alive() []Member {
 	return *members.alive.Load()
 }
 
-// Lost returns when a start of another daemon was last replaced or forgotten, and what it
-// held in memory with it; zero for never.
+// Lost returns when an instance of another daemon was last replaced or dropped, and the state
+// in its memory lost with it. It returns the zero time if that never happened.
 func (members *Members) Lost() time.Time {
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
-	return members.lost
+	return members.lastLoss
 }
 
-// AliveInstance tells whether that start of a daemon lives.
+// AliveInstance reports whether an instance of a daemon is alive.
 func (members *Members) AliveInstance(instance dogwoodfleet.InstanceID) bool {
 	return slices.ContainsFunc(members.Alive(), func(member Member) bool { return member.Instance == instance })
 }
@@ -216,56 +226,59 @@
 	return members.changed
 }
 
-// Leave marks this daemon as leaving; its neighbours learn it with the next beat.
+// Leave marks this daemon as leaving. The next heartbeat notifies all neighbours.
 func (members *Members) Leave() {
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
 	members.self.Leaving = true
 	members.urgent = true
-	members.refresh(time.Now())
+	members.refreshAlive(time.Now())
 }
 
-// Tick looks at the ages of all news.
+// Tick updates the living daemons by the ages of the updates about them, and drops expired
+// records.
 func (members *Members) Tick(now time.Time) {
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
-	members.forgivePause(now)
-	members.forget(now)
-	members.forgetLeaving(now)
-	members.refresh(now)
+	members.compensatePause(now)
+	members.dropExpired(now)
+	members.expireLeaving(now)
+	members.refreshAlive(now)
 }
 
-// forgivePause guards against this daemon's own pause: it wakes, finds all news old, takes
-// all others for dead and itself for the owner of every endpoint. A late tick shows that
-// the silence was its own, so the news is aged only by the time that it was awake.
-func (members *Members) forgivePause(now time.Time) {
-	late := now.Sub(members.ticked) - TickEvery
-	if !members.ticked.IsZero() && late > BeatEvery {
+// compensatePause prevents wrong results after a pause of this daemon's process: all updates
+// would be old, so the daemon would consider all others dead and itself the owner of every
+// endpoint. A late tick shows such a pause; the updates that were recent before the pause
+// are then aged only by the time that the process was running. The caller holds the mutex.
+func (members *Members) compensatePause(now time.Time) {
+	late := now.Sub(members.lastTick) - TickEvery
+	if !members.lastTick.IsZero() && late > BeatEvery {
 		for _, peer := range members.peers {
-			if peer.heard.After(members.ticked.Add(-members.options.Silence)) {
-				peer.heard = peer.heard.Add(late)
+			if peer.lastSeen.After(members.lastTick.Add(-members.options.Silence)) {
+				peer.lastSeen = peer.lastSeen.Add(late)
 			}
 		}
 	}
-	members.ticked = now
+	members.lastTick = now
 }
 
-// forget drops peers that are neither listed nor heard, and old ids.
-func (members *Members) forget(now time.Time) {
+// dropExpired drops peers that are neither listed nor send heartbeats, and old ids. The caller
+// holds the mutex.
+func (members *Members) dropExpired(now time.Time) {
 	for vm, peer := range members.peers {
-		if !peer.listed && now.Sub(peer.heard) > forgetAfter && now.Sub(peer.learnt) > forgetAfter {
-			if peer.known {
-				members.lost = now
+		if !peer.listed && now.Sub(peer.lastSeen) > peerTTL && now.Sub(peer.introduced) > peerTTL {
+			if peer.hasRecord {
+				members.lastLoss = now
 			}
 			delete(members.peers, vm)
-			delete(members.ids, peer.record.id())
+			delete(members.vmsByID, peer.record.id())
 		}
 	}
-	maps.DeleteFunc(members.retired, func(_ uint32, at time.Time) bool { return now.Sub(at) > forgetAfter })
+	maps.DeleteFunc(members.retired, func(_ uint32, at time.Time) bool { return now.Sub(at) > peerTTL })
 }
 
-// refresh publishes the living daemons if they changed. The caller holds the mutex.
-func (members *Members) refresh(now time.Time) {
+// refreshAlive publishes the living daemons if they changed. The caller holds the mutex.
+func (members *Members) refreshAlive(now time.Time) {
 	living := []Member{members.self}
 	for _, peer := range members.peers {
 		if members.isAlive(peer, now) {
@@ -277,16 +290,17 @@
 	if slices.Equal(before, living) {
 		return
 	}
-	members.logDifference(before, living)
+	members.logAliveChanges(before, living)
 	members.alive.Store(&living)
-	members.announce()
+	members.notifyWatchers()
 }
 
+// isAlive reports whether the peer's latest update is young enough. The caller holds the mutex.
 func (members *Members) isAlive(peer *peer, now time.Time) bool {
-	return peer.known && now.Sub(peer.heard) <= members.options.Silence
+	return peer.hasRecord && now.Sub(peer.lastSeen) <= members.options.Silence
 }
 
-func (members *Members) logDifference(before, after []Member) {
+func (members *Members) logAliveChanges(before, after []Member) {
 	for _, member := range after {
 		if !slices.Contains(before, member) {
 			members.options.Logger.Info("Daemon is alive.", "vm", member.VM, "leaving", member.Leaving)
@@ -300,7 +314,9 @@
 	}
 }
 
-func (members *Members) announce() {
+// notifyWatchers closes the channel returned by Watch and replaces it. The caller holds the
+// mutex.
+func (members *Members) notifyWatchers() {
 	close(members.changed)
 	members.changed = make(chan struct{})
 }
--- a/core/state/dogwoodtable/table.go
+++ b/core/state/dogwoodtable/table.go
@@ -1,7 +1,7 @@
-// Package dogwoodtable is the contract between the state machines and the platform's
-// table service: rows with versions, conditional writes, and three kinds of failure
-// that a writer must tell apart. The edge package dogwoodplatform fulfils it over HTTP.
-// Each state package declares the small interface of the calls that it makes.
+// Package dogwoodtable defines the types shared by the state packages and the client of the
+// platform's table service: rows with versions, conditional writes, and three kinds of
+// failure that a writer must distinguish. The edge package dogwoodplatform implements the
+// client over HTTP. Each state package declares a small interface with the calls that it makes.
 package dogwoodtable
 
 import (
@@ -15,10 +15,10 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("table")
 
-// MaxWrites bounds the writes of one transaction.
+// MaxWrites is the maximum number of writes in one transaction.
 const MaxWrites = 64
 
-// Row is one row as it was read. Versions grow over the whole service: a row that is
+// Row is a row as it was read. Versions increase across the whole service: a row that is
 // deleted and inserted again has a higher version than before.
 type Row struct {
 	Key     string
@@ -26,20 +26,20 @@
 	Value   []byte
 }
 
-// Write is one conditional write. The zero Version asks that the row be absent;
-// any other asks that the row has just this version.
+// Write is a conditional write. If Version is 0, the row must not exist; otherwise the row
+// must have exactly this version.
 type Write struct {
 	Table   string
 	Key     string
 	Version uint64
 	Value   []byte
 	Delete  bool
-	// KeepFor is how long the service keeps the row after this write; 0 means for ever.
+	// KeepFor is how long the service keeps the row after this write; 0 means without limit.
 	KeepFor time.Duration
 }
 
 // Range selects rows in byte order of their keys: After < key <= Through.
-// An empty Through has no upper bound.
+// An empty Through means no upper bound.
 type Range struct {
 	Table   string
 	After   string
@@ -47,8 +47,8 @@
 	Limit   int
 }
 
-// Unavailable tells that the call certainly had no effect: it was not sent, or the
-// service refused it before it began.
+// Unavailable is the error that a call certainly had no effect: it was not sent, or the
+// service refused it before processing began.
 type Unavailable struct {
 	Cause error
 }
@@ -59,7 +59,8 @@
 
 func (unavailable *Unavailable) Unwrap() error { return unavailable.Cause }
 
-// Unknown tells that a write may have taken effect, or may yet: its answer was lost.
+// Unknown is the error that a write may have taken effect or may still do so, since its
+// response was lost.
 type Unknown struct {
 	Cause error
 }
@@ -70,9 +71,9 @@
 
 func (unknown *Unknown) Unwrap() error { return unknown.Cause }
 
-// Conflict tells that conditions failed and nothing was written.
+// Conflict is the error that conditions of a call's writes failed and nothing was written.
 type Conflict struct {
-	// Failed are the places, in the call's list of writes, of those whose condition failed.
+	// Failed holds the indexes, in the call's list of writes, of those whose condition failed.
 	Failed []int
 }
 
--- a/core/state/dogwoodview/view.go
+++ b/core/state/dogwoodview/view.go
@@ -1,12 +1,12 @@
-// Package dogwoodview is what a daemon believes of the operators' text, of the places that
-// are taken out and of the endpoints, where endpoints announce themselves in a store and
-// the text lies whole in one row.
+// Package dogwoodview holds a daemon's view of the operators' text, of the data centres that
+// are taken out and of the endpoints. It is for stores in which endpoints register
+// themselves and the whole text is in one row.
 //
-// It only moves forward: a text older than the one in force is never applied, whatever an
-// old read says. Entries of endpoints lapse when these can't renew them, also while the
-// store itself is away; so after the daemon lost the store, an entry that is missing is
-// kept for a moment, in which a living endpoint is back. Without that every outage of the
-// store would end with a moment without any endpoint.
+// A text older than the one in force is never applied, so a stale read can't bring back an
+// old text. Entries of endpoints expire when the endpoints can't renew them, also because
+// the store itself is unavailable. After an outage of the store, the view therefore keeps
+// missing entries for a moment, in which living endpoints register again. Otherwise the
+// daemon would have no endpoints for a moment after every outage.
 package dogwoodview
 
 import (
@@ -24,22 +24,23 @@
 )
 
 const (
-	// lapseGrace is how long an entry that is missing after an outage is kept: living
-	// endpoints are back within some two seconds, and one that has really left must get
-	// nothing for longer than that.
-	lapseGrace = 1700 * time.Millisecond
-	// outage is how long the store must have been away for entries to have lapsed. It counts
-	// from the last answer before the first question that failed.
-	outage = time.Second
-	// outageEcho is how long after an outage missing entries are put down to it, and kept at
-	// most: by then a living endpoint is back. An entry that goes missing near its end, and is
-	// heard of late, was kept for longer than an endpoint that leaves serves on.
-	outageEcho = 2500 * time.Millisecond
-	// linesAtOnce is how many entries that come at once have a log line each.
-	linesAtOnce = 25
+	// expiryGrace is how long an entry that is missing after an outage is kept. Living
+	// endpoints register again within about two seconds, and an endpoint that has really
+	// left must not get work for longer than that.
+	expiryGrace = 1700 * time.Millisecond
+	// minOutage is the shortest outage of the store in which entries can expire, measured from
+	// the last answer before the first failed query.
+	minOutage = time.Second
+	// outageWindow is how long after an outage missing entries are attributed to it, and also
+	// the latest time until which they are kept: by then living endpoints have registered again.
+	// Without the second limit, an entry that was removed near the end of the window and whose
+	// removal was received late was kept for longer than a leaving endpoint continues to serve.
+	outageWindow = 2500 * time.Millisecond
+	// maxEntryLogLines is the largest number of entries in one call that are logged one by one.
+	maxEntryLogLines = 25
 )
 
-// Server is an endpoint's own entry.
+// Server is the entry that an endpoint registers for itself.
 type Server struct {
 	ID       dogwoodfleet.EndpointID
 	Instance dogwoodfleet.InstanceID
@@ -47,51 +48,53 @@
 	Endpoint dogwoodfleet.Endpoint
 	Slots    int
 	Draining bool
-	// Cold is how much longer it stays cold.
+	// Cold is the remaining time for which the endpoint is cold.
 	Cold time.Duration
 }
 
-// entry is a server with what was noted of it.
+// entry is a server with the times derived from its changes.
 type entry struct {
 	Server
 	coldUntil time.Time
-	// goneAt is when a missing entry counts as gone; zero while it is there.
-	goneAt time.Time
+	// removeAt is when a missing entry is removed; zero while the entry exists.
+	removeAt time.Time
 }
 
-// Options are what a view is made from.
+// Options configures a View.
 type Options struct {
-	// Changed is called with the endpoints after each change.
+	// Changed is called with all endpoints after each change.
 	Changed func(endpoints []dogwoodpacking.Endpoint)
 	Logger  hclog.Logger
 }
 
-// View is safe for concurrent use.
+// View holds the operators' text, the data centres that are taken out and the endpoints. It
+// is safe for concurrent use.
 type View struct {
 	options Options
 	table   atomic.Pointer[dogwoodroute.Table]
 
-	mutex    sync.Mutex
-	servers  map[dogwoodfleet.EndpointID]*entry
-	out      map[dogwoodfleet.DataCentre]bool
-	answered time.Time
-	lost     bool // the last question about endpoints failed
-	returned time.Time
-	// level is that of the log lines of single entries.
-	level hclog.Level
+	mutex       sync.Mutex
+	servers     map[dogwoodfleet.EndpointID]*entry
+	takenOut    map[dogwoodfleet.DataCentre]bool
+	lastAnswer  time.Time
+	queryFailed bool // the last query for endpoints failed
+	outageEnd   time.Time
+	// entryLogLevel is the level of the log lines about single entries.
+	entryLogLevel hclog.Level
 }
 
-// New returns a view that knows nothing.
+// New returns a View without text and endpoints.
 func New(options Options) *View {
-	return &View{options: options, level: hclog.Info, servers: map[dogwoodfleet.EndpointID]*entry{}, out: map[dogwoodfleet.DataCentre]bool{}}
+	return &View{options: options, entryLogLevel: hclog.Info, servers: map[dogwoodfleet.EndpointID]*entry{}, takenOut: map[dogwoodfleet.DataCentre]bool{}}
 }
 
-// Table returns the text in force, nil before the first.
+// Table returns the table of the operators' text in force, nil before the first text.
 func (view *View) Table() *dogwoodroute.Table {
 	return view.table.Load()
 }
 
-// SetTable takes in a text unless a newer one is in force.
+// SetTable puts the table of an operators' text in force unless the one in force has the same
+// or a newer version.
 func (view *View) SetTable(table *dogwoodroute.Table) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
@@ -100,36 +103,36 @@
 	}
 	view.table.Store(table)
 	view.options.Logger.Info("Text in force.", "version", table.Version)
-	view.rebuild()
+	view.publishEndpoints()
 }
 
-// SetOut notes whether a data centre is taken out.
+// SetOut records whether a data centre is taken out.
 func (view *View) SetOut(dataCentre dogwoodfleet.DataCentre, out bool) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
-	if view.out[dataCentre] == out {
+	if view.takenOut[dataCentre] == out {
 		return
 	}
 	if out {
-		view.out[dataCentre] = true
+		view.takenOut[dataCentre] = true
 	} else {
-		delete(view.out, dataCentre)
+		delete(view.takenOut, dataCentre)
 	}
 	view.options.Logger.Info("Data centre taken out or back.", "datacentre", dataCentre, "out", out)
-	view.rebuild()
+	view.publishEndpoints()
 }
 
-// OnlyOut notes that no other data centres than these are taken out.
+// OnlyOut records that exactly these data centres are taken out.
 func (view *View) OnlyOut(dataCentres []dogwoodfleet.DataCentre) {
 	view.mutex.Lock()
-	var back []dogwoodfleet.DataCentre
-	for known := range view.out {
+	var restored []dogwoodfleet.DataCentre
+	for known := range view.takenOut {
 		if !slices.Contains(dataCentres, known) {
-			back = append(back, known)
+			restored = append(restored, known)
 		}
 	}
 	view.mutex.Unlock()
-	for _, dataCentre := range back {
+	for _, dataCentre := range restored {
 		view.SetOut(dataCentre, false)
 	}
 	for _, dataCentre := range dataCentres {
@@ -137,132 +140,137 @@
 	}
 }
 
-// Lost notes that a question about the endpoints failed.
+// Lost records that a query for the endpoints failed.
 func (view *View) Lost() {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
-	view.lost = true
+	view.queryFailed = true
 }
 
-// Answered notes that a question about the endpoints was answered, and so whether the
-// store was away before. Answers that are seconds apart show no outage by themselves: the
-// store holds a question back until something changes.
+// Answered records that a query for the endpoints was answered, and whether this ends an
+// outage of the store. Answers that are seconds apart are no sign of an outage: the store
+// holds a query until something changes.
 func (view *View) Answered(now time.Time) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
-	if view.lost && now.Sub(view.answered) > outage {
-		view.returned = now
+	if view.queryFailed && now.Sub(view.lastAnswer) > minOutage {
+		view.outageEnd = now
 	}
-	view.answered, view.lost = now, false
+	view.lastAnswer, view.queryFailed = now, false
 }
 
-// logMany has many entries that come at once logged in one line, until the returned function
-// is called: a daemon that starts would else write a line for each of thousands of endpoints.
-func (view *View) logMany(entries int) func() {
-	if entries <= linesAtOnce {
+// limitEntryLogs logs many entries of one call in one line and reduces the log level of single
+// entries until the returned function is called. Otherwise a daemon that starts would write a
+// line for each of thousands of endpoints. The caller holds the mutex.
+func (view *View) limitEntryLogs(entries int) func() {
+	if entries <= maxEntryLogLines {
 		return func() {}
 	}
 	view.options.Logger.Info("Endpoints' entries read.", "entries", entries, "known", len(view.servers))
-	view.level = hclog.Debug
-	return func() { view.level = hclog.Info }
+	view.entryLogLevel = hclog.Debug
+	return func() { view.entryLogLevel = hclog.Info }
 }
 
 // Change is one change of an endpoint's entry.
 type Change struct {
 	Server Server
-	// Gone means that the entry of that ID is gone.
+	// Gone is true if the entry with the ID of Server was removed from the store.
 	Gone bool
 }
 
-// Apply takes in changes of entries in their order. The endpoints are handed on once: a fleet of
-// thousands that registers within seconds would otherwise have each daemon rebuild its list of
-// thousands for each of them.
+// Apply applies changes of entries in order and publishes the endpoints once for all of them.
+// If thousands of endpoints register within seconds, each daemon would otherwise rebuild its
+// list of thousands of endpoints for each of them.
 func (view *View) Apply(now time.Time, changes []Change) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
-	defer view.logMany(len(changes))()
+	defer view.limitEntryLogs(len(changes))()
 	for _, change := range changes {
 		if change.Gone {
-			view.remove(now, change.Server.ID)
+			view.removeServer(now, change.Server.ID)
 		} else {
-			view.set(now, change.Server)
+			view.setServer(now, change.Server)
 		}
 	}
 	if len(changes) > 0 {
-		view.rebuild()
+		view.publishEndpoints()
 	}
 }
 
-func (view *View) set(now time.Time, server Server) {
+// setServer adds or replaces an entry. The caller holds the mutex.
+func (view *View) setServer(now time.Time, server Server) {
 	known := view.servers[server.ID]
 	if known == nil || known.Instance != server.Instance || known.Draining != server.Draining {
-		view.options.Logger.Log(view.level, "Endpoint seen.", "endpoint", server.ID, "service", server.Service,
+		view.options.Logger.Log(view.entryLogLevel, "Endpoint seen.", "endpoint", server.ID, "service", server.Service,
 			"draining", server.Draining, "cold", server.Cold)
 	}
-	made := &entry{Server: server, coldUntil: now.Add(server.Cold)}
-	view.servers[server.ID] = made
+	updated := &entry{Server: server, coldUntil: now.Add(server.Cold)}
+	view.servers[server.ID] = updated
 }
 
-func (view *View) remove(now time.Time, id dogwoodfleet.EndpointID) {
+// removeServer removes a missing entry, or marks it for later removal if it probably expired in
+// an outage of the store. The caller holds the mutex.
+func (view *View) removeServer(now time.Time, id dogwoodfleet.EndpointID) {
 	known := view.servers[id]
-	if known == nil || !known.goneAt.IsZero() {
+	if known == nil || !known.removeAt.IsZero() {
 		return
 	}
-	afterOutage := !view.returned.IsZero() && now.Sub(view.returned) < outageEcho
+	afterOutage := !view.outageEnd.IsZero() && now.Sub(view.outageEnd) < outageWindow
 	if afterOutage && !known.Draining {
-		known.goneAt = earlier(now.Add(lapseGrace), view.returned.Add(outageEcho))
-		view.options.Logger.Log(view.level, "Endpoint's entry lapsed in an outage.", "endpoint", id)
+		known.removeAt = earlier(now.Add(expiryGrace), view.outageEnd.Add(outageWindow))
+		view.options.Logger.Log(view.entryLogLevel, "Endpoint's entry lapsed in an outage.", "endpoint", id)
 		return
 	}
 	delete(view.servers, id)
-	view.options.Logger.Log(view.level, "Endpoint gone.", "endpoint", id)
+	view.options.Logger.Log(view.entryLogLevel, "Endpoint gone.", "endpoint", id)
 }
 
-func earlier(one, other time.Time) time.Time {
-	if one.Before(other) {
-		return one
+func earlier(a, b time.Time) time.Time {
+	if a.Before(b) {
+		return a
 	}
-	return other
+	return b
 }
 
-// SetServers takes in all entries at once.
+// SetServers replaces all entries. An entry that is not in servers is handled as in Apply when
+// it is gone.
 func (view *View) SetServers(now time.Time, servers []Server) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
-	defer view.logMany(len(servers))()
-	there := map[dogwoodfleet.EndpointID]bool{}
+	defer view.limitEntryLogs(len(servers))()
+	present := map[dogwoodfleet.EndpointID]bool{}
 	for _, server := range servers {
-		there[server.ID] = true
-		view.set(now, server)
+		present[server.ID] = true
+		view.setServer(now, server)
 	}
 	for id := range view.servers {
-		if !there[id] {
-			view.remove(now, id)
+		if !present[id] {
+			view.removeServer(now, id)
 		}
 	}
-	view.rebuild()
+	view.publishEndpoints()
 }
 
-// Tick drops entries that did not come back.
+// Tick removes missing entries that were not registered again in time.
 func (view *View) Tick(now time.Time) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
-	dropped := false
+	removed := false
 	for id, entry := range view.servers {
-		if !entry.goneAt.IsZero() && now.After(entry.goneAt) {
+		if !entry.removeAt.IsZero() && now.After(entry.removeAt) {
 			delete(view.servers, id)
-			dropped = true
+			removed = true
 			view.options.Logger.Info("Endpoint gone.", "endpoint", id, "after", "an outage of the store")
 		}
 	}
-	if dropped {
-		view.rebuild()
+	if removed {
+		view.publishEndpoints()
 	}
 }
 
-// rebuild hands on the endpoints. The caller holds the mutex, so that they are handed on
-// in the order of their changes.
-func (view *View) rebuild() {
+// publishEndpoints builds the list of endpoints and passes it to Options.Changed. The caller
+// holds the mutex, so that the lists are passed in the order of the changes.
+func (view *View) publishEndpoints() {
 	table := view.table.Load()
 	if table == nil {
 		return
@@ -274,12 +282,12 @@
 			continue
 		}
 		endpoint := entry.Endpoint
-		endpoint.InForce = !entry.Draining && !view.out[endpoint.Place.DataCentre]
+		endpoint.InForce = !entry.Draining && !view.takenOut[endpoint.Place.DataCentre]
 		endpoints = append(endpoints, dogwoodpacking.Endpoint{
 			Endpoint: endpoint, Slots: entry.Slots, Engine: service.Engine,
 			ColdPerSecond: service.ColdPerSecond, ColdUntil: entry.coldUntil,
 		})
 	}
-	slices.SortFunc(endpoints, func(one, other dogwoodpacking.Endpoint) int { return cmp.Compare(one.ID, other.ID) })
+	slices.SortFunc(endpoints, func(a, b dogwoodpacking.Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	view.options.Changed(endpoints)
 }
--- a/core/state/dogwoodview/view_test.go
+++ b/core/state/dogwoodview/view_test.go
@@ -13,14 +13,14 @@
 )
 
 type fixture struct {
-	view *View
-	last []dogwoodpacking.Endpoint
+	view      *View
+	endpoints []dogwoodpacking.Endpoint
 }
 
 func newFixture() *fixture {
 	fixture := &fixture{}
 	fixture.view = New(Options{
-		Changed: func(endpoints []dogwoodpacking.Endpoint) { fixture.last = endpoints }, Logger: hclog.NewNullLogger(),
+		Changed: func(endpoints []dogwoodpacking.Endpoint) { fixture.endpoints = endpoints }, Logger: hclog.NewNullLogger(),
 	})
 	fixture.view.SetTable(table(5))
 	return fixture
@@ -45,20 +45,20 @@
 	fixture.view.Apply(now, []Change{{Server: Server{ID: id}, Gone: true}})
 }
 
-// inForce lists the endpoints that may get work.
+// inForce returns the joined IDs of the endpoints that may get work.
 func (fixture *fixture) inForce() string {
-	listed := ""
-	for _, endpoint := range fixture.last {
+	ids := ""
+	for _, endpoint := range fixture.endpoints {
 		if endpoint.InForce {
-			listed += string(endpoint.ID)
+			ids += string(endpoint.ID)
 		}
 	}
-	return listed
+	return ids
 }
 
-// An old read of the store shows a text from before a key was withdrawn. If it were
+// A stale read of the store returns a text from before a key was withdrawn. If this text were
 // applied, the key would be accepted again.
-func TestAnOlderTextIsNeverApplied(t *testing.T) {
+func TestOlderTextIsNeverApplied(t *testing.T) {
 	fixture := newFixture()
 	fixture.view.SetTable(table(9))
 	fixture.view.SetTable(table(7))
@@ -67,29 +67,30 @@
 	}
 }
 
-// The store is away for seconds and entries lapse meanwhile. When it is back the endpoints
-// still serve, but their entries are missing for a moment. Without a grace the service
-// would have no endpoint; with an endless one a dead endpoint would get work for ever.
-func TestEntriesLapseInAnOutage(t *testing.T) {
+// The store is unavailable for seconds, and entries expire. When the store is available again,
+// the endpoints still serve, but their entries are missing for a moment. Without a grace period
+// the service would have no endpoints; with an unlimited one a dead endpoint would get work for
+// ever.
+func TestEntriesExpireInOutage(t *testing.T) {
 	fixture := newFixture()
 	start := time.Now()
 	fixture.view.Answered(start)
 	fixture.view.SetServers(start, []Server{server("x"), server("y")})
 	fixture.view.Lost()
-	back := start.Add(8 * time.Second)
-	fixture.view.Answered(back)
-	fixture.view.SetServers(back, nil)
+	outageEnd := start.Add(8 * time.Second)
+	fixture.view.Answered(outageEnd)
+	fixture.view.SetServers(outageEnd, nil)
 	if got, want := fixture.inForce(), "xy"; got != want {
 		t.Errorf("just after the outage: got %q, want %q", got, want)
 	}
-	fixture.set(back.Add(time.Second), server("x"))
-	fixture.view.Tick(back.Add(lapseGrace + time.Millisecond))
+	fixture.set(outageEnd.Add(time.Second), server("x"))
+	fixture.view.Tick(outageEnd.Add(expiryGrace + time.Millisecond))
 	if got, want := fixture.inForce(), "x"; got != want {
-		t.Errorf("after the grace: got %q, want %q", got, want)
+		t.Errorf("after the grace period: got %q, want %q", got, want)
 	}
 }
 
-// An endpoint leaves while the store is well: it must get no new work from then on.
+// An endpoint leaves while the store is available. It must get no new work from then on.
 func TestEntriesThatLeave(t *testing.T) {
 	fixture := newFixture()
 	now := time.Now()
@@ -105,30 +106,31 @@
 	}
 }
 
-// One daemon was turned away by the store. Two and a half seconds after its return an endpoint
-// leaves, which the daemon hears 0.4 s late, since it gathers changes. Put down to the outage
-// for the usual time, it got requests for more than the two seconds for which it serves on.
-func TestAnEntryIsNotPutDownToAnOutageForLong(t *testing.T) {
+// The store rejected the queries of one daemon for a while. Two seconds after this outage an
+// endpoint leaves. The daemon learns of it 0.4 s late, since changes are batched. If the missing
+// entry were kept for the whole grace period, the endpoint would get requests for more than the
+// two seconds for which it continues to serve.
+func TestEntryIsNotAttributedToOutageForLong(t *testing.T) {
 	fixture := newFixture()
 	start := time.Now()
 	fixture.view.Answered(start)
 	fixture.view.SetServers(start, []Server{server("x"), server("y")})
 	fixture.view.Lost()
-	returned := start.Add(7 * time.Second)
-	fixture.view.Answered(returned)
-	const late, servesOn = 400 * time.Millisecond, 2 * time.Second
-	left := returned.Add(2050 * time.Millisecond)
+	outageEnd := start.Add(7 * time.Second)
+	fixture.view.Answered(outageEnd)
+	const late, drainTime = 400 * time.Millisecond, 2 * time.Second
+	left := outageEnd.Add(2050 * time.Millisecond)
 	fixture.remove(left.Add(late), "x")
-	fixture.view.Tick(left.Add(servesOn))
+	fixture.view.Tick(left.Add(drainTime))
 	if got, want := fixture.inForce(), "y"; got != want {
 		t.Errorf("got %q two seconds after an endpoint left, want %q", got, want)
 	}
 }
 
-// Nothing changes for seconds, so that the store's answers are seconds apart, and then
-// endpoints die. Callers would be sent to dead endpoints for almost two seconds more if the
-// quiet were taken for an outage.
-func TestAQuietStoreIsNoOutage(t *testing.T) {
+// Nothing changes for seconds, so the store's answers are seconds apart, and then an endpoint
+// dies. If the time without changes were treated as an outage, callers would be sent to the
+// dead endpoint for almost two seconds more.
+func TestStoreWithoutChangesIsNoOutage(t *testing.T) {
 	fixture := newFixture()
 	now := time.Now()
 	fixture.view.Answered(now)
@@ -161,29 +163,29 @@
 	other := server("x")
 	other.Service = "other"
 	fixture.set(time.Now(), other)
-	if got := len(fixture.last); got != 0 {
+	if got := len(fixture.endpoints); got != 0 {
 		t.Errorf("got %d endpoints, want none", got)
 	}
 }
 
-// A fleet of thousands of endpoints registers within seconds. Each daemon built its list of all
-// for each of them, which took small VMs longer than the start of the fleet; an answer of the
-// store must cost one list, however many entries it brings.
-func TestAnAnswerIsTakenInAtOnce(t *testing.T) {
-	rebuilt, endpoints := 0, 0
+// A fleet of thousands of endpoints registers within seconds. Each daemon used to rebuild its list
+// of all endpoints for each of them, which took longer on small VMs than the start of the fleet.
+// An answer of the store must cause only one rebuild, however many entries it contains.
+func TestAnswerPublishesEndpointsOnce(t *testing.T) {
+	lists, endpoints := 0, 0
 	view := New(Options{Logger: hclog.NewNullLogger(), Changed: func(changed []dogwoodpacking.Endpoint) {
-		rebuilt++
+		lists++
 		endpoints = len(changed)
 	}})
 	view.SetTable(table(1))
-	rebuilt = 0
+	lists = 0
 	var changes []Change
 	for i := range 3000 {
 		changes = append(changes, Change{Server: server(fmt.Sprint("e", i))})
 	}
 	changes = append(changes, Change{Server: Server{ID: "e7"}, Gone: true})
 	view.Apply(time.Now(), changes)
-	if rebuilt != 1 || endpoints != 2999 {
-		t.Errorf("got %d lists, the last of %d endpoints, want one of 2999", rebuilt, endpoints)
+	if lists != 1 || endpoints != 2999 {
+		t.Errorf("got %d lists, the last of %d endpoints, want one of 2999", lists, endpoints)
 	}
 }
