--- a/core/dogwooddaemon/admin.go
+++ b/core/dogwooddaemon/admin.go
@@ -25,22 +25,22 @@
 }
 
 const (
-	// adminHeaderTime and adminIdleTime bound slow and idle operators' connections.
-	adminHeaderTime = 5 * time.Second
-	adminIdleTime   = time.Minute
+	// adminHeaderTimeout and adminIdleTimeout limit operators' slow and idle connections.
+	adminHeaderTimeout = 5 * time.Second
+	adminIdleTimeout   = time.Minute
 )
 
 var errNotReady = errors.New("the operators' changes are not learnt yet")
 
-// startAdmin answers operators from the start, also while the daemon is not ready to
-// serve callers: its status is then what they want to see.
+// startAdmin serves operators' requests even while the daemon isn't ready to serve callers,
+// because operators need its status then.
 func startAdmin(ctx context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*http.Server], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
 	members := dogwoodkernel.Need[members](&needs, pluginMembers)
 	platform := dogwoodkernel.Need[*dogwoodplatform.Client](&needs, pluginPlatform)
 	burn := dogwoodkernel.Need[*dogwoodburnkeeper.Keeper](&needs, pluginBurn)
-	owning := dogwoodkernel.Need[*owning](&needs, pluginOwner)
+	ownership := dogwoodkernel.Need[*ownership](&needs, pluginOwner)
 	if needs.Err != nil {
 		return nil, needs.Err
 	}
@@ -49,7 +49,7 @@
 		Key: environment.adminKey, Changes: changes, Burn: burn,
 		Overview:    overview{changes: changes, members: members, platform: platform},
 		Entries:     adminEntries{entries: entries{members: members, place: environment.place}},
-		Convictions: convictions{owner: owning.local},
+		Convictions: convictions{owner: ownership.local},
 		Ready: func() error {
 			if !changes.ready() {
 				return errNotReady
@@ -63,7 +63,7 @@
 		return nil, err
 	}
 	server := &http.Server{
-		Handler: handler, ReadHeaderTimeout: adminHeaderTime, IdleTimeout: adminIdleTime,
+		Handler: handler, ReadHeaderTimeout: adminHeaderTimeout, IdleTimeout: adminIdleTimeout,
 		ErrorLog: logger.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
 	}
 	serveHTTP(kernel, pluginAdmin, server, listener)
@@ -82,19 +82,19 @@
 	platform *dogwoodplatform.Client
 }
 
-// Status asks every daemon what it has in force.
+// Status queries every daemon for the version that it has in force.
 func (overview overview) Status(ctx context.Context) dogwoodadminapi.Status {
 	view := overview.changes.Current()
 	status := dogwoodadminapi.Status{
 		Version: view.Version, TextVersion: view.TextVersion, Provisional: len(view.Provisional),
 		OutDataCentres: view.OutDataCentres, OutVMs: view.OutVMs, StoreReachable: overview.platform.TablesAnswer(),
 	}
-	for _, each := range overview.changes.duty.Statuses(ctx) {
-		status.Version = max(status.Version, each.Version)
+	for _, reported := range overview.changes.duty.Statuses(ctx) {
+		status.Version = max(status.Version, reported.Version)
 		daemon := dogwoodadminapi.DaemonStatus{
-			VM: each.VM, Instance: each.Instance, Answers: each.Problem == "", Leaving: each.Leaving, Version: each.Version,
+			VM: reported.VM, Instance: reported.Instance, Answers: reported.Problem == "", Leaving: reported.Leaving, Version: reported.Version,
 		}
-		overview.fillIn(&daemon)
+		overview.addMemberInfo(&daemon)
 		status.Daemons = append(status.Daemons, daemon)
 	}
 	for i := range status.Daemons {
@@ -104,8 +104,9 @@
 	return status
 }
 
-// fillIn adds what the VM list and the heartbeats tell of a daemon.
-func (overview overview) fillIn(daemon *dogwoodadminapi.DaemonStatus) {
+// addMemberInfo adds a daemon's data centre and address from the VM list. If the daemon is
+// alive, its heartbeats override them and give its instance.
+func (overview overview) addMemberInfo(daemon *dogwoodadminapi.DaemonStatus) {
 	for _, vm := range overview.members.Listed() {
 		if vm.Name == daemon.VM {
 			daemon.DataCentre, daemon.Serve = vm.Place.DataCentre, vm.Serve
@@ -137,18 +138,19 @@
 	for _, count := range counts {
 		services = append(services, *count)
 	}
-	slices.SortFunc(services, func(one, other dogwoodadminapi.ServiceStatus) int {
-		return strings.Compare(string(one.Service), string(other.Service))
+	slices.SortFunc(services, func(a, b dogwoodadminapi.ServiceStatus) int {
+		return strings.Compare(string(a.Service), string(b.Service))
 	})
 	return services
 }
 
-// adminEntries tells operators what callers are told.
+// adminEntries shows operators the addresses that callers are given.
 type adminEntries struct {
 	entries entries
 }
 
-// Entry draws the addresses for callers near a data centre.
+// Entry draws addresses as for callers in the data centre, or for this daemon's own data
+// centre if it is empty.
 func (admin adminEntries) Entry(dataCentre dogwoodfleet.DataCentre) dogwoodadminapi.Entry {
 	entries := admin.entries
 	if dataCentre != "" {
@@ -158,17 +160,17 @@
 	return dogwoodadminapi.Entry{Addresses: drawn.Addresses, KeepSeconds: drawn.KeepSeconds}
 }
 
-// convictions lists what the owner refuses.
+// convictions lists the requests that the local owner refuses as crashing.
 type convictions struct {
 	owner *dogwoodowner.Owner
 }
 
-// Convictions lists the requests that are refused because they killed endpoints.
+// Convictions returns the requests that are refused because endpoints died running them.
 func (convictions convictions) Convictions() []dogwoodadminapi.Conviction {
 	known := convictions.owner.Convictions()
 	listed := make([]dogwoodadminapi.Conviction, len(known))
-	for i, convict := range known {
-		listed[i] = dogwoodadminapi.Conviction{Digest: hex.EncodeToString(convict.Digest[:]), Expires: convict.Until}
+	for i, conviction := range known {
+		listed[i] = dogwoodadminapi.Conviction{Digest: hex.EncodeToString(conviction.Digest[:]), Expires: conviction.Until}
 	}
 	return listed
 }
--- a/core/dogwooddaemon/burn.go
+++ b/core/dogwooddaemon/burn.go
@@ -13,7 +13,7 @@
 
 func startBurn(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*dogwoodburnkeeper.Keeper], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
-	peer := dogwoodkernel.Need[*peer](&needs, pluginPeer)
+	peer := dogwoodkernel.Need[*peerRPC](&needs, pluginPeer)
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
 	members := dogwoodkernel.Need[members](&needs, pluginMembers)
 	if needs.Err != nil {
@@ -24,7 +24,7 @@
 			VM: environment.settings.VM, Instance: environment.instance, Peer: environment.settings.Peer,
 		},
 		Caller:  peer,
-		Members: func() []dogwoodburnkeeper.Member { return burnMembers(members, environment) },
+		Members: func() []dogwoodburnkeeper.Member { return otherBurnMembers(members, environment) },
 		Text:    changes.Text,
 		Logger:  kernel.Named(pluginBurn),
 	})
@@ -40,7 +40,8 @@
 	}}, nil
 }
 
-func burnMembers(members members, environment *environment) []dogwoodburnkeeper.Member {
+// otherBurnMembers lists the other daemons that are alive.
+func otherBurnMembers(members members, environment *environment) []dogwoodburnkeeper.Member {
 	var others []dogwoodburnkeeper.Member
 	for _, member := range members.Members.Alive() {
 		if member.VM != environment.settings.VM {
--- a/core/dogwooddaemon/caller.go
+++ b/core/dogwooddaemon/caller.go
@@ -17,10 +17,10 @@
 	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginCaller, []string{pluginDispatch, pluginBurn}, startCaller))
 }
 
-// keepEntry is how long callers keep the addresses they were told. A daemon that leaves
-// serves for this long after it left the list, so it is the least time of a graceful
-// shutdown; and it is how long a caller may go on trying a dead one.
-const keepEntry = 5 * time.Second
+// entryTTL is how long callers may use the addresses that they were given. A daemon that
+// shuts down keeps serving for this long after it left the list, so a graceful shutdown
+// takes at least this time. A caller may also use the address of a dead daemon for this long.
+const entryTTL = 5 * time.Second
 
 func startCaller(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*dogwoodcaller.Edge], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
@@ -38,18 +38,18 @@
 	return &dogwoodkernel.Made[*dogwoodcaller.Edge]{Value: edge}, nil
 }
 
-// entries tells callers which addresses to use.
+// entries chooses the addresses that callers are given.
 type entries struct {
 	members members
 	place   dogwoodfleet.Place
 }
 
-// Entry draws addresses from the members alive.
+// Entry draws addresses at random from the live daemons.
 func (entries entries) Entry(dogwoodfleet.Customer) dogwoodcaller.Entry {
 	listed := entries.members.Entries()
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	return dogwoodcaller.Entry{
 		Addresses:   dogwoodentry.Choose(listed, entries.place, dogwoodentry.Addresses, random),
-		KeepSeconds: int(keepEntry / time.Second),
+		KeepSeconds: int(entryTTL / time.Second),
 	}
 }
--- a/core/dogwooddaemon/changes.go
+++ b/core/dogwooddaemon/changes.go
@@ -16,7 +16,7 @@
 	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginChanges, []string{pluginPeer, pluginPlatform, pluginMembers}, startChanges))
 }
 
-// changes is the log of the operators' changes and the duty that spreads it.
+// changes is the log of the operators' changes and the duty that propagates them.
 type changes struct {
 	*dogwoodchange.Log
 	duty *dogwoodchanges.Duty
@@ -25,7 +25,7 @@
 func startChanges(_ context.Context, kernel *dogwoodkernel.Kernel, _ *environment) (*dogwoodkernel.Made[*changes], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	platform := dogwoodkernel.Need[*dogwoodplatform.Client](&needs, pluginPlatform)
-	peer := dogwoodkernel.Need[*peer](&needs, pluginPeer)
+	peer := dogwoodkernel.Need[*peerRPC](&needs, pluginPeer)
 	members := dogwoodkernel.Need[members](&needs, pluginMembers)
 	if needs.Err != nil {
 		return nil, needs.Err
@@ -40,23 +40,23 @@
 	return &dogwoodkernel.Made[*changes]{Value: &changes{Log: log, duty: duty}}, nil
 }
 
-// Submit has a change accepted, and answers when another daemon has it too.
+// Submit submits a change and returns once another daemon has it too.
 func (changes *changes) Submit(ctx context.Context, change dogwoodchange.Change) (dogwoodchange.Accepted, error) {
 	return changes.duty.Submit(ctx, change)
 }
 
-// noText is in force before operators have applied one: no services, no customers.
-var noText = &dogwoodsettings.Text{}
+// emptyText is in force until operators apply a text; it has no services and no customers.
+var emptyText = &dogwoodsettings.Text{}
 
 // Text returns the operators' text in force.
 func (changes *changes) Text() *dogwoodsettings.Text {
 	if text := changes.Current().Text; text != nil {
 		return text
 	}
-	return noText
+	return emptyText
 }
 
-// ready reports whether this daemon has the highest state of the store and its peers.
+// ready reports whether this daemon has the latest version known to the store and its peers.
 func (changes *changes) ready() bool {
 	select {
 	case <-changes.duty.Ready():
@@ -66,8 +66,8 @@
 	}
 }
 
-// followLifts hands convictions that operators lifted to the owner, each once.
-func (changes *changes) followLifts(ctx context.Context, lift func(ctx context.Context, digest dogwoodfleet.Digest)) error {
+// applyLifts calls lift once for each conviction that operators lifted, until the context ends.
+func (changes *changes) applyLifts(ctx context.Context, lift func(ctx context.Context, digest dogwoodfleet.Digest)) error {
 	var version uint64
 	for {
 		changed := changes.Watch()
--- a/core/dogwooddaemon/claims.go
+++ b/core/dogwooddaemon/claims.go
@@ -18,7 +18,7 @@
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	platform := dogwoodkernel.Need[*dogwoodplatform.Client](&needs, pluginPlatform)
 	members := dogwoodkernel.Need[members](&needs, pluginMembers)
-	peer := dogwoodkernel.Need[*peer](&needs, pluginPeer)
+	peer := dogwoodkernel.Need[*peerRPC](&needs, pluginPeer)
 	if needs.Err != nil {
 		return nil, needs.Err
 	}
@@ -32,27 +32,27 @@
 	}
 	kernel.Go("claims", claims.Run)
 	return &dogwoodkernel.Made[*dogwoodclaim.Claims]{Value: claims, OnStop: func(ctx context.Context) error {
-		return storePostponed(ctx, claims)
+		return awaitPostponed(ctx, claims)
 	}}, nil
 }
 
-// postponedEvery is how often a daemon that leaves looks whether its answers are stored.
-const postponedEvery = 100 * time.Millisecond
+// postponedInterval is how often a daemon that shuts down checks whether its answers are stored.
+const postponedInterval = 100 * time.Millisecond
 
-// postponedFor is how long a daemon that leaves waits for the store: most outages are over
-// by then, and a replacement must not hang on one for hours.
-const postponedFor = 10 * time.Minute
+// postponedTimeout is how long a daemon that shuts down waits for the store: most outages of
+// the store are shorter, and a longer one must not delay a replacement for hours.
+const postponedTimeout = 10 * time.Minute
 
-// storePostponed waits until the answers of calls that ran are in the store: a caller who
-// sends one again would otherwise be told that its outcome is unknown.
-func storePostponed(ctx context.Context, claims *dogwoodclaim.Claims) error {
-	ctx, cancel := context.WithTimeout(ctx, postponedFor)
+// awaitPostponed waits until the answers of calls that ran are stored. Otherwise a caller that
+// retries such a call would get the error that its outcome is unknown.
+func awaitPostponed(ctx context.Context, claims *dogwoodclaim.Claims) error {
+	ctx, cancel := context.WithTimeout(ctx, postponedTimeout)
 	defer cancel()
 	for claims.Postponed() > 0 {
 		select {
 		case <-ctx.Done():
 			return Error.New("%d answers could not be stored", claims.Postponed())
-		case <-time.After(postponedEvery):
+		case <-time.After(postponedInterval):
 		}
 	}
 	return nil
--- a/core/dogwooddaemon/daemon.go
+++ b/core/dogwooddaemon/daemon.go
@@ -1,7 +1,6 @@
-// Package dogwooddaemon puts a daemon together: its plug-ins register themselves with
-// dogwoodkernel here, and Start builds them for one settings file. One process can hold
-// several daemons, each with its own kernel, which is how the local site and the tests
-// run them.
+// Package dogwooddaemon assembles a daemon: its plug-ins register themselves with
+// dogwoodkernel, and Start builds them for one settings file. One process can run several
+// daemons, each with its own kernel, as the local site and the tests do.
 package dogwooddaemon
 
 import (
@@ -22,13 +21,13 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("daemon")
 
-// Network is where a daemon listens and connects. Tests give one of pipes.
+// Network is the network on which a daemon listens and connects. Tests use in-memory pipes.
 type Network interface {
 	Listen(ctx context.Context, address netip.AddrPort) (net.Listener, error)
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Options are what a daemon is started with.
+// Options are the arguments of Start.
 type Options struct {
 	Settings *dogwoodsettings.Daemon
 	// Network is nil for TCP.
@@ -36,15 +35,15 @@
 	Logger  hclog.Logger
 }
 
-// environment is what the plug-ins of one daemon are built from.
+// environment holds the settings and the shared state from which a daemon's plug-ins are built.
 type environment struct {
-	settings *dogwoodsettings.Daemon
-	network  *severable
-	instance dogwoodfleet.InstanceID
-	place    dogwoodfleet.Place
-	adminKey string
-	peerKey  string
-	leaving  *leaving
+	settings   *dogwoodsettings.Daemon
+	network    *severableNetwork
+	instance   dogwoodfleet.InstanceID
+	place      dogwoodfleet.Place
+	adminKey   string
+	peerKey    string
+	leaveHooks *leaveHooks
 }
 
 // Daemon is a running daemon.
@@ -52,26 +51,26 @@
 	kernel      *dogwoodkernel.Kernel
 	environment *environment
 	cancel      context.CancelFunc
-	stop        sync.Once
-	stopped     error
+	stopOnce    sync.Once
+	stopErr     error
 }
 
-// Start starts a daemon. It serves until Stop, Kill or the end of the context.
+// Start starts a daemon, which serves until Stop, Kill or the end of the context.
 func Start(ctx context.Context, options Options) (*Daemon, error) {
 	environment, err := newEnvironment(options)
 	if err != nil {
 		return nil, err
 	}
 	logger := options.Logger.With("vm", environment.settings.VM)
-	running, cancel := context.WithCancel(ctx)
+	runCtx, cancel := context.WithCancel(ctx)
 	daemon := &Daemon{
-		kernel:      dogwoodkernel.New(running, logger, environment),
+		kernel:      dogwoodkernel.New(runCtx, logger, environment),
 		environment: environment,
 		cancel:      cancel,
 	}
-	if err := daemon.kernel.Start(running, pluginServe); err != nil {
+	if err := daemon.kernel.Start(runCtx, pluginServe); err != nil {
 		cancel()
-		return nil, errs.Combine(Error.Wrap(err), daemon.kernel.Stop(running))
+		return nil, errs.Combine(Error.Wrap(err), daemon.kernel.Stop(runCtx))
 	}
 	logger.Info("started", "instance", environment.instance, "serve", environment.settings.Serve)
 	return daemon, nil
@@ -89,94 +88,95 @@
 	}
 	network := options.Network
 	if network == nil {
-		network = tcp{}
+		network = tcpNetwork{}
 	}
 	return &environment{
-		settings: settings,
-		network:  newSeverable(network),
-		instance: dogwoodfleet.InstanceID(string(settings.VM) + "." + uuid.NewString()[:8]),
-		place:    dogwoodfleet.Place{Region: settings.Region, DataCentre: settings.DataCentre},
-		adminKey: adminKey,
-		peerKey:  peerKey,
-		leaving:  &leaving{},
+		settings:   settings,
+		network:    newSeverableNetwork(network),
+		instance:   dogwoodfleet.InstanceID(string(settings.VM) + "." + uuid.NewString()[:8]),
+		place:      dogwoodfleet.Place{Region: settings.Region, DataCentre: settings.DataCentre},
+		adminKey:   adminKey,
+		peerKey:    peerKey,
+		leaveHooks: &leaveHooks{},
 	}, nil
 }
 
-// Instance names this start of the daemon.
+// Instance returns the ID of this instance, which differs at every start of the daemon.
 func (daemon *Daemon) Instance() dogwoodfleet.InstanceID {
 	return daemon.environment.instance
 }
 
-// Wait returns when a duty has failed or the context has ended.
+// Wait blocks until a duty fails, the daemon stops or the context ends.
 func (daemon *Daemon) Wait(ctx context.Context) {
 	daemon.kernel.Wait(ctx)
 }
 
-// Stop shuts the daemon down gracefully: no request is cut as long as the context allows.
+// Stop shuts the daemon down gracefully: running requests finish unless the context ends first.
 func (daemon *Daemon) Stop(ctx context.Context) error {
-	daemon.stop.Do(func() {
-		daemon.environment.leaving.begin()
-		daemon.stopped = Error.Wrap(daemon.kernel.Stop(ctx))
+	daemon.stopOnce.Do(func() {
+		daemon.environment.leaveHooks.run()
+		daemon.stopErr = Error.Wrap(daemon.kernel.Stop(ctx))
 		daemon.cancel()
 	})
-	return daemon.stopped
+	return daemon.stopErr
 }
 
-// Kill ends the daemon at once, as a crash does: its connections close and it says nothing
-// more to anyone.
+// Kill ends the daemon at once, as a crash does: all connections close, and no other process
+// is notified.
 func (daemon *Daemon) Kill() {
 	daemon.environment.network.sever()
 	daemon.cancel()
-	ended, cancel := context.WithCancel(context.Background())
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = daemon.Stop(ended) // a crash tells nobody how it went
+	_ = daemon.Stop(cancelled) // a crash reports no error
 }
 
-// tcp is the ordinary network.
-type tcp struct{}
+// tcpNetwork is the Network of a daemon started without one.
+type tcpNetwork struct{}
 
 // Listen listens on a TCP address.
-func (tcp) Listen(ctx context.Context, address netip.AddrPort) (net.Listener, error) {
+func (tcpNetwork) Listen(ctx context.Context, address netip.AddrPort) (net.Listener, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", address.String())
 	return listener, Error.Wrap(err)
 }
 
 // DialContext connects over TCP.
-func (tcp) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+func (tcpNetwork) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	var dialer net.Dialer
 	conn, err := dialer.DialContext(ctx, network, address)
-	return conn, err // unwrapped: net/http looks for the errors of net
+	return conn, err // not wrapped: net/http checks for errors of package net
 }
 
-// leaving is the daemon's own word that it is shutting down.
-type leaving struct {
-	mutex   sync.Mutex
-	begun   bool
-	actions []func()
+// leaveHooks holds the functions to call when the daemon begins to shut down.
+type leaveHooks struct {
+	mutex sync.Mutex
+	done  bool
+	hooks []func()
 }
 
-// whenBegun adds what is to be done when the daemon begins to leave.
-func (leaving *leaving) whenBegun(action func()) {
-	leaving.mutex.Lock()
-	defer leaving.mutex.Unlock()
-	leaving.actions = append(leaving.actions, action)
+// add registers a function to call when the daemon begins to shut down.
+func (leaveHooks *leaveHooks) add(hook func()) {
+	leaveHooks.mutex.Lock()
+	defer leaveHooks.mutex.Unlock()
+	leaveHooks.hooks = append(leaveHooks.hooks, hook)
 }
 
-func (leaving *leaving) begin() {
-	leaving.mutex.Lock()
-	actions := leaving.actions
-	if leaving.begun {
-		actions = nil
+// run calls the hooks; only the first call does so.
+func (leaveHooks *leaveHooks) run() {
+	leaveHooks.mutex.Lock()
+	hooks := leaveHooks.hooks
+	if leaveHooks.done {
+		hooks = nil
 	}
-	leaving.begun = true
-	leaving.mutex.Unlock()
-	for _, action := range actions {
-		action()
+	leaveHooks.done = true
+	leaveHooks.mutex.Unlock()
+	for _, hook := range hooks {
+		hook()
 	}
 }
 
-// MembersAlive returns how many daemons this one knows to be alive, itself among them.
+// MembersAlive returns how many daemons are alive in this daemon's view, including itself.
 func (daemon *Daemon) MembersAlive() int {
 	members, err := dogwoodkernel.Use[members](daemon.kernel, pluginMembers)
 	if err != nil {
@@ -185,7 +185,7 @@
 	return len(members.Members.Alive())
 }
 
-// Serves reports whether the daemon is ready and has a text to serve by.
+// Serves reports whether the daemon is ready and the operators' text in force has a service.
 func (daemon *Daemon) Serves() bool {
 	changes, err := dogwoodkernel.Use[*changes](daemon.kernel, pluginChanges)
 	return err == nil && changes.ready() && len(changes.Text().Services) > 0
--- a/core/dogwooddaemon/dispatch.go
+++ b/core/dogwooddaemon/dispatch.go
@@ -18,24 +18,24 @@
 
 func startDispatch(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*dogwooddispatch.Dispatcher], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
-	owning := dogwoodkernel.Need[*owning](&needs, pluginOwner)
+	ownership := dogwoodkernel.Need[*ownership](&needs, pluginOwner)
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
 	client := dogwoodkernel.Need[*dogwoodengine.Client](&needs, pluginEngine)
-	taken := dogwoodkernel.Need[*dogwoodclaim.Claims](&needs, pluginClaims)
+	claims := dogwoodkernel.Need[*dogwoodclaim.Claims](&needs, pluginClaims)
 	quotas := dogwoodkernel.Need[*dogwoodquotas.Quotas](&needs, pluginQuotas)
 	if needs.Err != nil {
 		return nil, needs.Err
 	}
 	dispatcher := dogwooddispatch.New(dogwooddispatch.Options{
-		Self: environment.instance, Place: environment.place, Text: changes.Text, Slots: quotas.Limited(owning.owners),
-		Engines: engines{client: client}, Services: services{client: owning.plain}, Claims: claims{claims: taken},
-		Down: owning.owners.Down, Logger: kernel.Named(pluginDispatch),
+		Self: environment.instance, Place: environment.place, Text: changes.Text, Slots: quotas.Limited(ownership.owners),
+		Engines: dispatchEngines{client: client}, Services: dispatchServices{client: ownership.serviceClient}, Claims: dispatchClaims{claims: claims},
+		Down: ownership.owners.Down, Logger: kernel.Named(pluginDispatch),
 	})
 	return &dogwoodkernel.Made[*dogwooddispatch.Dispatcher]{Value: dispatcher}, nil
 }
 
-// claims makes the claims' outcomes the dispatcher's.
-type claims struct {
+// dispatchClaims adapts the claims and their outcomes to the dispatcher.
+type dispatchClaims struct {
 	claims *dogwoodclaim.Claims
 }
 
@@ -43,9 +43,9 @@
 	return dogwoodclaim.Key{Customer: key.Customer, Service: key.Service, Key: key.Key}
 }
 
-// Take claims a key for a try.
-func (claims claims) Take(ctx context.Context, key dogwooddispatch.ClaimKey, digest dogwoodfleet.Digest, try string) (dogwooddispatch.Claim, error) {
-	taken, err := claims.claims.Take(ctx, claimKey(key), digest, try)
+// Take claims a key for an attempt.
+func (claims dispatchClaims) Take(ctx context.Context, key dogwooddispatch.ClaimKey, digest dogwoodfleet.Digest, attempt string) (dogwooddispatch.Claim, error) {
+	taken, err := claims.claims.Take(ctx, claimKey(key), digest, attempt)
 	var unavailable *dogwoodclaim.Unavailable
 	if errors.As(err, &unavailable) && unavailable.EarlierUnknown {
 		return dogwooddispatch.Claim{}, &dogwooddispatch.EarlierUnknown{Cause: err}
@@ -71,13 +71,13 @@
 	return claim, nil
 }
 
-// Finish keeps an answer.
-func (claims claims) Finish(ctx context.Context, key dogwooddispatch.ClaimKey, try string, answer *dogwooddispatch.WholeAnswer) error {
+// Finish stores an attempt's answer.
+func (claims dispatchClaims) Finish(ctx context.Context, key dogwooddispatch.ClaimKey, attempt string, answer *dogwooddispatch.WholeAnswer) error {
 	stored := dogwoodclaim.Answer{Status: answer.Status, Header: answer.Header, Body: answer.Body}
-	return Error.Wrap(claims.claims.Finish(ctx, claimKey(key), try, stored))
+	return Error.Wrap(claims.claims.Finish(ctx, claimKey(key), attempt, stored))
 }
 
-// Free gives a key back.
-func (claims claims) Free(ctx context.Context, key dogwooddispatch.ClaimKey, try string) error {
-	return Error.Wrap(claims.claims.Free(ctx, claimKey(key), try))
+// Free releases a key.
+func (claims dispatchClaims) Free(ctx context.Context, key dogwooddispatch.ClaimKey, attempt string) error {
+	return Error.Wrap(claims.claims.Free(ctx, claimKey(key), attempt))
 }
--- a/core/dogwooddaemon/engine.go
+++ b/core/dogwooddaemon/engine.go
@@ -24,49 +24,51 @@
 	}}, nil
 }
 
-// engines makes the engine client's errors the dispatcher's.
-type engines struct {
+// dispatchEngines adapts the engine client and its errors to the dispatcher.
+type dispatchEngines struct {
 	client *dogwoodengine.Client
 }
 
-// Start sends a request to an engine.
-func (engines engines) Start(ctx context.Context, endpoint dogwoodfleet.Endpoint, run dogwooddispatch.Run) (dogwooddispatch.Stream, error) {
+// Start sends a request to an engine and returns the stream of its events.
+func (engines dispatchEngines) Start(ctx context.Context, endpoint dogwoodfleet.Endpoint, run dogwooddispatch.Run) (dogwooddispatch.Stream, error) {
 	started, err := engines.client.Start(ctx, endpoint, dogwoodengine.Run{
 		ID: run.ID, Path: run.Path, Body: run.Body, Priority: run.Priority, Budget: run.Budget, Gang: run.Gang,
 		PromptTokens: run.PromptTokens, MaxTokens: run.MaxTokens, LoadID: run.LoadID,
 	})
 	if err != nil {
-		return nil, engineFailure(err)
+		return nil, dispatchError(err)
 	}
-	return &stream{Stream: started}, nil
+	return &dispatchStream{Stream: started}, nil
 }
 
-// Cancel ends a request at an engine.
-func (engines engines) Cancel(ctx context.Context, endpoint dogwoodfleet.Endpoint, id dogwoodfleet.RequestID) error {
+// Cancel cancels a request at an engine.
+func (engines dispatchEngines) Cancel(ctx context.Context, endpoint dogwoodfleet.Endpoint, id dogwoodfleet.RequestID) error {
 	return Error.Wrap(engines.client.Cancel(ctx, endpoint, id))
 }
 
-type stream struct {
+// dispatchStream adapts an engine's stream and its errors to the dispatcher.
+type dispatchStream struct {
 	*dogwoodengine.Stream
 }
 
-// Next returns the next event.
-func (stream *stream) Next(ctx context.Context) (dogwooddispatch.Event, error) {
+// Next returns the next event, or io.EOF at the end of the stream.
+func (stream *dispatchStream) Next(ctx context.Context) (dogwooddispatch.Event, error) {
 	event, err := stream.Stream.Next(ctx)
 	if errors.Is(err, io.EOF) {
 		return dogwooddispatch.Event{}, io.EOF
 	}
 	if err != nil {
-		return dogwooddispatch.Event{}, engineFailure(err)
+		return dogwooddispatch.Event{}, dispatchError(err)
 	}
 	return dogwooddispatch.Event{Index: event.Index, Data: event.Data}, nil
 }
 
-func engineFailure(err error) error {
-	var started *dogwoodengine.NotStarted
+// dispatchError converts an error of the engine client to one of the dispatcher.
+func dispatchError(err error) error {
+	var notStarted *dogwoodengine.NotStarted
 	var answered *dogwoodengine.Answered
 	switch {
-	case errors.As(err, &started):
+	case errors.As(err, &notStarted):
 		return &dogwooddispatch.NotStarted{Cause: err}
 	case errors.As(err, &answered):
 		return &dogwooddispatch.Answered{Status: answered.Status, Body: answered.Body}
@@ -75,21 +77,21 @@
 	}
 }
 
-// services makes the plain-service client's errors the dispatcher's.
-type services struct {
+// dispatchServices adapts the plain-service client and its errors to the dispatcher.
+type dispatchServices struct {
 	client *dogwoodservice.Client
 }
 
-// Do sends a call.
-func (services services) Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, order dogwooddispatch.ServiceOrder) (*dogwooddispatch.ServiceAnswer, error) {
+// Do sends a call to a plain service.
+func (services dispatchServices) Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, order dogwooddispatch.ServiceOrder) (*dogwooddispatch.ServiceAnswer, error) {
 	response, err := services.client.Do(ctx, endpoint, dogwoodservice.Order{ //nolint:bodyclose // the dispatcher closes it
 		ID: order.ID, Method: order.Method, Target: order.Target, Header: order.Header, Body: order.Body,
 	})
 	if err == nil {
 		return &dogwooddispatch.ServiceAnswer{Status: response.StatusCode, Header: response.Header, Body: response.Body}, nil
 	}
-	var unsent *dogwoodservice.NotSentError
-	if errors.As(err, &unsent) {
+	var notSent *dogwoodservice.NotSentError
+	if errors.As(err, &notSent) {
 		return nil, &dogwooddispatch.NotStarted{Cause: err}
 	}
 	return nil, &dogwooddispatch.Broken{Cause: err}
--- a/core/dogwooddaemon/members.go
+++ b/core/dogwooddaemon/members.go
@@ -19,22 +19,24 @@
 	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginMembers, []string{pluginPeer, pluginPlatform}, startMembers))
 }
 
-// members tells who is alive and which endpoints there are.
+// members lists the live daemons and the endpoints.
 type members struct {
 	*dogwoodmember.Members
-	// alive is the last answer of Alive, so that equal answers are one slice.
-	alive *atomic.Pointer[aliveMembers]
+	// alive caches the last result of Alive, so that Alive returns the same slice while the
+	// members are unchanged.
+	alive *atomic.Pointer[aliveCache]
 }
 
-type aliveMembers struct {
-	known   []dogwoodmember.Member
+// aliveCache holds a list of members and its converted form.
+type aliveCache struct {
+	source  []dogwoodmember.Member
 	members []dogwooddispatch.Member
 }
 
 func startMembers(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[members], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	platform := dogwoodkernel.Need[*dogwoodplatform.Client](&needs, pluginPlatform)
-	peer := dogwoodkernel.Need[*peer](&needs, pluginPeer)
+	peer := dogwoodkernel.Need[*peerRPC](&needs, pluginPeer)
 	if needs.Err != nil {
 		return nil, needs.Err
 	}
@@ -51,34 +53,34 @@
 	if err := peer.server.Register(dogwoodmembership.Name, duty.Receiver()); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	environment.leaving.whenBegun(duty.Leave)
+	environment.leaveHooks.add(duty.Leave)
 	kernel.Go("membership", duty.Run)
-	return &dogwoodkernel.Made[members]{Value: members{Members: known, alive: &atomic.Pointer[aliveMembers]{}}}, nil
+	return &dogwoodkernel.Made[members]{Value: members{Members: known, alive: &atomic.Pointer[aliveCache]{}}}, nil
 }
 
-// neighbours chooses by the number of daemons: all while they are few.
+// neighbours selects a daemon's neighbours: all daemons while there are few, else some of them.
 type neighbours struct{}
 
-// Neighbours returns whom the daemon sends its heartbeats.
+// Neighbours returns the daemons to which a daemon sends its heartbeats.
 func (neighbours) Neighbours(self dogwoodfleet.VM, members []dogwoodfleet.VM) []dogwoodfleet.VM {
 	return dogwoodtopology.Neighbours(self, members)
 }
 
-// Alive lists the daemons alive, this one among them.
+// Alive lists the live daemons, including this one.
 func (members members) Alive() []dogwooddispatch.Member {
 	known := members.Members.Alive()
-	if last := members.alive.Load(); last != nil && len(last.known) == len(known) && &last.known[0] == &known[0] {
-		return last.members
+	if cached := members.alive.Load(); cached != nil && len(cached.source) == len(known) && &cached.source[0] == &known[0] {
+		return cached.members
 	}
 	alive := make([]dogwooddispatch.Member, len(known))
 	for i, member := range known {
 		alive[i] = dogwooddispatch.Member{Instance: member.Instance, Place: member.Place, Peer: member.Peer, Leaving: member.Leaving}
 	}
-	members.alive.Store(&aliveMembers{known: known, members: alive})
+	members.alive.Store(&aliveCache{source: known, members: alive})
 	return alive
 }
 
-// Entries lists the daemons as callers may be told of them.
+// Entries lists the daemons whose addresses callers may be given.
 func (members members) Entries() []dogwoodentry.Member {
 	known := members.Members.Alive()
 	entries := make([]dogwoodentry.Member, len(known))
--- a/core/dogwooddaemon/network.go
+++ b/core/dogwooddaemon/network.go
@@ -7,11 +7,11 @@
 	"sync"
 )
 
-// severable is a network whose listeners and connections can all be closed at once, as
+// severableNetwork is a network whose listeners and connections can all be closed at once, as
 // the end of a process closes them. Several daemons share a process in tests and on the
-// local site; without it a daemon that is killed there would still say goodbye to its
-// engines and peers, which a crash does not.
-type severable struct {
+// local site; without severableNetwork, a daemon killed there would still notify its engines
+// and peers, which a crashed one doesn't.
+type severableNetwork struct {
 	Network
 
 	mutex   sync.Mutex
@@ -19,110 +19,112 @@
 	open    map[interface{ Close() error }]struct{}
 }
 
-func newSeverable(network Network) *severable {
-	return &severable{Network: network, open: map[interface{ Close() error }]struct{}{}}
+func newSeverableNetwork(network Network) *severableNetwork {
+	return &severableNetwork{Network: network, open: map[interface{ Close() error }]struct{}{}}
 }
 
-// sever closes all and refuses what comes after.
-func (network *severable) sever() {
+// sever closes all open listeners and connections and rejects new ones.
+func (network *severableNetwork) sever() {
 	network.mutex.Lock()
 	network.severed = true
 	open := network.open
 	network.open = nil
 	network.mutex.Unlock()
-	for each := range open {
-		_ = each.Close() // a crash tells nobody
+	for closer := range open {
+		_ = closer.Close() // Kill simulates a crash, which reports no errors
 	}
 }
 
-// keep remembers what is open, or closes it if the network is severed.
-func (network *severable) keep(opened interface{ Close() error }) error {
+// track records an open listener or connection, or closes it if the network is severed.
+func (network *severableNetwork) track(closer interface{ Close() error }) error {
 	network.mutex.Lock()
 	severed := network.severed
 	if !severed {
-		network.open[opened] = struct{}{}
+		network.open[closer] = struct{}{}
 	}
 	network.mutex.Unlock()
 	if severed {
-		_ = opened.Close() // it forgets itself, which takes the mutex
+		_ = closer.Close() // Close calls untrack, which locks the mutex
 		return net.ErrClosed
 	}
 	return nil
 }
 
-func (network *severable) forget(closed interface{ Close() error }) {
+func (network *severableNetwork) untrack(closer interface{ Close() error }) {
 	network.mutex.Lock()
 	defer network.mutex.Unlock()
-	delete(network.open, closed)
+	delete(network.open, closer)
 }
 
-// Listen listens until it is closed or severed.
-func (network *severable) Listen(ctx context.Context, address netip.AddrPort) (net.Listener, error) {
+// Listen returns a listener that sever closes.
+func (network *severableNetwork) Listen(ctx context.Context, address netip.AddrPort) (net.Listener, error) {
 	listener, err := network.Network.Listen(ctx, address)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	kept := &severableListener{Listener: listener, network: network}
-	if err := network.keep(kept); err != nil {
+	tracked := &severableListener{Listener: listener, network: network}
+	if err := network.track(tracked); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	return kept, nil
+	return tracked, nil
 }
 
-// DialContext connects unless severed.
-func (network *severable) DialContext(ctx context.Context, kind, address string) (net.Conn, error) {
+// DialContext returns a connection that sever closes.
+func (network *severableNetwork) DialContext(ctx context.Context, kind, address string) (net.Conn, error) {
 	conn, err := network.Network.DialContext(ctx, kind, address)
 	if err != nil {
-		return nil, err // unwrapped: net/http looks for the errors of net
+		return nil, err // not wrapped: net/http checks for errors of package net
 	}
-	return network.conn(conn)
+	return network.trackConn(conn)
 }
 
-func (network *severable) conn(conn net.Conn) (net.Conn, error) {
-	kept := &severableConn{Conn: conn, network: network}
-	if err := network.keep(kept); err != nil {
+// trackConn returns the connection wrapped so that sever closes it.
+func (network *severableNetwork) trackConn(conn net.Conn) (net.Conn, error) {
+	tracked := &severableConn{Conn: conn, network: network}
+	if err := network.track(tracked); err != nil {
 		return nil, err
 	}
-	return kept, nil
+	return tracked, nil
 }
 
 type severableListener struct {
 	net.Listener
-	network *severable
+	network *severableNetwork
 }
 
 // Accept waits for a connection.
 func (listener *severableListener) Accept() (net.Conn, error) {
 	conn, err := listener.Listener.Accept()
 	if err != nil {
-		return nil, err // unwrapped: net/http looks for the errors of net
+		return nil, err // not wrapped: net/http checks for errors of package net
 	}
-	return listener.network.conn(conn)
+	return listener.network.trackConn(conn)
 }
 
-// Close ends the listener.
+// Close closes the listener.
 func (listener *severableListener) Close() error {
-	listener.network.forget(listener)
+	listener.network.untrack(listener)
 	return listener.Listener.Close()
 }
 
 type severableConn struct {
 	net.Conn
-	network *severable
+	network *severableNetwork
 }
 
 // Close closes the connection.
 func (conn *severableConn) Close() error {
-	conn.network.forget(conn)
+	conn.network.untrack(conn)
 	return conn.Conn.Close()
 }
 
-// CloseWrite ends the sending alone, where the connection can. net/http does it before it
-// closes a connection with unread bytes; a plain close would reset it, and the caller could
-// lose the answer that was just written, such as the refusal of a body that is too large.
+// CloseWrite closes only the sending side, if the connection supports it. net/http does so
+// before it closes a connection with unread bytes: a plain close would reset the connection,
+// and the caller could lose the response just written, such as the rejection of a body that
+// is too large.
 func (conn *severableConn) CloseWrite() error {
-	if half, ok := conn.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if closeWriter, ok := conn.Conn.(interface{ CloseWrite() error }); ok {
+		return closeWriter.CloseWrite()
 	}
 	return nil
 }
--- a/core/dogwooddaemon/orders.go
+++ b/core/dogwooddaemon/orders.go
@@ -35,8 +35,8 @@
 		Self:      environment.instance,
 		Text:      changes.Text,
 		Endpoints: members.Endpoints,
-		Alive:     func() []dogwoodfleet.InstanceID { return staying(members) },
-		Engines:   orderedEngines{client: client},
+		Alive:     func() []dogwoodfleet.InstanceID { return stayingInstances(members) },
+		Engines:   ordersEngines{client: client},
 		Weights:   weights{platform: platform},
 		Leases:    leases,
 		Logger:    logger,
@@ -46,8 +46,8 @@
 	return &dogwoodkernel.Made[*dogwoodorders.Duty]{Value: duty, OnStop: leases.Release}, nil
 }
 
-// staying lists the daemons alive that do not leave.
-func staying(members members) []dogwoodfleet.InstanceID {
+// stayingInstances lists the live daemons that aren't shutting down.
+func stayingInstances(members members) []dogwoodfleet.InstanceID {
 	var instances []dogwoodfleet.InstanceID
 	for _, member := range members.Members.Alive() {
 		if !member.Leaving {
@@ -57,32 +57,32 @@
 	return instances
 }
 
-// orderedEngines makes the engine client's answers the orders duty's.
-type orderedEngines struct {
+// ordersEngines adapts the engine client to the orders duty.
+type ordersEngines struct {
 	client *dogwoodengine.Client
 }
 
-// Report asks what an engine holds.
-func (engines orderedEngines) Report(ctx context.Context, endpoint dogwoodfleet.Endpoint) (dogwoodorders.Report, error) {
+// Report queries an engine for the models and adapters that it holds or loads.
+func (engines ordersEngines) Report(ctx context.Context, endpoint dogwoodfleet.Endpoint) (dogwoodorders.Report, error) {
 	load, err := engines.client.Load(ctx, endpoint)
 	if err != nil {
 		return dogwoodorders.Report{}, Error.Wrap(err)
 	}
-	report := dogwoodorders.Report{Cold: load.Cold, Holds: holding(load.Holds)}
+	report := dogwoodorders.Report{Cold: load.Cold, Holds: placementHolding(load.Holds)}
 	if load.Loading != nil {
-		loading := holding(*load.Loading)
+		loading := placementHolding(*load.Loading)
 		report.Loading = &loading
 	}
 	return report, nil
 }
 
-func holding(told dogwoodengine.Holding) dogwoodplacement.Holding {
-	return dogwoodplacement.Holding{Model: told.Model, Version: told.Version, Adapters: told.Adapters}
+func placementHolding(holding dogwoodengine.Holding) dogwoodplacement.Holding {
+	return dogwoodplacement.Holding{Model: holding.Model, Version: holding.Version, Adapters: holding.Adapters}
 }
 
-// Order states what an engine shall hold. The operators' text names no roles yet, so every
-// engine does both prefill and decode.
-func (engines orderedEngines) Order(ctx context.Context, endpoint dogwoodfleet.Endpoint, fence uint64, wanted dogwoodplacement.Holding) error {
+// Order sends an engine the model and the adapters that it must hold. The operators' text
+// has no roles yet, so every engine does both prefill and decode.
+func (engines ordersEngines) Order(ctx context.Context, endpoint dogwoodfleet.Endpoint, fence uint64, wanted dogwoodplacement.Holding) error {
 	err := engines.client.Order(ctx, endpoint, dogwoodengine.Order{Fence: fence, Wanted: dogwoodengine.Holding{
 		Model: wanted.Model, Version: wanted.Version, Adapters: wanted.Adapters, Role: dogwoodengine.RoleBoth,
 	}})
@@ -93,12 +93,12 @@
 	return Error.Wrap(err)
 }
 
-// weights asks the platform's weight store.
+// weights queries the platform's weight store.
 type weights struct {
 	platform *dogwoodplatform.Client
 }
 
-// Allow tells how long to wait before a load may start.
+// Allow returns how long to wait before a load may start.
 func (weights weights) Allow(ctx context.Context, model dogwoodfleet.Model, version string) (time.Duration, error) {
 	_, err := weights.platform.Weights(ctx, model, version)
 	var limited *dogwoodplatform.RateLimited
--- a/core/dogwooddaemon/owner.go
+++ b/core/dogwooddaemon/owner.go
@@ -14,56 +14,57 @@
 	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginOwner, []string{pluginPeer, pluginChanges, pluginMembers, pluginEngine}, startOwner))
 }
 
-// owning is this daemon's soft owner and its way to those of others.
-type owning struct {
-	local  *dogwoodowner.Owner
-	owners *dogwooddispatch.Owners
-	plain  *dogwoodservice.Client
+// ownership holds this daemon's owner and the clients for the owners of other daemons and
+// for plain services.
+type ownership struct {
+	local         *dogwoodowner.Owner
+	owners        *dogwooddispatch.Owners
+	serviceClient *dogwoodservice.Client
 }
 
-func startOwner(ctx context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*owning], error) {
+func startOwner(ctx context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*ownership], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
-	peer := dogwoodkernel.Need[*peer](&needs, pluginPeer)
+	peer := dogwoodkernel.Need[*peerRPC](&needs, pluginPeer)
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
 	members := dogwoodkernel.Need[members](&needs, pluginMembers)
 	client := dogwoodkernel.Need[*dogwoodengine.Client](&needs, pluginEngine)
 	if needs.Err != nil {
 		return nil, needs.Err
 	}
-	made := &owning{plain: dogwoodservice.New(environment.network.DialContext)}
-	suspects := &suspectPeers{owning: made, members: members, peer: peer, self: environment.instance}
+	started := &ownership{serviceClient: dogwoodservice.New(environment.network.DialContext)}
+	suspects := &suspectPeers{ownership: started, members: members, peer: peer, self: environment.instance}
 	gangs := &dogwooddispatch.Gangs{}
-	made.local = dogwoodowner.New(dogwoodowner.Options{
+	started.local = dogwoodowner.New(dogwoodowner.Options{
 		Text: changes.Text(), Policy: environment.settings.Policy, Place: environment.place, Self: environment.instance,
 		Suspects: suspects, Gangs: gangs,
 	})
-	made.owners = dogwooddispatch.NewOwners(dogwooddispatch.OwnersOptions{
+	started.owners = dogwooddispatch.NewOwners(dogwooddispatch.OwnersOptions{
 		Self: environment.instance, Place: environment.place, Policy: environment.settings.Policy,
 		Text: changes.Text, Members: members,
-		Local: made.local, Caller: peer, Cancel: engines{client: client}.Cancel, Probe: made.plain.Probe,
+		Local: started.local, Caller: peer, Cancel: dispatchEngines{client: client}.Cancel, Probe: started.serviceClient.Probe,
 		Logger: kernel.Named(pluginOwner),
 	})
-	gangs.Owners = made.owners
-	if err := peer.server.Register("Owner", dogwooddispatch.NewReceiver(ctx, made.owners)); err != nil {
+	gangs.Owners = started.owners
+	if err := peer.server.Register("Owner", dogwooddispatch.NewReceiver(ctx, started.owners)); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	kernel.Go("own endpoints", made.owners.KeepOwned)
-	kernel.Go("renew grants", made.owners.KeepGrants)
-	kernel.Go("expire grants", made.owners.KeepExpired)
-	kernel.Go("probe dependencies", made.owners.KeepProbing)
-	kernel.Go("lifted convictions", func(ctx context.Context) error {
-		return changes.followLifts(ctx, made.local.LiftConviction)
+	kernel.Go("own endpoints", started.owners.KeepOwned)
+	kernel.Go("renew grants", started.owners.KeepGrants)
+	kernel.Go("expire grants", started.owners.KeepExpired)
+	kernel.Go("probe dependencies", started.owners.KeepProbing)
+	kernel.Go("apply lifted convictions", func(ctx context.Context) error {
+		return changes.applyLifts(ctx, started.local.LiftConviction)
 	})
-	kernel.Go("known suspects", func(ctx context.Context) error {
+	kernel.Go("fetch suspects", func(ctx context.Context) error {
 		select {
 		case <-changes.duty.Ready():
-			suspects.catchUp(ctx)
+			suspects.fetchNotices(ctx)
 		case <-ctx.Done():
 		}
 		return nil
 	})
-	return &dogwoodkernel.Made[*owning]{Value: made, OnStop: func(context.Context) error {
-		made.owners.Wait()
+	return &dogwoodkernel.Made[*ownership]{Value: started, OnStop: func(context.Context) error {
+		started.owners.Wait()
 		return nil
 	}}, nil
 }
--- a/core/dogwooddaemon/peer.go
+++ b/core/dogwooddaemon/peer.go
@@ -13,23 +13,23 @@
 	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginPeer, nil, startPeer))
 }
 
-// peer is how daemons reach each other.
-type peer struct {
+// peerRPC is the client and the server for the calls between daemons.
+type peerRPC struct {
 	*dogwoodpeer.Client
 	server *dogwoodpeer.Server
 }
 
-func startPeer(ctx context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*peer], error) {
-	dialer := dogwoodpeer.DialerFunc(func(ctx context.Context, peer netip.AddrPort) (net.Conn, error) {
-		return environment.network.DialContext(ctx, "tcp", peer.String())
+func startPeer(ctx context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*peerRPC], error) {
+	dialer := dogwoodpeer.DialerFunc(func(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
+		return environment.network.DialContext(ctx, "tcp", address.String())
 	})
 	logger := kernel.Named(pluginPeer)
-	made := &peer{
+	peer := &peerRPC{
 		Client: dogwoodpeer.NewClient(ctx, environment.peerKey, dialer, logger),
 		server: dogwoodpeer.NewServer(environment.peerKey, logger),
 	}
-	return &dogwoodkernel.Made[*peer]{Value: made, OnStop: func(context.Context) error {
-		made.Close()
+	return &dogwoodkernel.Made[*peerRPC]{Value: peer, OnStop: func(context.Context) error {
+		peer.Close()
 		return nil
 	}}, nil
 }
--- a/core/dogwooddaemon/platform.go
+++ b/core/dogwooddaemon/platform.go
@@ -16,11 +16,11 @@
 	platform := environment.settings.Platform
 	key := ""
 	if platform.Key != (dogwoodsettings.Secret{}) {
-		read, err := platform.Key.Read()
+		contents, err := platform.Key.Read()
 		if err != nil {
 			return nil, Error.Wrap(err)
 		}
-		key = read
+		key = contents
 	}
 	client := dogwoodplatform.New(dogwoodplatform.Options{
 		Tables: platform.Tables, Objects: platform.Objects, VMs: platform.VMs, Weights: platform.Weights,
--- a/core/dogwooddaemon/plugin.go
+++ b/core/dogwooddaemon/plugin.go
@@ -1,6 +1,6 @@
 package dogwooddaemon
 
-// The names of the plug-ins, which are also those of their loggers.
+// The names of the plug-ins and of their loggers.
 const (
 	pluginPlatform  = "platform"
 	pluginPeer      = "peer"
--- a/core/dogwooddaemon/quotas.go
+++ b/core/dogwooddaemon/quotas.go
@@ -13,7 +13,7 @@
 
 func startQuotas(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*dogwoodquotas.Quotas], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
-	peer := dogwoodkernel.Need[*peer](&needs, pluginPeer)
+	peer := dogwoodkernel.Need[*peerRPC](&needs, pluginPeer)
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
 	members := dogwoodkernel.Need[members](&needs, pluginMembers)
 	if needs.Err != nil {
@@ -23,11 +23,11 @@
 		Self: environment.instance, Text: changes.Text, Caller: peer, Logger: kernel.Named(pluginQuotas),
 		Alive: func() []dogwoodquotas.Member {
 			alive := members.Alive()
-			homes := make([]dogwoodquotas.Member, len(alive))
+			quotaMembers := make([]dogwoodquotas.Member, len(alive))
 			for i, member := range alive {
-				homes[i] = dogwoodquotas.Member{Instance: member.Instance, Peer: member.Peer}
+				quotaMembers[i] = dogwoodquotas.Member{Instance: member.Instance, Peer: member.Peer}
 			}
-			return homes
+			return quotaMembers
 		},
 	})
 	if err := peer.server.Register("Quota", dogwoodquotas.NewReceiver(quotas)); err != nil {
--- a/core/dogwooddaemon/reconcile.go
+++ b/core/dogwooddaemon/reconcile.go
@@ -20,55 +20,56 @@
 
 func startReconcile(_ context.Context, kernel *dogwoodkernel.Kernel, _ *environment) (*dogwoodkernel.Made[*dogwoodreconcile.Duty], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
-	owning := dogwoodkernel.Need[*owning](&needs, pluginOwner)
+	ownership := dogwoodkernel.Need[*ownership](&needs, pluginOwner)
 	client := dogwoodkernel.Need[*dogwoodengine.Client](&needs, pluginEngine)
 	members := dogwoodkernel.Need[members](&needs, pluginMembers)
 	if needs.Err != nil {
 		return nil, needs.Err
 	}
 	duty := dogwoodreconcile.New(dogwoodreconcile.Options{
-		Owned:   owning.owners.Owned,
-		Engines: askedEngines{engines: engines{client: client}, members: members.Members},
-		Owner:   toldOwner{Owner: owning.local, owners: owning.owners},
+		Owned:   ownership.owners.Owned,
+		Engines: reconcileEngines{dispatchEngines: dispatchEngines{client: client}, members: members.Members},
+		Owner:   reconcileOwner{Owner: ownership.local, owners: ownership.owners},
 		Logger:  kernel.Named(pluginReconcile),
 	})
 	kernel.Go("reconcile", duty.Run)
 	return &dogwoodkernel.Made[*dogwoodreconcile.Duty]{Value: duty}, nil
 }
 
-// toldOwner is the local owner; what engines tell of themselves goes to its directory too.
-type toldOwner struct {
+// reconcileOwner is the local owner, with load reports sent through the directory of owners.
+type reconcileOwner struct {
 	*dogwoodowner.Owner
 	owners *dogwooddispatch.Owners
 }
 
-// Report passes a report on.
-func (owner toldOwner) Report(id dogwoodfleet.EndpointID, report dogwoodowner.LoadReport) {
+// Report forwards an endpoint's load report.
+func (owner reconcileOwner) Report(id dogwoodfleet.EndpointID, report dogwoodowner.LoadReport) {
 	owner.owners.Report(id, report)
 }
 
-// askedEngines makes the engine client's answers the reconcile duty's.
-type askedEngines struct {
-	engines
+// reconcileEngines adapts the engine client to the reconcile duty.
+type reconcileEngines struct {
+	dispatchEngines
 	members *dogwoodmember.Members
 }
 
-// State asks for the list, which does not lag, and for the report, which does.
-func (asked askedEngines) State(ctx context.Context, endpoint dogwoodfleet.Endpoint) (dogwoodreconcile.State, error) {
-	listed, err := asked.client.State(ctx, endpoint)
+// State queries an engine for its list of requests, which is current, and for its load
+// report, which lags.
+func (engines reconcileEngines) State(ctx context.Context, endpoint dogwoodfleet.Endpoint) (dogwoodreconcile.State, error) {
+	listed, err := engines.client.State(ctx, endpoint)
 	if err != nil {
 		return dogwoodreconcile.State{}, Error.Wrap(err)
 	}
-	asked.members.SetEndpointLeaving(endpoint.ID, listed.Leaving)
+	engines.members.SetEndpointLeaving(endpoint.ID, listed.Leaving)
 	state := dogwoodreconcile.State{
 		Instance:     listed.Instance,
 		Cold:         listed.Cold,
 		MemoryTokens: listed.MemoryTokens,
-		Listed:       listedMemory(&listed, asked.members.AliveInstance),
+		Listed:       listedMemory(&listed, engines.members.AliveInstance),
 	}
-	load, err := asked.client.Load(ctx, endpoint)
+	load, err := engines.client.Load(ctx, endpoint)
 	if err != nil || load.Instance != listed.Instance {
-		return state, nil //nolint:nilerr // the list alone is worth telling
+		return state, nil //nolint:nilerr // the list is useful without the load report
 	}
 	state.Cold = state.Cold || load.Cold
 	if load.Holds.Model != "" {
@@ -94,16 +95,16 @@
 	return listed
 }
 
-// Cache asks for the cache events after a number.
-func (asked askedEngines) Cache(ctx context.Context, endpoint dogwoodfleet.Endpoint, after uint64) (dogwoodreconcile.Cache, error) {
-	answer, gap, err := asked.client.CacheEvents(ctx, endpoint, after)
+// Cache queries an engine for the cache events after a sequence number.
+func (engines reconcileEngines) Cache(ctx context.Context, endpoint dogwoodfleet.Endpoint, after uint64) (dogwoodreconcile.Cache, error) {
+	answer, gap, err := engines.client.CacheEvents(ctx, endpoint, after)
 	if err != nil {
 		return dogwoodreconcile.Cache{}, Error.Wrap(err)
 	}
 	cache := dogwoodreconcile.Cache{Instance: answer.Instance, Gap: gap, Last: answer.Last}
 	for _, event := range answer.Events {
 		if event.Kind == dogwoodengine.CacheCleared {
-			// All that was told before is void, as after a gap; what follows counts again.
+			// Earlier events no longer apply, as after a gap; later ones do.
 			cache.Gap, cache.Events = true, nil
 			continue
 		}
--- a/core/dogwooddaemon/serve.go
+++ b/core/dogwooddaemon/serve.go
@@ -15,28 +15,29 @@
 	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginServe, []string{pluginCaller, pluginAdmin, pluginReconcile, pluginOrders}, startServe))
 }
 
-// startServe opens the addresses once all that answers on them is built.
+// startServe listens on the daemon's addresses, after the plug-ins that handle the requests
+// are started.
 func startServe(ctx context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*http.Server], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	edge := dogwoodkernel.Need[*dogwoodcaller.Edge](&needs, pluginCaller)
-	peer := dogwoodkernel.Need[*peer](&needs, pluginPeer)
+	peer := dogwoodkernel.Need[*peerRPC](&needs, pluginPeer)
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
 	if needs.Err != nil {
 		return nil, needs.Err
 	}
-	peers, err := environment.network.Listen(ctx, environment.settings.Peer)
+	peerListener, err := environment.network.Listen(ctx, environment.settings.Peer)
 	if err != nil {
 		return nil, err
 	}
-	kernel.Go("peers", func(ctx context.Context) error { return peer.server.Serve(ctx, peers) })
+	kernel.Go("peers", func(ctx context.Context) error { return peer.server.Serve(ctx, peerListener) })
 	listener, err := environment.network.Listen(ctx, environment.settings.Serve)
 	if err != nil {
 		return nil, err
 	}
 	server := edge.Server()
 	kernel.Go("callers", func(ctx context.Context) error {
-		// A daemon that has not learnt the operators' changes might admit by a text that was
-		// replaced long ago. Callers wait in the listener's backlog meanwhile.
+		// Until the daemon has the operators' latest changes, it might admit requests under a
+		// text that was replaced long ago. Callers wait in the listener's backlog meanwhile.
 		select {
 		case <-changes.duty.Ready():
 			return serveUntil(ctx, server, listener)
@@ -49,7 +50,7 @@
 	}}, nil
 }
 
-// serveHTTP runs a server until the kernel ends.
+// serveHTTP starts a duty that runs a server until the kernel stops.
 func serveHTTP(kernel *dogwoodkernel.Kernel, name string, server *http.Server, listener net.Listener) {
 	kernel.Go(name, func(ctx context.Context) error { return serveUntil(ctx, server, listener) })
 }
@@ -63,11 +64,11 @@
 	return nil
 }
 
-// drain serves on until no caller can still have this address, then takes no new
-// requests and waits for those that run.
+// drain keeps serving until the address given to callers has expired, then accepts no new
+// requests and waits for the running ones.
 func drain(ctx context.Context, server *http.Server) error {
 	select {
-	case <-time.After(keepEntry):
+	case <-time.After(entryTTL):
 	case <-ctx.Done():
 		return Error.Wrap(server.Close())
 	}
--- a/core/dogwooddaemon/suspects.go
+++ b/core/dogwooddaemon/suspects.go
@@ -9,60 +9,62 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// spreadAtOnce bounds the calls that tell other owners of a suspect.
-const spreadAtOnce = 64
+// maxConcurrentNotices bounds the concurrent calls that send notices to other owners.
+const maxConcurrentNotices = 64
 
-// suspectPeers reaches the other owners about suspects.
+// suspectPeers exchanges trials and notices of suspects with the other owners.
 type suspectPeers struct {
-	owning  *owning
-	members members
-	peer    *peer
-	self    dogwoodfleet.InstanceID
+	ownership *ownership
+	members   members
+	peer      *peerRPC
+	self      dogwoodfleet.InstanceID
 }
 
-// Trial asks the digest's home.
+// Trial sends a trial to the digest's home, which may be this daemon, and returns the answer.
 func (peers *suspectPeers) Trial(ctx context.Context, trial dogwoodsuspect.Trial) (dogwoodsuspect.TrialAnswer, error) {
 	alive := peers.members.Alive()
 	instances := make([]dogwoodfleet.InstanceID, len(alive))
 	for i, member := range alive {
 		instances[i] = member.Instance
 	}
-	at := dogwoodsuspect.Home(trial.Digest, instances)
-	if at < 0 || alive[at].Instance == peers.self {
-		return peers.owning.local.Judge(trial), nil
+	home := dogwoodsuspect.Home(trial.Digest, instances)
+	if home < 0 || alive[home].Instance == peers.self {
+		return peers.ownership.local.Judge(trial), nil
 	}
 	var answer dogwoodsuspect.TrialAnswer
-	err := peers.peer.Call(ctx, alive[at].Peer, "Owner.Judge", trial, &answer)
+	err := peers.peer.Call(ctx, alive[home].Peer, "Owner.Judge", trial, &answer)
 	return answer, Error.Wrap(err)
 }
 
-// Spread tells all other owners.
+// Spread sends notices to all other owners.
 func (peers *suspectPeers) Spread(ctx context.Context, notices []dogwoodsuspect.Notice) {
 	var group errgroup.Group
-	group.SetLimit(spreadAtOnce)
+	group.SetLimit(maxConcurrentNotices)
 	for _, member := range peers.members.Alive() {
 		if member.Instance == peers.self {
 			continue
 		}
 		group.Go(func() error {
 			var reply bool
-			// What is not told now is told by the next strike, and by catchUp at a start.
+			// A failed call isn't retried: the next strike sends the notices again, and a
+			// starting daemon gets them by fetchNotices.
 			_ = peers.peer.Call(ctx, member.Peer, "Owner.Learn", notices, &reply)
 			return nil
 		})
 	}
-	_ = group.Wait() // the calls return no errors
+	_ = group.Wait() // the functions of the group return no errors
 }
 
-// catchUp learns what one of the others knows of suspects, at this daemon's start.
-func (peers *suspectPeers) catchUp(ctx context.Context) {
+// fetchNotices loads the notices of suspects from the first other daemon that answers, when
+// this daemon starts.
+func (peers *suspectPeers) fetchNotices(ctx context.Context) {
 	for _, member := range peers.members.Alive() {
 		if member.Instance == peers.self {
 			continue
 		}
 		var notices []dogwoodsuspect.Notice
 		if peers.peer.Call(ctx, member.Peer, "Owner.Notices", true, &notices) == nil {
-			peers.owning.local.Learn(notices)
+			peers.ownership.local.Learn(notices)
 			return
 		}
 	}
--- a/core/dogwoodfleet/fleet.go
+++ b/core/dogwoodfleet/fleet.go
@@ -1,6 +1,6 @@
-// Package dogwoodfleet holds the domain types that every other package speaks in:
-// places, VMs, endpoints, services, customers and requests. It imports nothing of
-// the project and keeps no state.
+// Package dogwoodfleet defines the domain types that the other packages share: places, VMs,
+// endpoints, services, customers and requests. It imports no other package of the project
+// and has no state.
 package dogwoodfleet
 
 import (
@@ -10,47 +10,47 @@
 	"time"
 )
 
-// Region is a group of data centres with short links between them.
+// Region names a group of data centres with low latency between them.
 type Region string
 
 // DataCentre names one data centre, for example "fukuoka-a".
 type DataCentre string
 
-// VM names a virtual machine as the platform's list does.
+// VM names a virtual machine, as in the platform's VM list.
 type VM string
 
 // Customer names an organisation or team that sends requests.
 type Customer string
 
-// Service names one entry of the operators' text.
+// Service names a service of the operators' text.
 type Service string
 
-// EndpointID names one back end: an engine or a plain server. It is stable over restarts.
+// EndpointID identifies a back end: an engine or a plain server. It stays the same over restarts.
 type EndpointID string
 
-// InstanceID names one start of a process. Every start has a new one.
+// InstanceID identifies an instance of a process. Each start of the process has a new one.
 type InstanceID string
 
 // Model names a language model.
 type Model string
 
-// Adapter names a fine-tuning that an engine loads beside a model.
+// Adapter names a fine-tuned adapter that an engine loads in addition to a model.
 type Adapter string
 
-// RequestID names one try of a caller's request within the system. It is unique.
+// RequestID identifies an attempt, or a single try of it, within the system. It is unique.
 type RequestID string
 
-// NewRequestID names the numbered try of a daemon.
+// NewRequestID returns the holder's ID with this number.
 func NewRequestID(holder InstanceID, number uint64) RequestID {
 	return RequestID(fmt.Sprintf("%s-%d", holder, number))
 }
 
-// Holder is the daemon that made the ID, or empty if it is not of NewRequestID's making.
+// Holder returns the daemon in an ID that NewRequestID created, or "" if the ID has none.
 func (id RequestID) Holder() InstanceID {
 	return InstanceID(id[:max(strings.LastIndexByte(string(id), '-'), 0)])
 }
 
-// Kind tells what a service's endpoints are.
+// Kind is the kind of a service's endpoints.
 type Kind string
 
 // The kinds of service.
@@ -59,7 +59,7 @@
 	PlainService Kind = "PlainService"
 )
 
-// VMState is what the platform's list says of a VM.
+// VMState is the state of a VM in the platform's VM list.
 type VMState string
 
 // The states of a VM.
@@ -68,27 +68,27 @@
 	Leaving VMState = "Leaving"
 )
 
-// Place is where something runs.
+// Place is the region and the data centre in which something runs.
 type Place struct {
 	Region     Region
 	DataCentre DataCentre
 }
 
-// ListedVM is one row of the platform's lagging VM list.
+// ListedVM is a row of the platform's VM list, which lags behind the actual state.
 type ListedVM struct {
 	Name    VM
 	Place   Place
 	Service Service // empty for an entry VM of this system
 	State   VMState
-	// Serve is where callers (entry VM) or requests (endpoint VM) go.
+	// Serve is the address for callers (entry VM) or for requests (endpoint VM).
 	Serve netip.AddrPort
-	// Peer is where this system's own processes connect; unset for endpoints.
+	// Peer is the address for connections between daemons; unset for endpoints.
 	Peer netip.AddrPort
 	// Admin is the administration address; unset for endpoints.
 	Admin netip.AddrPort
 }
 
-// Endpoint is one back end as the system knows it now.
+// Endpoint is a back end with its last known properties.
 type Endpoint struct {
 	ID       EndpointID
 	Service  Service
@@ -96,19 +96,21 @@
 	VM       VM
 	Place    Place
 	Address  netip.AddrPort
-	Instance InstanceID // empty until the endpoint has told it
-	// InForce is false when operators took its place out or its VM is leaving: no new work.
+	Instance InstanceID // empty until the endpoint has reported it
+	// InForce is false if operators took its place out or its VM is leaving. The endpoint then
+	// gets no new requests.
 	InForce bool
-	// MemoryTokens is the engine's key-value memory in tokens; 0 for plain servers or unknown.
+	// MemoryTokens is the capacity of the engine's KV memory in tokens; 0 if unknown and for
+	// plain servers.
 	MemoryTokens int
 	Models       []Model
 	Adapters     []Adapter
 }
 
-// Priority orders requests at an engine; a higher one goes first.
+// Priority orders requests at an engine; a higher one is served first.
 type Priority int
 
-// The priorities used. Engines honour any integer.
+// The priorities that this system uses. Engines accept any integer.
 const (
 	PriorityLong   Priority = 0
 	PriorityNormal Priority = 10
@@ -118,30 +120,31 @@
 // Digest identifies a request's customer and body. Equal requests have equal digests.
 type Digest [32]byte
 
-// Request is what deciding about a caller's request needs; the body stays at the entry.
+// Request holds what decisions about a caller's request depend on. The body stays at the
+// entry daemon.
 type Request struct {
 	ID       RequestID
 	Customer Customer
 	Service  Service
 	Model    Model
 	Adapter  Adapter
-	// Arrived and Deadline are on the clock of the daemon that holds the request.
+	// Arrived and Deadline are times on the clock of the daemon that holds the request.
 	Arrived  time.Time
 	Deadline time.Time
 	// PromptTokens is estimated from the body until an engine has counted it.
 	PromptTokens int
-	// MaxTokens is the most tokens the answer may have.
+	// MaxTokens is the maximum number of tokens of the answer.
 	MaxTokens int
-	// Repeatable is true when running it twice does no harm.
+	// Repeatable is true if the request may safely run twice.
 	Repeatable bool
 	Digest     Digest
-	// Blocks are the chained hashes of the prompt's leading blocks, the first block first.
+	// Blocks are the chained hashes of the prompt's leading blocks, in order.
 	Blocks []uint64
-	// Origin is where the entry daemon runs.
+	// Origin is the place of the entry daemon.
 	Origin Place
 }
 
-// Tokens returns the most memory the request may hold on an engine, in tokens.
+// Tokens returns the maximum memory that the request can use on an engine, in tokens.
 func (request *Request) Tokens() int {
 	return request.PromptTokens + request.MaxTokens
 }
--- a/core/dogwoodkernel/kernel.go
+++ b/core/dogwoodkernel/kernel.go
@@ -1,8 +1,8 @@
-// Package dogwoodkernel starts and stops a process's parts. A plug-in registers itself
-// by name in its init function, as database drivers do; the program's main package
-// imports the plug-ins it wants. The kernel builds them in the order of their needs,
-// gives each a context and a named logger, runs their duties in one group and stops
-// them in reverse order. Duties are joined by the rings of dogwoodring.
+// Package dogwoodkernel starts and stops the parts of a process. A plug-in registers itself
+// by name in its init function, as database drivers do; a program imports the plug-ins that
+// it uses. The kernel starts plug-ins in the order of their dependencies, gives each a
+// context and a named logger, runs their duties (background functions) in one group and
+// stops the parts in reverse order. Duties exchange values over the rings of dogwoodring.
 package dogwoodkernel
 
 import (
@@ -21,17 +21,17 @@
 
 // Part is one started plug-in.
 type Part interface {
-	// Stop ends the part. Its duties' context ends right after it returns. The context
-	// bounds how long a graceful stop may take.
+	// Stop stops the part. The duties keep running until all parts are stopped. The context
+	// limits how long a graceful stop may take.
 	Stop(ctx context.Context) error
 }
 
-// Plugin describes a part that can be built.
+// Plugin describes how to start a part.
 type Plugin struct {
 	Name string
-	// Needs are the names of plug-ins that must be started before.
+	// Needs are the names of the plug-ins that must be started first.
 	Needs []string
-	// Start builds the part and starts its duties with kernel.Go. It must not block.
+	// Start creates the part and starts its duties with kernel.Go. It must not block.
 	Start func(ctx context.Context, kernel *Kernel) (Part, error)
 }
 
@@ -40,40 +40,40 @@
 	registered    = map[string]Plugin{}
 )
 
-// Register makes a plug-in known. It panics on a name given twice, which is a mistake
-// in the program and shows at its first start.
+// Register registers a plug-in. It panics if the name is already registered: this is a
+// programming error, which shows at the program's first start.
 func Register(plugin Plugin) {
 	registerMutex.Lock()
 	defer registerMutex.Unlock()
-	if _, twice := registered[plugin.Name]; twice {
+	if _, exists := registered[plugin.Name]; exists {
 		panic("dogwoodkernel: plug-in registered twice: " + plugin.Name)
 	}
 	registered[plugin.Name] = plugin
 }
 
-// Kernel holds the parts of one process, or of one of several daemons in a process.
+// Kernel holds the parts of a process, or of one daemon if a process runs several.
 type Kernel struct {
-	// Logger is the root logger; parts log through Named.
+	// Logger is the root logger; parts log to the loggers that Named returns.
 	Logger hclog.Logger
-	// Settings is what the parts read their settings from. Its type is the program's.
+	// Settings holds the settings for the parts. The program chooses its type.
 	Settings any
 
-	group  *errgroup.Group
-	duties context.Context //nolint:containedctx // the lifetime of the kernel's own group, not of a call
-	cancel context.CancelFunc
-	parts  map[string]Part
-	order  []string
+	group      *errgroup.Group
+	dutyCtx    context.Context //nolint:containedctx // the lifetime of the kernel's own group, not of a call
+	cancel     context.CancelFunc
+	parts      map[string]Part
+	startOrder []string
 }
 
-// New returns a kernel whose duties end with the context.
+// New returns a kernel. Its duties' context ends when ctx does.
 func New(ctx context.Context, logger hclog.Logger, settings any) *Kernel {
-	running, cancel := context.WithCancel(ctx)
-	group, duties := errgroup.WithContext(running)
+	runCtx, cancel := context.WithCancel(ctx)
+	group, dutyCtx := errgroup.WithContext(runCtx)
 	return &Kernel{
 		Logger:   logger,
 		Settings: settings,
 		group:    group,
-		duties:   duties,
+		dutyCtx:  dutyCtx,
 		cancel:   cancel,
 		parts:    map[string]Part{},
 	}
@@ -84,23 +84,23 @@
 	return kernel.Logger.Named(name)
 }
 
-// Go starts a duty in the kernel's group. A duty that returns an error ends the kernel.
+// Go runs a duty in the kernel's group. If it returns an error, the context of all duties ends.
 func (kernel *Kernel) Go(name string, duty func(ctx context.Context) error) {
 	kernel.group.Go(func() error {
-		err := duty(kernel.duties)
-		if err == nil || kernel.duties.Err() != nil {
+		err := duty(kernel.dutyCtx)
+		if err == nil || kernel.dutyCtx.Err() != nil {
 			return nil
 		}
 		return Error.Wrap(fmt.Errorf("duty %s: %w", name, err))
 	})
 }
 
-// Part returns a started part by its plug-in's name, or nil.
+// Part returns the part that the named plug-in started, or nil.
 func (kernel *Kernel) Part(name string) Part {
 	return kernel.parts[name]
 }
 
-// PartOf returns a started part as the type its user knows it by.
+// PartOf returns the part that the named plug-in started, as a T.
 func PartOf[T any](kernel *Kernel, name string) (T, error) {
 	part, ok := kernel.parts[name].(T)
 	if !ok {
@@ -109,7 +109,7 @@
 	return part, nil
 }
 
-// Start builds the named plug-ins and all that they need.
+// Start starts the named plug-ins and those that they depend on.
 func (kernel *Kernel) Start(ctx context.Context, names ...string) error {
 	for _, name := range names {
 		if err := kernel.start(ctx, name, nil); err != nil {
@@ -124,13 +124,13 @@
 		return nil
 	}
 	if slices.Contains(path, name) {
-		return Error.New("plug-ins need each other: %v", append(path, name))
+		return Error.New("plug-in dependency cycle: %v", append(path, name))
 	}
 	registerMutex.Lock()
-	plugin, known := registered[name]
+	plugin, exists := registered[name]
 	registerMutex.Unlock()
-	if !known {
-		return Error.New("no plug-in %q", name)
+	if !exists {
+		return Error.New("plug-in %q is not registered", name)
 	}
 	for _, need := range plugin.Needs {
 		if err := kernel.start(ctx, need, append(path, name)); err != nil {
@@ -142,33 +142,33 @@
 		return Error.Wrap(fmt.Errorf("starting %s: %w", name, err))
 	}
 	kernel.parts[name] = part
-	kernel.order = append(kernel.order, name)
+	kernel.startOrder = append(kernel.startOrder, name)
 	return nil
 }
 
-// Wait returns when a duty has failed or the kernel's context has ended.
+// Wait blocks until a duty fails, the kernel stops, or the kernel's context or ctx ends.
 func (kernel *Kernel) Wait(ctx context.Context) {
 	select {
-	case <-kernel.duties.Done():
+	case <-kernel.dutyCtx.Done():
 	case <-ctx.Done():
 	}
 }
 
-// Stop stops the parts in reverse order of their start, then ends all duties and waits
-// for them. It returns the first duty's error, if one failed.
+// Stop stops the parts in reverse order of their start, then ends the context of the duties
+// and waits for them. It returns the errors of the parts and of the first duty that failed.
 func (kernel *Kernel) Stop(ctx context.Context) error {
-	var stopping errs.Group
-	for _, name := range slices.Backward(kernel.order) {
+	var stopErrs errs.Group
+	for _, name := range slices.Backward(kernel.startOrder) {
 		if err := kernel.parts[name].Stop(ctx); err != nil {
-			stopping.Add(Error.Wrap(fmt.Errorf("stopping %s: %w", name, err)))
+			stopErrs.Add(Error.Wrap(fmt.Errorf("stopping %s: %w", name, err)))
 		}
 	}
 	kernel.cancel()
-	stopping.Add(kernel.group.Wait())
-	return stopping.Err()
+	stopErrs.Add(kernel.group.Wait())
+	return stopErrs.Err()
 }
 
-// StopFunc makes a Part of a function.
+// StopFunc is a function that serves as a Part.
 type StopFunc func(ctx context.Context) error
 
 // Stop calls the function.
--- a/core/dogwoodkernel/kernel_test.go
+++ b/core/dogwoodkernel/kernel_test.go
@@ -41,24 +41,24 @@
 	}
 }
 
-func TestPluginsThatNeedEachOther(t *testing.T) {
+func TestStartRejectsDependencyCycle(t *testing.T) {
 	Register(Plugin{Name: "cycle-a", Needs: []string{"cycle-b"}})
 	Register(Plugin{Name: "cycle-b", Needs: []string{"cycle-a"}})
 	kernel := New(t.Context(), hclog.NewNullLogger(), nil)
 	if err := kernel.Start(t.Context(), "cycle-a"); err == nil {
-		t.Error("got no error, want one that names the cycle")
+		t.Error("got no error, want one for the dependency cycle")
 	}
 	if err := kernel.Stop(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestFailedDutyEndsTheKernel(t *testing.T) {
+func TestFailedDutyStopsKernel(t *testing.T) {
 	kernel := New(t.Context(), hclog.NewNullLogger(), nil)
-	broken := errors.New("broken")
-	kernel.Go("breaks", func(context.Context) error { return broken })
+	errDuty := errors.New("broken")
+	kernel.Go("breaks", func(context.Context) error { return errDuty })
 	kernel.Wait(t.Context())
-	if got := kernel.Stop(t.Context()); !errors.Is(got, broken) {
-		t.Errorf("got %v, want %v", got, broken)
+	if got := kernel.Stop(t.Context()); !errors.Is(got, errDuty) {
+		t.Errorf("got %v, want %v", got, errDuty)
 	}
 }
--- a/core/dogwoodkernel/parts.go
+++ b/core/dogwoodkernel/parts.go
@@ -2,14 +2,14 @@
 
 import "context"
 
-// Made is a started plug-in that others use as a T.
+// Made is a part that provides a value of type T to other plug-ins.
 type Made[T any] struct {
 	Value T
-	// OnStop ends the part; nil if nothing is to be done.
+	// OnStop stops the part. It may be nil.
 	OnStop func(ctx context.Context) error
 }
 
-// Stop ends the part.
+// Stop calls OnStop if it is set.
 func (made *Made[T]) Stop(ctx context.Context) error {
 	if made.OnStop == nil {
 		return nil
@@ -17,24 +17,25 @@
 	return made.OnStop(ctx)
 }
 
-// Use returns what another plug-in made.
+// Use returns the value that the named plug-in provides.
 func Use[T any](kernel *Kernel, name string) (T, error) {
-	found, err := PartOf[*Made[T]](kernel, name)
+	part, err := PartOf[*Made[T]](kernel, name)
 	if err != nil {
-		var none T
-		return none, err
+		var zero T
+		return zero, err
 	}
-	return found.Value, nil
+	return part.Value, nil
 }
 
-// Needs collects the parts that a plug-in is built from.
+// Needs looks up the values that a plug-in depends on and keeps the first error.
 type Needs struct {
 	Kernel *Kernel
-	// Err is the first failure.
+	// Err is the first error of Need, or nil.
 	Err error
 }
 
-// Need returns what another plug-in made, or a zero value and a failure in needs.
+// Need returns the value that the named plug-in provides. If there is none, it returns a
+// zero value and sets needs.Err.
 func Need[T any](needs *Needs, name string) T {
 	value, err := Use[T](needs.Kernel, name)
 	if needs.Err == nil {
@@ -43,7 +44,7 @@
 	return value
 }
 
-// MakePlugin is a plug-in that makes a T from settings of type S.
+// MakePlugin returns a plug-in that provides a T, from kernel settings of type S.
 func MakePlugin[S, T any](name string, needs []string, start func(ctx context.Context, kernel *Kernel, settings S) (*Made[T], error)) Plugin {
 	return Plugin{
 		Name:  name,
@@ -51,7 +52,7 @@
 		Start: func(ctx context.Context, kernel *Kernel) (Part, error) {
 			settings, ok := kernel.Settings.(S)
 			if !ok {
-				return nil, Error.New("the kernel's settings are not those of plug-in %q", name)
+				return nil, Error.New("the kernel's settings have the wrong type for plug-in %q", name)
 			}
 			started, err := start(ctx, kernel, settings)
 			if err != nil {
--- a/core/dogwoodkernel/sleep.go
+++ b/core/dogwoodkernel/sleep.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits, and returns false if the context ended before the time was over.
+// Sleep waits for the duration. It returns false if the context ends first.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -18,34 +18,35 @@
 	}
 }
 
-// Jittered spreads a wait by half both ways, so that those who begin to wait together don't
-// end together.
+// Jittered returns a random duration between half and one and a half times the mean, so that
+// waits that start together end at different times.
 func Jittered(mean time.Duration) time.Duration {
 	return mean/2 + rand.N(mean)
 }
 
-// Backoff waits longer after each failure, by chance, so that writers that met each other
-// do not meet again.
+// Backoff is an exponential backoff with jitter, so that writers in conflict retry at
+// different times.
 type Backoff struct {
-	// First and Longest are mean waits.
+	// First is the mean of the first wait, and Longest is the largest mean of any wait.
 	First, Longest time.Duration
-	next           time.Duration
+	nextMean       time.Duration
 }
 
-// Sleep waits, or returns the context's error when it ends first.
+// Sleep waits and doubles the next mean wait. It returns the context's error if the context
+// ends first.
 func (backoff *Backoff) Sleep(ctx context.Context) error {
-	if backoff.next == 0 {
-		backoff.next = backoff.First
+	if backoff.nextMean == 0 {
+		backoff.nextMean = backoff.First
 	}
-	wait := Jittered(backoff.next)
-	backoff.next = min(2*backoff.next, backoff.Longest)
+	wait := Jittered(backoff.nextMean)
+	backoff.nextMean = min(2*backoff.nextMean, backoff.Longest)
 	if !Sleep(ctx, wait) {
 		return ctx.Err()
 	}
 	return nil
 }
 
-// Reset has the next wait be the first again.
+// Reset sets the mean of the next wait to First.
 func (backoff *Backoff) Reset() {
-	backoff.next = 0
+	backoff.nextMean = 0
 }
--- a/core/dogwoodlog/messages.go
+++ b/core/dogwoodlog/messages.go
@@ -1,22 +1,24 @@
 package dogwoodlog
 
-// The messages of the lines that tell what became of a request. Those who write them, who
-// sample them and who explain a request from them must agree.
+// The messages of the log lines that record the progress of a request. The packages that log
+// them, the sampling in Writer and the tool that explains a request from its log lines share
+// these constants.
 const (
-	// Refused means that it was not passed on.
+	// Refused means that the request was not sent to an endpoint.
 	Refused = "Refused."
-	// Placed means that a place was found for a try.
+	// Placed means that a slot was found for a try.
 	Placed = "Placed."
-	// FirstEvent means that a stream's first event came.
+	// FirstEvent means that the first event of a stream arrived.
 	FirstEvent = "First event."
-	// Silent means that an endpoint brought nothing for longer than a stream bears.
+	// Silent means that an endpoint sent nothing for longer than a stream may be silent.
 	Silent = "An endpoint is silent."
 	// TryingAgain means that another try follows.
 	TryingAgain = "Trying again."
-	// NoFurtherTry means that none may follow.
+	// NoFurtherTry means that no further try is allowed.
 	NoFurtherTry = "No further try."
-	// Answered means that the caller has the whole answer.
+	// Answered means that the whole answer was sent to the caller.
 	Answered = "Answered."
-	// NotAnswered means that it was refused, failed or cut, or that the caller left.
+	// NotAnswered means that the request was refused or failed, its answer was cut, or the
+	// caller left.
 	NotAnswered = "Not answered."
 )
--- a/core/dogwoodlog/writer.go
+++ b/core/dogwoodlog/writer.go
@@ -1,10 +1,10 @@
-// Package dogwoodlog writes log lines without ever holding up those who log.
+// Package dogwoodlog writes log lines without blocking the goroutines that log.
 //
-// A log that is written in the request's own path stops all requests when its reader
-// stops. Here lines go into a bounded ring and a duty of its own writes them. While the
-// ring is half full, the ordinary lines of most requests are left out, so that refusals and
-// failures keep theirs; while it is full all lines are dropped. Both are counted, and the
-// next line that gets through is followed by one that tells how many.
+// If requests wrote to the log directly, a reader that stops would block all of them. Here,
+// lines go into a bounded ring, and a separate duty writes them. While the ring is at least
+// half full, the ordinary lines of most requests are left out, so that the lines of refusals
+// and failures are kept; while it is full, all lines are dropped. Both are counted, and the
+// counts are written after the next line.
 package dogwoodlog
 
 import (
@@ -20,26 +20,28 @@
 )
 
 const (
-	// ringLines is how many lines may wait: some seconds of a busy daemon.
+	// ringLines is the capacity of the ring, which a busy daemon fills in a few seconds.
 	ringLines = 1024
-	// sampleFrom is how many must wait for ordinary lines to be sampled.
-	sampleFrom = ringLines / 2
-	// sampleOneIn is the share of the requests that keep their ordinary lines: a daemon whose
-	// reader is ten times too slow still shows whole requests, and the same ones as the others.
+	// sampleThreshold is the number of queued lines from which ordinary lines are sampled.
+	sampleThreshold = ringLines / 2
+	// sampleOneIn means that one request in this many keeps its ordinary lines. With 10, the log
+	// has complete requests even if its reader is ten times too slow, and the same ones at
+	// every daemon.
 	sampleOneIn = 10
 )
 
-// ordinary marks the lines of requests that go well; requestField bears a request's ID.
+// ordinaryMessages are the messages of requests that succeed; requestField starts the field
+// with a request's ID.
 var (
-	ordinary     = [][]byte{messageField(Placed), messageField(FirstEvent), messageField(Answered)}
-	requestField = []byte(`"request":"`)
+	ordinaryMessages = [][]byte{messageField(Placed), messageField(FirstEvent), messageField(Answered)}
+	requestField     = []byte(`"request":"`)
 )
 
 func messageField(message string) []byte {
 	return []byte(`"@message":"` + message + `"`)
 }
 
-// Writer queues lines for another writer. It is safe for concurrent use.
+// Writer queues lines for a target writer. It is safe for concurrent use.
 type Writer struct {
 	ring    *dogwoodring.Ring[[]byte]
 	target  io.Writer
@@ -47,14 +49,14 @@
 	sampled atomic.Int64
 }
 
-// New returns a writer to the target, which only Run writes to.
+// New returns a Writer. Only Run writes to the target.
 func New(target io.Writer) *Writer {
 	return &Writer{ring: dogwoodring.New[[]byte]("Log", ringLines, dogwoodring.Refuse), target: target}
 }
 
-// Write queues a line. It never fails: a line that finds no room is counted as dropped.
+// Write queues a line. It never fails: if the ring is full, the line is counted as dropped.
 func (writer *Writer) Write(line []byte) (int, error) {
-	if writer.ring.Len() >= sampleFrom && leftOut(line) {
+	if writer.ring.Len() >= sampleThreshold && sampledOut(line) {
 		writer.sampled.Add(1)
 		return len(line), nil
 	}
@@ -64,10 +66,10 @@
 	return len(line), nil
 }
 
-// leftOut reports whether an ordinary line is left out of a sample. All lines of a request
-// share its fate, at every daemon.
-func leftOut(line []byte) bool {
-	if !slices.ContainsFunc(ordinary, func(mark []byte) bool { return bytes.Contains(line, mark) }) {
+// sampledOut reports whether sampling leaves out an ordinary line. The result depends only on
+// the request's ID, so it is the same for all ordinary lines of a request, at every daemon.
+func sampledOut(line []byte) bool {
+	if !slices.ContainsFunc(ordinaryMessages, func(message []byte) bool { return bytes.Contains(line, message) }) {
 		return false
 	}
 	_, rest, found := bytes.Cut(line, requestField)
@@ -76,11 +78,11 @@
 		return false
 	}
 	hash := fnv.New32a()
-	_, _ = hash.Write(id) // it never fails
+	_, _ = hash.Write(id) // hash.Hash never returns an error
 	return hash.Sum32()%sampleOneIn != 0
 }
 
-// Run writes until the context ends, and then what still waits.
+// Run writes lines until the context ends, and then the lines still queued.
 func (writer *Writer) Run(ctx context.Context) error {
 	for {
 		line, err := writer.ring.Take(ctx)
@@ -103,7 +105,8 @@
 	}
 }
 
-// write passes a line on. An error of the target has nowhere to be told.
+// write writes a line and any counts to the target. Errors of the target are ignored, as
+// there is nowhere to report them.
 func (writer *Writer) write(line []byte) {
 	_, _ = writer.target.Write(line)
 	dropped, sampled := writer.dropped.Swap(0), writer.sampled.Swap(0)
--- a/core/dogwoodlog/writer_test.go
+++ b/core/dogwoodlog/writer_test.go
@@ -24,8 +24,9 @@
 	return blockedWriter.written.Write(line)
 }
 
-// unread has lines written while nobody reads the log, and returns it when the reader is back.
-func unread(t *testing.T, write func(writer *Writer)) (log string) {
+// writeWhileBlocked writes lines while the target is blocked and returns the log once it is
+// released.
+func writeWhileBlocked(t *testing.T, write func(writer *Writer)) (log string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		target := &blockedWriter{released: make(chan struct{})}
@@ -44,11 +45,11 @@
 	return log
 }
 
-// Nobody reads the log. Requests go on, lines are dropped and, when the reader is back, the
-// log says how many.
-func TestAStoppedReaderStopsNobody(t *testing.T) {
+// While the log's reader is stopped, Write must not block. Lines are dropped, and the log
+// reports how many once the reader continues.
+func TestStoppedReaderDoesNotBlockWrite(t *testing.T) {
 	const lines = ringLines + 500
-	got := unread(t, func(writer *Writer) {
+	got := writeWhileBlocked(t, func(writer *Writer) {
 		for range lines {
 			if _, err := writer.Write([]byte("line\n")); err != nil {
 				t.Error(err)
@@ -59,15 +60,15 @@
 		t.Errorf("got %d lines, want the ring's %d and not all %d", count, ringLines, lines)
 	}
 	if !strings.Contains(got, "dropped") {
-		t.Error("the log does not tell that lines were dropped")
+		t.Error("the log does not report that lines were dropped")
 	}
 }
 
-// The log's reader is slow in a burst. The lines of requests that go well filled the ring, and
-// those of the refusals that an engineer looks for were dropped.
-func TestFailuresKeepTheirLines(t *testing.T) {
+// During a burst with a slow reader, the lines of successful requests filled the ring, and the
+// lines of refusals, which engineers look for, were dropped.
+func TestRefusalsAreKeptWhenRingFills(t *testing.T) {
 	const requests, refused = 1000, 200
-	got := unread(t, func(writer *Writer) {
+	got := writeWhileBlocked(t, func(writer *Writer) {
 		for i := range requests {
 			for _, message := range []string{"Placed.", "First event.", "Answered."} {
 				_, _ = fmt.Fprintf(writer, "{\"@level\":\"info\",\"@message\":%q,\"request\":\"r%d\"}\n", message, i)
@@ -81,7 +82,7 @@
 		t.Errorf("got the lines of %d refusals, want all %d", count, refused)
 	}
 	if strings.Contains(got, "dropped") || !strings.Contains(got, "sampled") {
-		t.Error("want that lines were left out and none dropped, as the log tells")
+		t.Error("want a log that reports sampled lines and no dropped ones")
 	}
 	placed, answered := strings.Count(got, "Placed."), strings.Count(got, "Answered.")
 	if difference := placed - answered; placed < 150 || difference < -1 || difference > 1 {
--- a/core/dogwoodmetrics/metrics.go
+++ b/core/dogwoodmetrics/metrics.go
@@ -1,5 +1,5 @@
-// Package dogwoodmetrics keeps latency histograms and gauges and writes them, with the
-// counters of expvar, as text: a line for each figure, its name, its labels and its value.
+// Package dogwoodmetrics holds latency histograms and gauges and writes them, with the
+// counters of expvar, as text. Each line has the name, the label and the value of a metric.
 package dogwoodmetrics
 
 import (
@@ -16,14 +16,14 @@
 )
 
 const (
-	// shortest and longest bound what a histogram tells apart, digits is its precision: two
-	// digits over this span take some twenty kilobytes a histogram.
-	shortest = time.Millisecond
-	longest  = 2 * time.Minute
-	digits   = 2
+	// minDuration and maxDuration are the range of a histogram and significantDigits is its
+	// precision. With two digits over this range, a histogram takes about 20 kB.
+	minDuration       = time.Millisecond
+	maxDuration       = 2 * time.Minute
+	significantDigits = 2
 )
 
-// Registry holds the figures of one daemon. It is safe for concurrent use.
+// Registry holds the metrics of one daemon. It is safe for concurrent use.
 type Registry struct {
 	mutex      sync.Mutex
 	histograms map[string]*hdrhistogram.Histogram
@@ -35,20 +35,20 @@
 	return &Registry{histograms: map[string]*hdrhistogram.Histogram{}, gauges: map[string]func() float64{}}
 }
 
-// Observe adds a duration to the histogram of a name and a label.
+// Observe adds a duration to the histogram with the name and the label.
 func (registry *Registry) Observe(name, label string, duration time.Duration) {
 	registry.mutex.Lock()
 	defer registry.mutex.Unlock()
 	key := labelled(name, label)
 	histogram := registry.histograms[key]
 	if histogram == nil {
-		histogram = hdrhistogram.New(int64(shortest), int64(longest), digits)
+		histogram = hdrhistogram.New(int64(minDuration), int64(maxDuration), significantDigits)
 		registry.histograms[key] = histogram
 	}
-	_ = histogram.RecordValue(int64(min(max(duration, shortest), longest))) // it is within the bounds
+	_ = histogram.RecordValue(int64(min(max(duration, minDuration), maxDuration))) // the value is within the histogram's range
 }
 
-// Gauge has a figure read each time that the metrics are.
+// Gauge registers a function that returns the gauge's value each time the metrics are read.
 func (registry *Registry) Gauge(name string, read func() float64) {
 	registry.mutex.Lock()
 	defer registry.mutex.Unlock()
@@ -62,35 +62,35 @@
 	return fmt.Sprintf("%s{%s}", name, label)
 }
 
-// ServeHTTP writes all figures.
+// ServeHTTP writes all metrics.
 func (registry *Registry) ServeHTTP(writer http.ResponseWriter, _ *http.Request) {
 	writer.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	registry.write(writer)
 }
 
 func (registry *Registry) write(writer io.Writer) {
-	line := func(name string, value any) {
-		_, _ = fmt.Fprintf(writer, "%s %v\n", name, value) // a reader that is gone needs no figures
+	writeLine := func(name string, value any) {
+		_, _ = fmt.Fprintf(writer, "%s %v\n", name, value) // the reader may have disconnected
 	}
-	expvar.Do(func(each expvar.KeyValue) {
-		switch value := each.Value.(type) {
+	expvar.Do(func(variable expvar.KeyValue) {
+		switch value := variable.Value.(type) {
 		case *expvar.Int:
-			line(each.Key, value.Value())
+			writeLine(variable.Key, value.Value())
 		case *expvar.Map:
-			value.Do(func(entry expvar.KeyValue) { line(labelled(each.Key, entry.Key), entry.Value.String()) })
+			value.Do(func(entry expvar.KeyValue) { writeLine(labelled(variable.Key, entry.Key), entry.Value.String()) })
 		}
 	})
 	registry.mutex.Lock()
 	defer registry.mutex.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(registry.gauges)) {
-		line(name, registry.gauges[name]())
+		writeLine(name, registry.gauges[name]())
 	}
 	for _, name := range slices.Sorted(maps.Keys(registry.histograms)) {
 		histogram := registry.histograms[name]
-		line(name+" count", histogram.TotalCount())
+		writeLine(name+" count", histogram.TotalCount())
 		for _, quantile := range []float64{50, 90, 99} {
-			line(fmt.Sprintf("%s p%.0f seconds", name, quantile), time.Duration(histogram.ValueAtQuantile(quantile)).Seconds())
+			writeLine(fmt.Sprintf("%s p%.0f seconds", name, quantile), time.Duration(histogram.ValueAtQuantile(quantile)).Seconds())
 		}
-		line(name+" max seconds", time.Duration(histogram.Max()).Seconds())
+		writeLine(name+" max seconds", time.Duration(histogram.Max()).Seconds())
 	}
 }
--- a/core/dogwoodproblem/problem.go
+++ b/core/dogwoodproblem/problem.go
@@ -1,6 +1,6 @@
-// Package dogwoodproblem holds the error body of every HTTP answer of the system: the
-// problem details of RFC 9457, with what callers need besides: whether the request was
-// run, why it was refused and the request's id.
+// Package dogwoodproblem defines the body of the system's HTTP error responses: the problem
+// details of RFC 9457, extended by whether the request was run, why it was refused and the
+// request's ID.
 package dogwoodproblem
 
 import (
@@ -15,7 +15,7 @@
 // ContentType is the media type of a problem.
 const ContentType = "application/problem+json"
 
-// typePrefix starts the type member. It is a name, not an address to open.
+// typePrefix is the prefix of the type member, which is an identifier and not a web address.
 const typePrefix = "urn:dogwoodmux:problem:"
 
 // The values of NotRun.
@@ -25,27 +25,28 @@
 	Unknown = "unknown"
 )
 
-// Problem is the body of an answer that reports an error. The members of RFC 9457 keep
-// the names that the RFC gives them.
+// Problem is the body of an error response. The members that RFC 9457 defines have the names
+// of the RFC.
 type Problem struct {
 	Type   string `json:"type"`
 	Title  string `json:"title"`
 	Status int    `json:"status"`
 	Detail string `json:"detail,omitempty"`
-	// NotRun is "true" only when the request certainly was not run by an endpoint.
+	// NotRun is "true" only if it is certain that no endpoint ran the request.
 	NotRun    string                 `json:",omitempty"`
 	Reason    dogwoodfleet.Reason    `json:",omitempty"`
 	RequestID dogwoodfleet.RequestID `json:",omitempty"`
-	// RetryAfter goes into the header of that name, rounded up to a second; 0 leaves it out.
+	// RetryAfter is sent in the Retry-After header, rounded up to a second; 0 omits the header.
 	RetryAfter time.Duration `json:"-"`
 }
 
-// New returns a problem of a kind, such as "conflict", with the status's text as title.
+// New returns a problem of a kind, such as "conflict". Its title is the text of the status.
 func New(status int, kind, detail string) Problem {
 	return Problem{Type: typePrefix + kind, Title: http.StatusText(status), Status: status, Detail: detail}
 }
 
-// Error makes a problem an error, so that a client can return the one it received.
+// Error returns the detail, or the title if there is no detail. It makes Problem an error, so
+// that clients can return the problem that they received.
 func (problem *Problem) Error() string {
 	if problem.Detail == "" {
 		return problem.Title
@@ -53,7 +54,7 @@
 	return problem.Detail
 }
 
-// Kind is the last part of the type, such as "conflict".
+// Kind returns the type without its prefix, such as "conflict".
 func (problem *Problem) Kind() string {
 	if len(problem.Type) < len(typePrefix) {
 		return problem.Type
@@ -61,7 +62,7 @@
 	return problem.Type[len(typePrefix):]
 }
 
-// NotRunOf tells a run state as the NotRun member says it.
+// NotRunOf returns the value of the NotRun member for a run state.
 func NotRunOf(state dogwoodfleet.RunState) string {
 	switch state {
 	case dogwoodfleet.NotRun:
@@ -73,14 +74,15 @@
 	}
 }
 
-// Write sends a problem, or any struct that embeds one, as the whole answer.
+// Write sends an error response with the given body, a struct that embeds the problem. If body
+// is nil, it sends the problem.
 func Write(writer http.ResponseWriter, problem Problem, body any) {
 	if body == nil {
 		body = problem
 	}
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		// Only a type that JSON can't hold fails here; the status still tells the truth.
+		// Only a type that JSON can't represent fails here; the status is still correct.
 		encoded = []byte("{}")
 	}
 	header := writer.Header()
@@ -90,10 +92,11 @@
 		header.Set("Retry-After", RetryAfterSeconds(problem.RetryAfter))
 	}
 	writer.WriteHeader(problem.Status)
-	_, _ = writer.Write(encoded) // the caller may have left; nobody else is to be told
+	_, _ = writer.Write(encoded) // if the caller has left, there is nobody to report the error to
 }
 
-// RetryAfterSeconds writes a wait as the header wants it: whole seconds, rounded up, at least 1.
+// RetryAfterSeconds formats a wait for the Retry-After header: whole seconds, rounded up, at
+// least 1.
 func RetryAfterSeconds(wait time.Duration) string {
 	seconds := max(1, int((wait+time.Second-1)/time.Second))
 	return strconv.Itoa(seconds)
--- a/core/dogwoodring/ring.go
+++ b/core/dogwoodring/ring.go
@@ -1,4 +1,4 @@
-// Package dogwoodring has the bounded queues that join duties.
+// Package dogwoodring provides bounded queues between duties.
 package dogwoodring
 
 import (
@@ -11,37 +11,37 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("ring")
 
-// WhenFull says what a ring does with a value that finds it full.
+// WhenFull is what a ring does with a value that is added when it is full.
 type WhenFull int
 
-// What a full ring does.
+// The behaviors of a full ring.
 const (
-	// Refuse keeps what is queued; Put returns false.
+	// Refuse keeps the queued values and rejects the new one; Put returns false.
 	Refuse WhenFull = iota
-	// DropOldest makes room by dropping the value that waited longest.
+	// DropOldest drops the value queued longest.
 	DropOldest
-	// Wait holds the writer back until there is room; it is for PutWait alone.
+	// Wait blocks the writer until there is room. Use it only with PutWait.
 	Wait
 )
 
-// ringsFull counts, for each ring by name, the values refused, dropped or held back.
+// ringsFull counts, by the ring's name, the values that were rejected, dropped or delayed.
 var ringsFull = expvar.NewMap("RingsFull")
 
-// Ring is a bounded queue between two duties. A burst that outruns its reader would
-// otherwise grow without limit until the process dies; here it is refused, drops the
-// oldest or waits, as named at its making, and is counted under RingsFull.
+// Ring is a bounded queue between two duties. Without a bound, a burst that is faster than the
+// reader would grow the queue until the process runs out of memory. A full ring rejects new
+// values, drops the oldest or blocks the writer, as set in New, and counts this in RingsFull.
 type Ring[T any] struct {
 	name     string
 	values   chan T
 	whenFull WhenFull
 }
 
-// New returns an empty ring for size values.
+// New returns an empty ring that holds up to size values. RingsFull counts under its name.
 func New[T any](name string, size int, whenFull WhenFull) *Ring[T] {
 	return &Ring[T]{name: name, values: make(chan T, size), whenFull: whenFull}
 }
 
-// Put adds a value without waiting. It returns false if the value was refused.
+// Put adds a value without blocking. It returns false if the value was rejected.
 func (ring *Ring[T]) Put(value T) bool {
 	for {
 		select {
@@ -60,7 +60,7 @@
 	}
 }
 
-// PutWait adds a value, waiting for room until the context ends.
+// PutWait adds a value. If the ring is full, it waits for room until the context ends.
 func (ring *Ring[T]) PutWait(ctx context.Context, value T) error {
 	if ring.Put(value) {
 		return nil
@@ -73,28 +73,28 @@
 	}
 }
 
-// Close tells the reader that nothing more comes. Only the one writer of a ring may call it.
+// Close closes the channel that Values returns. Only the single writer of a ring may call it.
 func (ring *Ring[T]) Close() {
 	close(ring.values)
 }
 
-// Take waits for a value or for the end of the context.
+// Take removes and returns a value. It waits for one until the context ends.
 func (ring *Ring[T]) Take(ctx context.Context) (T, error) {
 	select {
 	case value := <-ring.values:
 		return value, nil
 	case <-ctx.Done():
-		var none T
-		return none, Error.Wrap(ctx.Err())
+		var zero T
+		return zero, Error.Wrap(ctx.Err())
 	}
 }
 
-// Values is the ring's channel, for a reader that selects over several things.
+// Values returns the ring's channel, for a reader that selects on several channels.
 func (ring *Ring[T]) Values() <-chan T {
 	return ring.values
 }
 
-// Len returns how many values wait.
+// Len returns the number of queued values.
 func (ring *Ring[T]) Len() int {
 	return len(ring.values)
 }
--- a/core/dogwoodring/ring_test.go
+++ b/core/dogwoodring/ring_test.go
@@ -14,8 +14,8 @@
 		wantPut  bool
 		want     []int
 	}{
-		{name: "refuse keeps the queued", whenFull: Refuse, wantPut: false, want: []int{1, 2}},
-		{name: "drop oldest makes room", whenFull: DropOldest, wantPut: true, want: []int{2, 3}},
+		{name: "refuse keeps queued values", whenFull: Refuse, wantPut: false, want: []int{1, 2}},
+		{name: "drop oldest keeps the newest", whenFull: DropOldest, wantPut: true, want: []int{2, 3}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -40,14 +40,14 @@
 	}
 }
 
-func TestPutWaitEndsWithTheContext(t *testing.T) {
+func TestPutWaitReturnsWhenContextEnds(t *testing.T) {
 	ring := New[int]("test", 1, Wait)
 	if err := ring.PutWait(t.Context(), 1); err != nil {
 		t.Fatal(err)
 	}
-	ended, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	if got := ring.PutWait(ended, 2); !errors.Is(got, context.Canceled) {
+	if got := ring.PutWait(cancelled, 2); !errors.Is(got, context.Canceled) {
 		t.Errorf("got %v, want %v", got, context.Canceled)
 	}
 	if got, want := ring.Len(), 1; got != want {
