--- a/core/decision/dogwoodadmission/flow.go
+++ b/core/decision/dogwoodadmission/flow.go
@@ -27,7 +27,7 @@
 }
 
 // leastRanked returns the flow's work with the lowest rank, which is served next.
-func (flow *flow) leastRanked() *Work {
+func (flow *flow) lowestRanked() *Work {
 	var best *Work
 	for i := range flow.lists {
 		work := flow.lists[i].first
--- a/core/decision/dogwoodadmission/queue.go
+++ b/core/decision/dogwoodadmission/queue.go
@@ -191,7 +191,7 @@
 	if flow.waiting == 0 {
 		flow.startTag = max(flow.startTag, band.virtualTime)
 		if len(band.flows) == 0 {
-			// A band that was idle catches up with the other, so that it has no credit.
+			// A band that was idle catches up with the other, so that it accumulates no credit.
 			band.servedPerShare = max(band.servedPerShare, queue.bands[1-index].servedPerShare)
 		}
 		band.push(flow)
@@ -269,7 +269,7 @@
 // whether an endpoint has room for it.
 func (queue *Queue) NextLong() *Work {
 	if flows := queue.bands[1].flows; len(flows) > 0 {
-		return flows[0].leastRanked()
+		return flows[0].lowestRanked()
 	}
 	return nil
 }
@@ -294,7 +294,7 @@
 func (band *band) nextWork(fits func(*Work) bool) *Work {
 	for i := range min(len(band.flows), maxFlowsTried) {
 		flow := band.flows[i]
-		work := flow.leastRanked()
+		work := flow.lowestRanked()
 		if fits(work) {
 			return work
 		}
--- a/core/decision/dogwoodadmission/queue_test.go
+++ b/core/decision/dogwoodadmission/queue_test.go
@@ -45,6 +45,8 @@
 	return served
 }
 
+// One customer sends ten times as many requests as another, and sends them earlier. The served
+// requests must still follow the customers' weights.
 func TestSharesByWeight(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -73,6 +75,7 @@
 	}
 }
 
+// A customer without waiting work must not hold back slots that other customers could use.
 func TestIdleCustomersLeaveTheirShareToOthers(t *testing.T) {
 	queue := NewQueue(trainedRates(), 1000, equalWeights)
 	queue.Offer(start, newWork("gone", 1000, start, time.Hour), Capacity{Slots: 1})
--- a/core/decision/dogwoodburn/burn_test.go
+++ b/core/decision/dogwoodburn/burn_test.go
@@ -98,6 +98,8 @@
 	}
 }
 
+// If a short prompt counted under the objective for long prompts, its late first token would count
+// as in time.
 func TestFirstTokenCountsInShortestClass(t *testing.T) {
 	ledger := NewLedger("entry-1", "i1", start)
 	record(ledger, start, 3, Outcome{Class: Answered, InTime: true, PromptTokens: 4000, FirstToken: 2 * time.Second})
@@ -111,6 +113,7 @@
 	}
 }
 
+// Guards against an alert that continues after its failures are older than every window.
 func TestCountsExpireFromWindows(t *testing.T) {
 	ledger := NewLedger("entry-1", "i1", start)
 	record(ledger, start, 5, Outcome{Class: Refused, Reason: dogwoodfleet.ReasonShare})
--- a/core/decision/dogwoodburn/ledger.go
+++ b/core/decision/dogwoodburn/ledger.go
@@ -73,8 +73,8 @@
 	ledger.hours[len(ledger.hours)-1].counts(key).add(outcome, objectives)
 }
 
-// appendBucket appends a bucket for start unless the last one is as recent, and drops the
-// oldest buckets beyond maxBuckets.
+// appendBucket appends a bucket for start unless the last one starts then or later, and
+// drops the oldest buckets beyond maxBuckets.
 func appendBucket(buckets []*mutableBucket, start time.Time, maxBuckets int) []*mutableBucket {
 	if len(buckets) > 0 && !buckets[len(buckets)-1].start.Before(start) {
 		return buckets
--- a/core/decision/dogwoodburn/outcome.go
+++ b/core/decision/dogwoodburn/outcome.go
@@ -35,7 +35,7 @@
 	Service  dogwoodfleet.Service
 	Customer dogwoodfleet.Customer
 	// DataCentre is the data centre of the endpoint that ran the request, or that of the
-	// entry if no endpoint ran it.
+	// entry daemon if no endpoint ran it.
 	DataCentre dogwoodfleet.DataCentre
 	Class      Class
 	// Reason is empty if Class is Answered.
--- a/core/decision/dogwoodenginetime/enginetime.go
+++ b/core/decision/dogwoodenginetime/enginetime.go
@@ -16,7 +16,7 @@
 // mean length of short prompts and below the length of nearly all long ones.
 const LongPrompt = 30_000
 
-// Engine holds the performance figures of one kind of engine from the operators' configuration.
+// Engine holds the performance figures of one kind of engine from the operators' text.
 type Engine struct {
 	// Slots is the maximum number of requests that run at the same time.
 	Slots int
@@ -31,7 +31,7 @@
 	PerMillionPairs time.Duration
 	// Chunk is the maximum number of tokens that one step prefills.
 	Chunk int
-	// Stride is the number of steps per pass while the engine is decoding.
+	// Stride is the number of steps that a decoding engine runs as one pass.
 	Stride int
 	// Hop is added to each step of a request whose prompt is split across several engines.
 	Hop time.Duration
--- a/core/decision/dogwoodfreshness/freshness_test.go
+++ b/core/decision/dogwoodfreshness/freshness_test.go
@@ -41,6 +41,7 @@
 	}
 }
 
+// Answers of the store may arrive out of order. An older one must not replace a later confirmation.
 func TestOlderAnswerHasNoEffect(t *testing.T) {
 	clock := &fakeClock{now: time.Minute}
 	proof := New(clock.read)
--- a/core/decision/dogwoodlimit/limiter.go
+++ b/core/decision/dogwoodlimit/limiter.go
@@ -36,12 +36,12 @@
 	jumpSlack  = 400 * time.Millisecond
 	// decreaseFactor scales the limit down on slow answers, at most once in decreaseEvery,
 	// because all answers of a round reflect the same overload.
-	decreaseFactor = 0.8
-	decreaseEvery  = 500 * time.Millisecond
+	decreaseFactor   = 0.8
+	decreaseInterval = 500 * time.Millisecond
 	// coldHold is how long the cold limit stays in force for an endpoint that doesn't report
-	// a flag or stopped reporting. The engine stand-in stays cold for 3 s.
+	// whether it is cold or has stopped reporting. The engine stand-in stays cold for 3 s.
 	coldHold = 6 * time.Second
-	// reportLag is how much older a report's flag may be than the report's timestamp.
+	// reportLag is how much older a report's cold flag may be than the report's timestamp.
 	// Engines publish their load about every second, without the time of the measurement.
 	reportLag = 2 * time.Second
 	// floorGrowth raises the floor by 1% with each sample, so that it follows a lasting
@@ -50,8 +50,8 @@
 	// recentWeight is the weight of the newest answer in recentRatio.
 	recentWeight = 0.25
 	// minBlock is how long an endpoint gets no requests after it died or refused one. The time
-	// doubles with each failure up to maxBlock: a restart takes seconds, while a refusal may
-	// be over at once.
+	// doubles with each failure up to maxBlock: a restart takes seconds, while the cause of a
+	// refusal may be gone at once.
 	minBlock = 100 * time.Millisecond
 	maxBlock = 5 * time.Second
 	// minSamples is how many answers are needed before latency is compared with the floors.
@@ -129,7 +129,7 @@
 	return limiter
 }
 
-// SetBounds sets the cold and the warm limit, as given in the operators' configuration.
+// SetBounds sets the cold and the warm limit, as given in the operators' text.
 func (limiter *Limiter) SetBounds(coldLimit, warmLimit int) {
 	limiter.warmLimit = max(warmLimit, 1)
 	limiter.coldLimit = min(max(coldLimit, 1), limiter.warmLimit)
@@ -338,7 +338,7 @@
 
 func (limiter *Limiter) decrease(now time.Time) {
 	limiter.goodAnswers = 0
-	if limiter.phase == Cold || now.Sub(limiter.lastCut) < decreaseEvery {
+	if limiter.phase == Cold || now.Sub(limiter.lastCut) < decreaseInterval {
 		return
 	}
 	limiter.lastCut = now
--- a/core/decision/dogwoodlimit/limiter_test.go
+++ b/core/decision/dogwoodlimit/limiter_test.go
@@ -28,6 +28,9 @@
 	return limiter, now
 }
 
+// Guards against a crash loop: an endpoint that has just started crashes under full load. It must
+// stay at the cold limit until it reports that it is warm, and then get twice as much for each
+// round of good answers.
 func TestColdLimitDoublesOnGoodAnswersOnly(t *testing.T) {
 	limiter := New(2, 16, start)
 	now := start.Add(reportLag + time.Second)
@@ -102,6 +105,8 @@
 	}
 }
 
+// Guards against requests that pile up at a slow endpoint, and against one that has recovered and
+// does not get its full limit back.
 func TestSlowAnswersLowerAndGoodAnswersRaiseLimit(t *testing.T) {
 	limiter, now := newWarmLimiter()
 	for range 4 {
--- a/core/decision/dogwoodmemory/gang.go
+++ b/core/decision/dogwoodmemory/gang.go
@@ -19,7 +19,7 @@
 	MostMembers = 8
 )
 
-// Room is the memory of an engine that a gang may include, in tokens.
+// Room describes an engine that may become a member of a gang. Memory and Free are in tokens.
 type Room struct {
 	Endpoint dogwoodfleet.EndpointID
 	Memory   int
--- a/core/decision/dogwoodmemory/ledger.go
+++ b/core/decision/dogwoodmemory/ledger.go
@@ -47,7 +47,7 @@
 	// DrainGrace is how long the entry daemon that ended a request has to cancel it.
 	DrainGrace = 5 * time.Second
 	// InFlight is how long a request that its holder ended may still be in transit to the
-	// engine. The engine client abandons a connection attempt after two seconds.
+	// engine. The engine client's timeout for connecting is two seconds.
 	InFlight = 2 * time.Second
 	// endedTTL is how long an ended request is remembered, so that an answer requested
 	// before the end does not bring it back. A query to an engine times out after two seconds.
--- a/core/decision/dogwoodownership/ownership.go
+++ b/core/decision/dogwoodownership/ownership.go
@@ -1,12 +1,13 @@
-// Package dogwoodownership decides which daemon is the soft owner of an endpoint: the
-// one that queues requests for it, grants its slots and monitors its health.
+// Package dogwoodownership decides which daemon is the owner of an endpoint: the one that
+// queues requests for it, grants its slots and monitors its health.
 //
 // Load pattern: daemons start and stop throughout the day (1,200 restarts at the planned
 // size). Without a stable choice every restart would move every queue. With rendezvous
 // (highest random weight) hashing, a change of one of n daemons moves only the 1/n of the
 // endpoints that it owned. Daemons that have the same view of which daemons are alive choose
-// the same owner without communicating. Two daemons may disagree for one heartbeat interval;
-// the owner's settling rule, which is not part of this package, makes that harmless.
+// the same owner without communicating. Two daemons may disagree for one heartbeat interval.
+// This does no harm, since a new owner at first grants nothing, and then no more than the cold
+// limit for a while (see dogwoodowner).
 package dogwoodownership
 
 import (
--- a/core/decision/dogwoodownership/ownership_test.go
+++ b/core/decision/dogwoodownership/ownership_test.go
@@ -24,6 +24,8 @@
 	}
 }
 
+// Guards against a restart that moves every queue: when a daemon leaves, only the endpoints that it
+// owned may get another owner.
 func TestOwnersAreBalancedAndStable(t *testing.T) {
 	const endpoints, daemons = 5900, 25
 	members := newMembers(daemons, "a")
--- a/core/decision/dogwoodpacking/board.go
+++ b/core/decision/dogwoodpacking/board.go
@@ -2,15 +2,16 @@
 // that the daemons have assigned to a pool of endpoints.
 //
 // Load pattern: many short prompts whose answers must stream without pauses, mixed with a few
-// long prompts that keep an engine reading (prefilling) for seconds. Answers are written
-// (decoded) on as few engines as can keep their pauses short. Prompts that these engines can't
-// read in time are read jointly with engines that are not writing. The boundary between the two
-// sets moves with each request. Without it, a short prompt waits seconds behind a long one, a
-// long prompt stretches the pauses of all answers written on the same engine, and a fixed split
-// performs badly whenever the traffic mix changes.
+// long prompts that take an engine seconds to prefill. Answers are decoded on as few engines as
+// can keep their pauses short. Prompts that these engines can't prefill in time are prefilled
+// jointly with engines that are not decoding. The boundary between the two sets moves with each
+// request. Otherwise a short prompt would wait seconds behind a long one, and a long prompt would
+// stretch the pauses of all answers decoded on the same engine; a fixed boundary would perform
+// badly whenever the traffic mix changes.
 //
 // A Board holds the work that this daemon assigned and the work that its peers announced. It
-// does no I/O; methods that depend on the time take it as an argument.
+// does no I/O; methods that depend on the time take it as an argument. In exported names, Reading
+// stands for prefilling and Writing for decoding.
 package dogwoodpacking
 
 import (
@@ -29,10 +30,10 @@
 // WorkID identifies one attempt of a request across all daemons.
 type WorkID string
 
-// Part is a helper's share of reading a prompt.
+// Part is a helper's share of prefilling a prompt.
 type Part struct {
 	Endpoint dogwoodfleet.EndpointID
-	// Tokens is the number of prompt tokens held in the helper's memory; 0 if it only reads.
+	// Tokens is the number of prompt tokens held in the helper's memory; 0 if it only prefills.
 	Tokens int
 }
 
@@ -45,7 +46,7 @@
 	Helpers  []Part
 	// Tokens counts the prompt and the longest possible answer; Prompt counts the prompt alone.
 	Tokens, Prompt int
-	// Reading is the predicted reading time on each engine that reads; 0 for plain calls.
+	// Reading is the predicted prefill time on each engine that prefills; 0 for plain calls.
 	Reading time.Duration
 	// Aim is the target time to the first token, Pause the longest acceptable pause between two
 	// events of the answer; 0 means no limit.
@@ -78,13 +79,13 @@
 	rank, hash        uint64
 	group, groupCount int
 	work              workList
-	helpedWork        workList // work at other endpoints that this one helps to read
+	helpedWork        workList // work at other endpoints that this one helps to prefill
 	// sends holds the requests of the last second by all daemons, ownSends those by this daemon.
 	sends, ownSends timestamps
 	health          health
-	// lastReadAt is the latest time at which a prompt is known to have been read here.
-	lastReadAt   time.Time
-	pendingReads []pendingRead // reused by load
+	// lastPrefillAt is the latest time at which a prompt is known to have been prefilled here.
+	lastPrefillAt   time.Time
+	pendingPrefills []pendingPrefill // reused by load
 }
 
 // Board is one daemon's view of the work at all endpoints. It is safe for concurrent use.
@@ -112,7 +113,7 @@
 	// requestCount is the number of requests at the service's endpoints.
 	requestCount       int
 	engines            []engine
-	primaries, readers []*engine
+	primaries, helpers []*engine
 }
 
 // NewBoard returns an empty board for a daemon. Each daemon orders equal endpoints differently,
@@ -182,7 +183,7 @@
 func (board *Board) put(now time.Time, work Work) {
 	before, known := board.workByID[work.ID]
 	if known && work.Writing && !before.Writing {
-		board.recordRead(now, &work)
+		board.recordPrefill(now, &work)
 	}
 	board.detach(work.ID)
 	board.workByID[work.ID] = &work
@@ -272,11 +273,11 @@
 	board.notifyChange()
 }
 
-// recordRead records that a prompt was read at its endpoint. The time at which its helpers read
-// their parts is unknown, so theirs is not updated.
-func (board *Board) recordRead(now time.Time, work *Work) {
+// recordPrefill records that a prompt was prefilled at its endpoint. The time at which its helpers
+// prefilled their parts is unknown, so theirs is not updated.
+func (board *Board) recordPrefill(now time.Time, work *Work) {
 	if state := board.endpoints[work.Endpoint]; state != nil {
-		state.lastReadAt = now
+		state.lastPrefillAt = now
 	}
 }
 
@@ -292,9 +293,9 @@
 	return inForce, len(board.endpoints) - inForce
 }
 
-// Writes records that the first token of work was seen. If the prompt is long, it updates the
-// endpoint's slowness with the observed and the predicted time.
-func (board *Board) Writes(now time.Time, id WorkID, predicted, seen time.Duration) (Work, bool) {
+// Writes records the first token of work, from which on its answer is decoded. If the prompt is
+// long, it updates the endpoint's slowness with the observed and the predicted time.
+func (board *Board) Writes(now time.Time, id WorkID, predicted, observed time.Duration) (Work, bool) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	work := board.workByID[id]
@@ -302,11 +303,11 @@
 		return Work{}, false
 	}
 	if !work.Writing {
-		board.recordRead(now, work)
+		board.recordPrefill(now, work)
 	}
 	work.Writing = true
 	if state := board.endpoints[work.Endpoint]; state != nil && work.Prompt >= dogwoodenginetime.LongPrompt {
-		state.health.learnFirstToken(predicted, seen)
+		state.health.learnFirstToken(predicted, observed)
 	}
 	return *work, true
 }
--- a/core/decision/dogwoodpacking/choose.go
+++ b/core/decision/dogwoodpacking/choose.go
@@ -18,7 +18,7 @@
 	plainOvercommit = 0.5
 	// maxSurveyed is the number of available engines that a decision examines. In a pool of
 	// thousands, each daemon examines a different subset, which is large enough to contain a
-	// nearly full engine with room and idle readers. A decision then takes no longer than in a
+	// nearly full engine with room and idle helpers. A decision then takes no longer than in a
 	// pool of hundreds, at thousands of requests a second.
 	maxSurveyed = 256
 	// failureCost is the number of requests that a recent failure counts as when a plain
@@ -68,7 +68,7 @@
 // Placement is the decision where a request goes.
 type Placement struct {
 	Endpoint Endpoint
-	// Helpers read the prompt together with Endpoint; those with tokens also hold a part of it.
+	// Helpers prefill the prompt together with Endpoint; those with tokens also hold a part of it.
 	Helpers []Helper
 	Work    Work
 	// Predicted is the time to the first token; 0 if unknown.
@@ -77,7 +77,7 @@
 	Load dogwoodenginetime.Load
 }
 
-// Helper is an engine that helps to read a prompt.
+// Helper is an engine that helps to prefill a prompt.
 type Helper struct {
 	Endpoint Endpoint
 	Tokens   int
--- a/core/decision/dogwoodpacking/cold_test.go
+++ b/core/decision/dogwoodpacking/cold_test.go
@@ -88,6 +88,6 @@
 	}
 	state := board.endpoints["e00"]
 	if got, limit := len(state.sends)+len(state.ownSends), 2*10; got > limit {
-		t.Errorf("got %d remembered sends at ten a second, want at most %d", got, limit)
+		t.Errorf("got %d recorded sends at ten a second, want at most %d", got, limit)
 	}
 }
--- a/core/decision/dogwoodpacking/engines.go
+++ b/core/decision/dogwoodpacking/engines.go
@@ -12,24 +12,24 @@
 	// packShare is the share of an engine's slots that answers are packed into. The rest is for
 	// requests that other daemons have not announced yet.
 	packShare = 0.85
-	// aimShare is the share of its aim within which a prompt must be read as predicted. The rest
-	// is for network latency and for effects that the prediction does not cover.
+	// aimShare is the share of its aim within which the prefill of a prompt must end as predicted.
+	// The rest is for network latency and for effects that the prediction does not cover.
 	aimShare = 0.5
 	// pauseShare is the share of the longest acceptable pause that may be used up.
 	pauseShare = 0.75
-	// maxHelpers is the maximum number of engines that help to read one prompt.
+	// maxHelpers is the maximum number of engines that help to prefill one prompt.
 	maxHelpers = 15
 	// memoryShare is the share of an engine's memory that is assigned: answers grow while they
-	// are written, and an engine that runs out of memory suspends a request.
+	// are decoded, and an engine that runs out of memory suspends a request.
 	memoryShare = 0.92
 	// minSeenShare is the share of the daemons whose work must be on the board before long
 	// prompts are placed. After all daemons were killed, the callers of all long prompts retry
 	// at almost the same time. Daemons that did not see each other's work placed them on every
 	// engine at once, ahead of all short prompts, which got no answer for five seconds.
 	minSeenShare = 0.5
-	// slackShare is the share of its aim within which a waiting prompt must be read, as
-	// predicted, for a later one to be read before it: helpers read their parts before their own
-	// prompts. The rest is for effects that the prediction does not cover.
+	// slackShare is the share of its aim within which the prefill of a waiting prompt must end as
+	// predicted if a later prompt is prefilled before it: helpers prefill their parts before their
+	// own prompts. The rest is for effects that the prediction does not cover.
 	slackShare = 0.55
 	// unlimitedSlack is the slack of an engine where no prompt waits.
 	unlimitedSlack = time.Hour
@@ -39,7 +39,7 @@
 type engine struct {
 	state *endpointState
 	load  dogwoodenginetime.Load
-	// helperLoad is the load that is read before a part which this engine reads as a helper.
+	// helperLoad is the load that precedes a part which this engine prefills as a helper.
 	helperLoad   dogwoodenginetime.Load
 	requestCount int
 	usedTokens   int
@@ -50,10 +50,10 @@
 	slack    time.Duration
 	slowness float64
 	failing  bool
-	// hasWaiting is true while a prompt whose answer will be written here has not been read.
+	// hasWaiting is true while a prompt whose answer will be decoded here has not been prefilled.
 	hasWaiting bool
-	// packed is true if the engine has as many answers as are packed on one engine, inOwnGroup
-	// if it belongs to this daemon's group.
+	// packed is true once the engine has as many requests as this daemon packs on one engine,
+	// inOwnGroup if the engine belongs to this daemon's group.
 	packed, inOwnGroup bool
 }
 
@@ -71,31 +71,32 @@
 	return engines
 }
 
-// predictOwnPart predicts when the primary engine has read its part of a prompt.
-func (engine *engine) predictOwnPart(tokens int, reading time.Duration) time.Duration {
-	return engine.predictRead(engine.load, tokens, reading)
+// predictOwnPart predicts when the primary engine has prefilled its part of a prompt.
+func (engine *engine) predictOwnPart(tokens int, prefill time.Duration) time.Duration {
+	return engine.predictPrefill(engine.load, tokens, prefill)
 }
 
-// predictHelperPart predicts when a helper has read its part of a prompt.
-func (engine *engine) predictHelperPart(tokens int, reading time.Duration) time.Duration {
-	return engine.predictRead(engine.helperLoad, tokens, reading)
+// predictHelperPart predicts when a helper has prefilled its part of a prompt.
+func (engine *engine) predictHelperPart(tokens int, prefill time.Duration) time.Duration {
+	return engine.predictPrefill(engine.helperLoad, tokens, prefill)
 }
 
-func (engine *engine) predictRead(load dogwoodenginetime.Load, tokens int, reading time.Duration) time.Duration {
-	slowed := time.Duration(engine.slowness * float64(reading))
+func (engine *engine) predictPrefill(load dogwoodenginetime.Load, tokens int, prefill time.Duration) time.Duration {
+	slowed := time.Duration(engine.slowness * float64(prefill))
 	return engine.state.Engine.FirstToken(load, tokens, slowed)
 }
 
-// mayHelpLate reports whether a part may be read here when no placement keeps all limits: the
-// engine writes nothing and every prompt that waits here can be delayed.
+// mayHelpLate reports whether a part may be prefilled here when no placement keeps all limits:
+// the engine decodes nothing and every prompt that waits here can be delayed.
 func (engine *engine) mayHelpLate() bool {
 	return engine.load.Writers == 0 && engine.slack > 0
 }
 
-// keepsPauses reports whether the answers here, and one more with the given longest acceptable
-// pause, continue without exceeding their limits while a part is read.
-func (engine *engine) keepsPauses(reading, pause time.Duration) bool {
-	if reading > engine.slack {
+// keepsPauses reports whether a part can be prefilled here without delaying a waiting prompt beyond
+// its slack or an answer beyond its longest acceptable pause. pause is the longest acceptable one
+// of an answer that is added; 0 if none is added or it has no limit.
+func (engine *engine) keepsPauses(prefill, pause time.Duration) bool {
+	if prefill > engine.slack {
 		return false
 	}
 	if engine.requestCount == 0 {
@@ -108,46 +109,47 @@
 	if limit == 0 {
 		return true
 	}
-	longest := float64(engine.state.Engine.Pause(engine.load, reading)) * engine.slowness
+	longest := float64(engine.state.Engine.Pause(engine.load, prefill)) * engine.slowness
 	return longest <= pauseShare*float64(limit)
 }
 
-// choice is one way to read a prompt: the primary engine, which also writes the answer, and its
-// helpers.
+// choice is one way to prefill a prompt: the primary engine, which also decodes the answer, and
+// its helpers.
 type choice struct {
 	primary   *engine
 	helpers   []*engine
 	predicted time.Duration
 }
 
-// search holds the state of finding the best way to read one prompt.
+// search holds the state of finding the best way to prefill one prompt.
 type search struct {
 	now time.Time
 	ask *Ask
 	// waited is how long the request has waited.
 	waited  time.Duration
 	engines []engine
-	// primaries may write the answer. Engines that are not packed come first, then those of the
+	// primaries may decode the answer. Engines that are not packed come first, then those of the
 	// daemon's own group, then the fullest.
 	primaries []*engine
-	// readers may help to read. Engines that do not write come first, then those without waiting
-	// prompts that would be delayed, then those that are free soonest.
-	readers []*engine
-	// holders is the number of engines needed to hold the prompt and its answer in memory.
-	holders   int
-	readLimit time.Duration
+	// helpers may help to prefill. Engines that do not decode come first, then those without
+	// waiting prompts that would be delayed, then those that are free soonest.
+	helpers []*engine
+	// minEngines is the number of engines needed to hold the prompt and its answer in memory.
+	minEngines   int
+	prefillLimit time.Duration
 }
 
-// chooseEngines selects the engine that writes an answer and those that help to read its prompt:
-// the fullest engine on which all answers keep their pauses and the prompt is read in time, with
-// as few helpers as possible. Helpers must also keep the pauses of the answers that they will
-// write soon: an engine that only reads now starts to write once its own prompt is read.
+// chooseEngines selects the engine that decodes an answer and those that help to prefill its
+// prompt: the fullest engine on which all answers keep their pauses and the prompt is prefilled in
+// time, with as few helpers as possible. Helpers must also keep the pauses of the answers that they
+// will decode soon: an engine that only prefills now starts to decode once its own prompt is
+// prefilled.
 func (board *Board) chooseEngines(now time.Time, ask *Ask, candidates []*endpointState) (Placement, Refusal) {
 	if board.seenShare < minSeenShare && ask.CanWait && ask.Prompt >= dogwoodenginetime.LongPrompt {
 		return Placement{}, Full
 	}
 	search := board.newSearch(now, ask, candidates)
-	if search.holders > 1+maxHelpers {
+	if search.minEngines > 1+maxHelpers {
 		return Placement{}, TooLarge
 	}
 	for _, primary := range search.primaries {
@@ -164,26 +166,26 @@
 
 func (board *Board) newSearch(now time.Time, ask *Ask, candidates []*endpointState) *search {
 	search := &search{
-		now: now, ask: ask, engines: board.survey(now, candidates), readLimit: time.Duration(aimShare * float64(ask.Aim)),
-		primaries: board.scratch.primaries[:0], readers: board.scratch.readers[:0],
+		now: now, ask: ask, engines: board.survey(now, candidates), prefillLimit: time.Duration(aimShare * float64(ask.Aim)),
+		primaries: board.scratch.primaries[:0], helpers: board.scratch.helpers[:0],
 	}
 	if !ask.Arrived.IsZero() {
 		search.waited = now.Sub(ask.Arrived)
 	}
 	memory := usableMemory(candidates[0])
-	search.holders = max((ask.Prompt+ask.Answer+memory-1)/memory, 1)
+	search.minEngines = max((ask.Prompt+ask.Answer+memory-1)/memory, 1)
 	for i := range search.engines {
 		engine := &search.engines[i]
 		if !engine.failing {
 			search.primaries = append(search.primaries, engine)
 		}
-		search.readers = append(search.readers, engine)
+		search.helpers = append(search.helpers, engine)
 	}
-	board.scratch.primaries, board.scratch.readers = search.primaries, search.readers
+	board.scratch.primaries, board.scratch.helpers = search.primaries, search.helpers
 	slices.SortStableFunc(search.primaries, func(a, b *engine) int {
 		return cmp.Or(compareBool(a.packed, b.packed), compareBool(b.inOwnGroup, a.inOwnGroup), cmp.Compare(b.requestCount, a.requestCount))
 	})
-	slices.SortStableFunc(search.readers, func(a, b *engine) int {
+	slices.SortStableFunc(search.helpers, func(a, b *engine) int {
 		return cmp.Or(
 			compareBool(a.failing, b.failing), compareBool(a.load.Writers > 0, b.load.Writers > 0),
 			compareBool(a.hasWaiting, b.hasWaiting), cmp.Compare(a.load.Queued, b.load.Queued),
@@ -207,18 +209,18 @@
 	return max(int(memoryShare*float64(state.Engine.MemoryTokens)), 1)
 }
 
-// memoryPerHolder returns the tokens that each holder keeps in its memory.
-func (search *search) memoryPerHolder() int {
-	return (search.ask.Prompt + search.ask.Answer + search.holders - 1) / search.holders
+// memoryPerEngine returns the tokens that each of minEngines engines holds in its memory.
+func (search *search) memoryPerEngine() int {
+	return (search.ask.Prompt + search.ask.Answer + search.minEngines - 1) / search.minEngines
 }
 
-// fewestHelpers finds the fewest helpers with which the primary engine reads the prompt in time
+// fewestHelpers finds the fewest helpers with which the primary engine prefills the prompt in time
 // while all answers keep their pauses.
 func (search *search) fewestHelpers(primary *engine) (choice, bool) {
-	for parts := search.holders; parts <= 1+maxHelpers; parts++ {
-		reading := primary.state.Engine.Read(search.ask.Prompt, parts)
-		found, ok := search.assign(primary, parts, func(helper *engine) bool { return helper.keepsPauses(reading, 0) })
-		if ok && found.predicted <= search.readLimit && primary.keepsPauses(reading, search.ask.Pause) {
+	for parts := search.minEngines; parts <= 1+maxHelpers; parts++ {
+		prefill := primary.state.Engine.Read(search.ask.Prompt, parts)
+		found, ok := search.assign(primary, parts, func(helper *engine) bool { return helper.keepsPauses(prefill, 0) })
+		if ok && found.predicted <= search.prefillLimit && primary.keepsPauses(prefill, search.ask.Pause) {
 			return found, true
 		}
 	}
@@ -228,22 +230,22 @@
 // assign splits the prompt into parts for the primary engine and the first suitable helpers. It
 // returns false if there are too few helpers or the engines have too little memory.
 func (search *search) assign(primary *engine, parts int, suits func(helper *engine) bool) (choice, bool) {
-	share := search.memoryPerHolder()
+	share := search.memoryPerEngine()
 	if primary.usedTokens+share > usableMemory(primary.state) {
 		return choice{}, false
 	}
-	reading := primary.state.Engine.Read(search.ask.Prompt, parts)
-	found := choice{primary: primary, predicted: primary.predictOwnPart(search.ask.Prompt/parts, reading)}
-	for _, helper := range search.readers {
+	prefill := primary.state.Engine.Read(search.ask.Prompt, parts)
+	found := choice{primary: primary, predicted: primary.predictOwnPart(search.ask.Prompt/parts, prefill)}
+	for _, helper := range search.helpers {
 		if len(found.helpers) == parts-1 {
 			break
 		}
-		holds := len(found.helpers) < search.holders-1
+		holds := len(found.helpers) < search.minEngines-1
 		if helper == primary || holds && helper.usedTokens+share > usableMemory(helper.state) || !suits(helper) {
 			continue
 		}
 		found.helpers = append(found.helpers, helper)
-		found.predicted = max(found.predicted, helper.predictHelperPart(search.ask.Prompt/parts, reading))
+		found.predicted = max(found.predicted, helper.predictHelperPart(search.ask.Prompt/parts, prefill))
 	}
 	return found, len(found.helpers) == parts-1
 }
@@ -252,8 +254,8 @@
 	placement := Placement{Endpoint: found.primary.state.Endpoint, Predicted: found.predicted}
 	for i, helper := range found.helpers {
 		chosen := Helper{Endpoint: helper.state.Endpoint}
-		if i < search.holders-1 {
-			chosen.Tokens = search.memoryPerHolder()
+		if i < search.minEngines-1 {
+			chosen.Tokens = search.memoryPerEngine()
 		}
 		placement.Helpers = append(placement.Helpers, chosen)
 	}
--- a/core/decision/dogwoodpacking/health.go
+++ b/core/decision/dogwoodpacking/health.go
@@ -42,19 +42,19 @@
 }
 
 // learnFirstToken updates the slowness with the observed over the predicted time to the first
-// token of a long prompt. It is the only indication that an engine which only reads is slow.
-// Other prompts that are read before it can multiply this time, so it has less weight than the
-// pace of writing.
-func (health *health) learnFirstToken(predicted, seen time.Duration) {
+// token of a long prompt. It is the only indication that an engine which only prefills is
+// slow. Other prompts that are prefilled before it can multiply this time, so it has less weight
+// than the pace of decoding.
+func (health *health) learnFirstToken(predicted, observed time.Duration) {
 	if predicted <= 0 {
 		return
 	}
-	health.learn(float64(seen)/float64(predicted), firstTokenWeight)
+	health.learn(float64(observed)/float64(predicted), firstTokenWeight)
 }
 
-// learnPace updates the slowness with the pace at which an engine writes: a short pause between
-// two events of one answer over the time of a pass in which nothing is read; 0 if unknown. First
-// tokens of short prompts are not used: after a restart of all daemons they are late for seconds
+// learnPace updates the slowness with the pace at which an engine decodes: a short pause between
+// two events of one answer over the time of a pass without prefill; 0 if unknown. First tokens of
+// short prompts are not used: after a restart of all daemons they are late for seconds
 // because the engines continue with old answers, and engines that were considered slow got no
 // requests.
 func (health *health) learnPace(pace float64) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// Paced records a short pause between two events of an answer that an engine wrote. It returns
+// Paced records a short pause between two events of an answer that an engine decodes. It returns
 // the pace, which the other daemons record with PeerPaced.
 func (board *Board) Paced(id dogwoodfleet.EndpointID, pause time.Duration) float64 {
 	board.mutex.Lock()
@@ -102,7 +102,7 @@
 
 // PeerPaced records the pace that another daemon observed. Failures are not shared: a daemon
 // whose own network fails sees all endpoints fail. Nor are the first tokens of long prompts: a
-// delay by prompts that are read before them would count at each daemon.
+// delay by prompts that are prefilled before them would count at each daemon.
 func (board *Board) PeerPaced(id dogwoodfleet.EndpointID, pace float64) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
--- a/core/decision/dogwoodpacking/herd_test.go
+++ b/core/decision/dogwoodpacking/herd_test.go
@@ -26,8 +26,8 @@
 	slotsPerEngine = 10
 	// announceDelay is the delay in milliseconds until a hub learns of another hub's request.
 	announceDelay = 2
-	// firstTokenAfter and answeredAfter are the milliseconds until a request starts to write and
-	// until it ends.
+	// firstTokenAfter and answeredAfter are the milliseconds until the first token of an answer
+	// and until its end.
 	firstTokenAfter, answeredAfter = 150, 550
 )
 
--- a/core/decision/dogwoodpacking/leastbad.go
+++ b/core/decision/dogwoodpacking/leastbad.go
@@ -26,25 +26,25 @@
 	unitWeightTokens = 10_000
 )
 
-// leastBad returns the choice for when no placement keeps all limits: the one with the lowest
-// total loss, over the new request and all that are already assigned, each by its weight. A new
-// request that can wait does so if it would lose as much as by being late: engines become free
-// within a second or two, and a request that is committed to a busy engine can't use the first
-// one that becomes free.
+// leastBad is used when no placement keeps all limits. It returns the choice with the lowest
+// total loss, which is the weighted sum of the losses of the new request and of all requests that
+// are already assigned. A new request that can wait does so if the total loss is at least that of
+// its own lateness: engines become free within a second or two, and a request that is committed to
+// a busy engine can't use the first one that becomes free.
 func (search *search) leastBad() (choice, bool) {
 	var best choice
 	var bestLoss float64
 	for i := range search.engines {
 		primary := &search.engines[i]
-		for parts := search.holders; parts <= 1+maxHelpers; parts++ {
-			reading := primary.state.Engine.Read(search.ask.Prompt, parts)
+		for parts := search.minEngines; parts <= 1+maxHelpers; parts++ {
+			prefill := primary.state.Engine.Read(search.ask.Prompt, parts)
 			found, ok := search.assign(primary, parts, func(helper *engine) bool {
-				return helper.mayHelpLate() || helper.keepsPauses(reading, 0)
+				return helper.mayHelpLate() || helper.keepsPauses(prefill, 0)
 			})
 			if !ok {
 				continue // with more parts, each is smaller and more helpers may be suitable
 			}
-			loss := search.loss(&found, reading)
+			loss := search.loss(&found, prefill)
 			if best.primary == nil || loss < bestLoss {
 				best, bestLoss = found, loss
 			}
@@ -53,9 +53,10 @@
 	return best, best.primary != nil && !(search.ask.CanWait && search.prefersWaiting(bestLoss))
 }
 
-// prefersWaiting reports whether a new request that can wait does so. While it can still be in
-// time, it rejects a placement that makes it late or causes an equal loss to others. Once it is
-// late, it accepts any placement that is soon enough and harms few requests.
+// prefersWaiting reports whether a new request that can wait should wait instead of taking a
+// placement with the given loss. Up to waitShare of its aim, it rejects a placement that makes it
+// late or causes an equal loss to others. After that, it accepts any placement that is soon enough
+// and harms few requests.
 func (search *search) prefersWaiting(loss float64) bool {
 	weight := weight(search.ask.Prompt)
 	if float64(search.waited) < waitShare*float64(search.ask.Aim) {
@@ -64,14 +65,14 @@
 	return loss >= (lateLoss+toleratedLoss)*weight
 }
 
-func (search *search) loss(found *choice, reading time.Duration) float64 {
+func (search *search) loss(found *choice, prefill time.Duration) float64 {
 	loss := weight(search.ask.Prompt) * lateness(search.waited+found.predicted, search.ask.Aim)
 	if found.primary.failing || found.primary.packed {
 		loss += avoidLoss
 	}
-	loss += search.lossToOthers(found.primary, reading, 1)
+	loss += search.lossToOthers(found.primary, prefill, 1)
 	for _, helper := range found.helpers {
-		loss += search.lossToOthers(helper, reading, 0)
+		loss += search.lossToOthers(helper, prefill, 0)
 	}
 	return loss
 }
@@ -92,23 +93,24 @@
 	return lateLoss + lateGrowth*min(share, maxLateShare)
 }
 
-// lossToOthers returns the loss of the requests that write or wait at an engine that reads one
-// more part. joining is the number of answers that it will write in addition.
-func (search *search) lossToOthers(engine *engine, reading time.Duration, joining int) float64 {
+// lossToOthers returns the loss of the requests whose answers an engine decodes or whose prompts
+// wait there, if the engine prefills one more part. joining is the number of answers that it will
+// decode in addition.
+func (search *search) lossToOthers(engine *engine, prefill time.Duration, joining int) float64 {
 	load := engine.load
 	load.Writers += joining
-	pause := time.Duration(engine.slowness * float64(engine.state.Engine.Pause(load, reading)))
+	pause := time.Duration(engine.slowness * float64(engine.state.Engine.Pause(load, prefill)))
 	loss := 0.0
 	for _, work := range engine.state.work {
 		switch left := work.Aim - search.now.Sub(work.Begun) - load.Queued; {
 		case work.Writing && work.Pause > 0 && pause > work.Pause,
-			!work.Writing && left > 0 && reading > left:
+			!work.Writing && left > 0 && prefill > left:
 			loss += lateLoss * weight(work.Prompt)
 		}
 	}
 	for _, work := range engine.state.helpedWork {
 		left := work.Aim - search.now.Sub(work.Begun) - load.Queued
-		if !work.Writing && left > 0 && reading > left {
+		if !work.Writing && left > 0 && prefill > left {
 			loss += lateLoss * weight(work.Prompt)
 		}
 	}
--- a/core/decision/dogwoodpacking/load.go
+++ b/core/decision/dogwoodpacking/load.go
@@ -7,20 +7,20 @@
 	"dogwoodmux.example/core/decision/dogwoodenginetime"
 )
 
-// pendingRead is a prompt, or a part of one, that an engine has to read.
-type pendingRead struct {
+// pendingPrefill is a prompt, or a part of one, that an engine has to prefill.
+type pendingPrefill struct {
 	begun   time.Time
-	reading time.Duration
+	prefill time.Duration
 	tokens  int
 }
 
-// load estimates an engine's load from the requests sent there that have not answered. Prompts
-// are assumed to be read one after another, starting from the latest time at which one is known
-// to have been read. Prompts that should have been read by now no longer count, although a joint
-// prompt yields its first token only when its last part is read.
+// load estimates an engine's load from the requests sent there that have not ended. Prompts are
+// assumed to be prefilled one after another, starting from the latest time at which one is known
+// to have been prefilled. Prompts that should have been prefilled by now no longer count, although
+// a joint prompt yields its first token only when its last part is prefilled.
 func (state *endpointState) load(now time.Time) dogwoodenginetime.Load {
 	var load dogwoodenginetime.Load
-	state.pendingReads = state.pendingReads[:0]
+	state.pendingPrefills = state.pendingPrefills[:0]
 	var waiting time.Duration
 	for _, work := range state.work {
 		if work.Writing {
@@ -36,31 +36,31 @@
 	return load
 }
 
-// helperLoad estimates what an engine reads before a part that it gets as a helper: only earlier
-// parts of other engines' prompts, since an engine reads these before its own prompts. When all
+// helperLoad estimates what an engine prefills before a part that it gets as a helper: only earlier
+// parts of other engines' prompts, since an engine prefills these before its own prompts. When all
 // of them were treated as one queue, a helper with a prompt of its own looked busy for seconds,
-// and joint prompts were read only by the few engines without one.
+// and joint prompts were prefilled only by the few engines without one.
 func (state *endpointState) helperLoad(now time.Time, load dogwoodenginetime.Load) dogwoodenginetime.Load {
-	state.pendingReads = state.pendingReads[:0]
+	state.pendingPrefills = state.pendingPrefills[:0]
 	load.Queued, load.QueuedTokens = state.backlog(now)
 	return load
 }
 
-// backlog returns the time until the engine has read the pending prompts collected so far and
-// the parts that it helps with, and the tokens of those not read yet.
+// backlog returns the time until the engine has prefilled the pending prompts collected so far and
+// the parts that it helps with, and the tokens of those not prefilled yet.
 func (state *endpointState) backlog(now time.Time) (queued time.Duration, tokens int) {
 	for _, work := range state.helpedWork {
 		if !work.Writing {
 			state.addPending(work)
 		}
 	}
-	slices.SortFunc(state.pendingReads, func(a, b pendingRead) int { return a.begun.Compare(b.begun) })
-	freeAt := state.lastReadAt
-	for _, pending := range state.pendingReads {
+	slices.SortFunc(state.pendingPrefills, func(a, b pendingPrefill) int { return a.begun.Compare(b.begun) })
+	freeAt := state.lastPrefillAt
+	for _, pending := range state.pendingPrefills {
 		if pending.begun.After(freeAt) {
 			freeAt = pending.begun
 		}
-		freeAt = freeAt.Add(time.Duration(float64(pending.reading) * state.health.slowness()))
+		freeAt = freeAt.Add(time.Duration(float64(pending.prefill) * state.health.slowness()))
 		if freeAt.After(now) {
 			tokens += pending.tokens
 		}
@@ -68,13 +68,13 @@
 	return max(freeAt.Sub(now), 0), tokens
 }
 
-// waitingShare is the minimum share of the reading time of all unanswered prompts that counts as
+// waitingShare is the minimum share of the prefill time of all unanswered prompts that counts as
 // queued: the engine may be slower than before.
 const waitingShare = 0.1
 
 func (state *endpointState) addPending(work *Work) {
-	state.pendingReads = append(state.pendingReads, pendingRead{
-		begun: work.Begun, reading: work.Reading, tokens: work.Prompt / (1 + len(work.Helpers)),
+	state.pendingPrefills = append(state.pendingPrefills, pendingPrefill{
+		begun: work.Begun, prefill: work.Reading, tokens: work.Prompt / (1 + len(work.Helpers)),
 	})
 }
 
--- a/core/decision/dogwoodpacking/packing_test.go
+++ b/core/decision/dogwoodpacking/packing_test.go
@@ -56,12 +56,12 @@
 	t.Helper()
 	placement, refusal := board.Place(now, ask)
 	if refusal != Placed {
-		t.Fatalf("got refusal %q, want a place", refusal)
+		t.Fatalf("got refusal %q, want a placement", refusal)
 	}
 	return placement
 }
 
-// Short answers are written on few engines, so that the others are free for long prompts.
+// Short answers are decoded on few engines, so that the others are free for long prompts.
 func TestShortPromptsArePacked(t *testing.T) {
 	board, now := pool(8), time.Now()
 	used := map[dogwoodfleet.EndpointID]bool{}
@@ -76,10 +76,10 @@
 	}
 }
 
-// A prompt of 182,000 tokens takes one engine four seconds to read, and its caller waits three.
-// It must be read on several engines, none of which is writing an answer to a short prompt, as
-// that answer would stall while the engine reads.
-func TestLongPromptsAreReadJointlyAwayFromWriters(t *testing.T) {
+// A prompt of 182,000 tokens takes one engine four seconds to prefill, and its caller waits three.
+// It must be prefilled on several engines, none of which is decoding the answer to a short prompt,
+// as that answer would stall during the prefill.
+func TestLongPromptsArePrefilledJointlyAwayFromDecoding(t *testing.T) {
 	board, now := pool(8), time.Now()
 	writing := mustPlace(t, board, now, short(now, 3_000))
 	now = now.Add(100 * time.Millisecond)
@@ -90,7 +90,7 @@
 	}
 	for _, id := range append(ids(placement), placement.Endpoint.ID) {
 		if id == writing.Endpoint.ID {
-			t.Error("got an engine that is writing, want only others")
+			t.Error("got an engine that is decoding, want only others")
 		}
 	}
 }
@@ -103,24 +103,24 @@
 	return listed
 }
 
-// A long prompt is read on all engines but a few. A short prompt must not be placed on an engine
-// that reads: it would wait there for longer than its caller does.
-func TestShortPromptsAvoidEnginesReadingLongOnes(t *testing.T) {
+// A long prompt is prefilled on all engines but a few. A short prompt must not be placed on an
+// engine that prefills it: it would wait there for longer than its caller does.
+func TestShortPromptsAvoidEnginesPrefillingLongOnes(t *testing.T) {
 	board, now := pool(4), time.Now()
 	longPrompt := mustPlace(t, board, now, long(now, 300_000))
-	reading := map[dogwoodfleet.EndpointID]bool{longPrompt.Endpoint.ID: true}
+	prefilling := map[dogwoodfleet.EndpointID]bool{longPrompt.Endpoint.ID: true}
 	for _, id := range ids(longPrompt) {
-		reading[id] = true
+		prefilling[id] = true
 	}
 	ask := short(now, 3_000)
 	ask.CanWait = true
 	placement, refusal := board.Place(now, ask)
-	if refusal == Placed && reading[placement.Endpoint.ID] {
-		t.Errorf("got a place at %s behind a long prompt, want another one or to wait", placement.Endpoint.ID)
+	if refusal == Placed && prefilling[placement.Endpoint.ID] {
+		t.Errorf("got a placement at %s behind a long prompt, want another one or to wait", placement.Endpoint.ID)
 	}
 }
 
-// All engines read for seconds. A short prompt that is committed to one of them is certainly
+// All engines prefill for seconds. A short prompt that is committed to one of them is certainly
 // late and can't use the first engine that becomes free, so it waits. Once it can't wait any
 // longer, it takes the placement that is available.
 func TestRequestsWaitWhenEveryEngineWouldBeLate(t *testing.T) {
@@ -149,7 +149,7 @@
 		kept += helper.Tokens
 	}
 	if left := ask.Prompt + ask.Answer - kept; left <= 0 || left > testEngine.MemoryTokens {
-		t.Errorf("got %d tokens left for the first engine, want some that fit", left)
+		t.Errorf("got %d tokens left for the primary engine, want some that fit", left)
 	}
 	if _, got := board.Place(now, long(now, 100_000_000)); got != TooLarge {
 		t.Errorf("a prompt that fits no engines: got %q, want %q", got, TooLarge)
@@ -224,11 +224,11 @@
 			board := pool(1)
 			board.Put(now, work("p1"))
 			if got := mustPlace(t, board, now, short(now, 1000)).Load.Writers; got != 1 {
-				t.Errorf("got %d writers before, want 1", got)
+				t.Errorf("got %d decoding requests before, want 1", got)
 			}
 			test.end(board)
 			if got := mustPlace(t, board, now, short(now, 1000)).Load.Writers; got != 0 {
-				t.Errorf("got %d writers after, want 0", got)
+				t.Errorf("got %d decoding requests after, want 0", got)
 			}
 		})
 	}
@@ -246,7 +246,7 @@
 	board.Failed(now, restarted.ID)
 	board.SetEndpoints([]Endpoint{restarted})
 	if got := mustPlace(t, board, now, short(now, 1000)).Load.Writers; got != 0 {
-		t.Errorf("got %d writers at the new instance, want 0", got)
+		t.Errorf("got %d decoding requests at the new instance, want 0", got)
 	}
 }
 
@@ -345,7 +345,7 @@
 	}
 }
 
-// An engine becomes five times slower and writes at a fifth of its pace. It must get no new
+// An engine becomes five times slower and decodes at a fifth of its pace. It must get no new
 // short prompts until it has recovered.
 func TestSlowEnginesAreDetectedByPace(t *testing.T) {
 	board, now := pool(2), time.Now()
@@ -383,7 +383,7 @@
 }
 
 // All daemons are killed at once, and the callers of their long prompts retry at almost the same
-// time. A daemon that does not see the others' work yet must not let engines read these prompts
+// time. A daemon that does not see the others' work yet must not let engines prefill these prompts
 // ahead of all short ones. It places short prompts in the meantime.
 func TestLongPromptsWaitUntilDaemonsSeeEachOther(t *testing.T) {
 	board, now := pool(8), time.Now()
@@ -398,9 +398,9 @@
 	mustPlace(t, board, now, ask)
 }
 
-// A slow engine that only reads writes nothing from which its pace could be observed. It is
+// A slow engine that only prefills decodes nothing from which its pace could be observed. It is
 // detected by the first tokens of its long prompts.
-func TestSlowReadersAreDetectedByLongPrompts(t *testing.T) {
+func TestSlowPrefillIsDetectedByLongPrompts(t *testing.T) {
 	board, now := pool(2), time.Now()
 	first := mustPlace(t, board, now, long(now, 60_000))
 	board.Writes(now, first.Work.ID, time.Second, 5*time.Second)
--- a/core/decision/dogwoodpacking/parts_test.go
+++ b/core/decision/dogwoodpacking/parts_test.go
@@ -7,25 +7,25 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// unreadWork returns a long prompt that one engine has to read alone, sent the given time ago.
-func unreadWork(endpoint dogwoodfleet.EndpointID, now time.Time, ago, reading time.Duration) Work {
+// waitingWork returns a long prompt that one engine has to prefill alone, sent the given time ago.
+func waitingWork(endpoint dogwoodfleet.EndpointID, now time.Time, ago, prefill time.Duration) Work {
 	askCount++
 	ask := long(now, 150_000)
 	return Work{
 		ID: ask.ID, Holder: "other", Service: "models", Endpoint: endpoint, Prompt: 150_000, Tokens: 151_300,
-		Reading: reading, Aim: ask.Aim, Pause: ask.Pause, Begun: now.Add(-ago), Until: now.Add(10 * time.Second),
+		Reading: prefill, Aim: ask.Aim, Pause: ask.Pause, Begun: now.Add(-ago), Until: now.Add(10 * time.Second),
 	}
 }
 
 // A long prompt is three seconds late for reasons that were not predicted. Two new long prompts
-// arrive each second, and their parts were read before it, since a late prompt was assumed to
+// arrive each second, and their parts were prefilled before it, since a late prompt was assumed to
 // have nothing more to lose: its caller waited eight seconds longer. It must not be delayed
-// further while engines that write can help.
+// further while engines that decode can help.
 func TestLatePromptIsNotDelayedFurther(t *testing.T) {
 	board, now := pool(6), time.Now()
-	board.Put(now, unreadWork("e00", now, 6*time.Second, 7*time.Second))
+	board.Put(now, waitingWork("e00", now, 6*time.Second, 7*time.Second))
 	for i := 1; i < 6; i++ {
-		writing := unreadWork(engineEndpoint(i).ID, now, time.Second, 0)
+		writing := waitingWork(engineEndpoint(i).ID, now, time.Second, 0)
 		writing.Writing, writing.Until = true, now.Add(time.Minute)
 		board.Put(now, writing)
 	}
@@ -35,21 +35,21 @@
 		placement := mustPlace(t, board, now, ask)
 		for _, id := range ids(placement) {
 			if id == "e00" {
-				t.Fatalf("got the helpers and first engine %v, want none where a prompt is late", ids(placement))
+				t.Fatalf("got the helpers %v, want none where a prompt is late", ids(placement))
 			}
 		}
 		board.End(ask.ID)
 	}
 }
 
-// All engines but one have a long prompt of their own to read, with ample time. An engine reads
-// the parts that it helps with first, so many engines together can read a new prompt within half
-// a second. If the parts were treated as queued behind the engines' own prompts, it would wait
-// for seconds.
-func TestHelperReadsItsPartBeforeItsOwnPrompts(t *testing.T) {
+// All engines but one have a long prompt of their own to prefill, with ample time. An engine
+// prefills the parts that it helps with first, so many engines together can prefill a new prompt
+// within half a second. If the parts were treated as queued behind the engines' own prompts, it
+// would wait for seconds.
+func TestHelperPrefillsItsPartBeforeItsOwnPrompts(t *testing.T) {
 	board, now := pool(16), time.Now()
 	for i := 1; i < 16; i++ {
-		work := unreadWork(engineEndpoint(i).ID, now, 0, 1500*time.Millisecond)
+		work := waitingWork(engineEndpoint(i).ID, now, 0, 1500*time.Millisecond)
 		work.Aim = 20 * time.Second
 		board.Put(now, work)
 	}
@@ -59,24 +59,24 @@
 		t.Errorf("got a first token after %s, want at most %s", got, limit)
 	}
 	if got := placement.Endpoint.ID; got != "e00" {
-		t.Errorf("got first engine %s, want the one without a prompt of its own", got)
+		t.Errorf("got primary engine %s, want the one without a prompt of its own", got)
 	}
 	if len(placement.Helpers) == 0 {
 		t.Error("got no helpers, want some that have prompts of their own")
 	}
 }
 
-// All engines but one have a long prompt of their own to read, and new prompts keep arriving
-// that they could help with. Each part is read before the waiting prompt, and effects that the
-// prediction does not cover come on top, so prompts that were delayed to the limit of their aim
-// became late. Parts may delay them to little over half of their aim, and if no placement keeps
-// all limits, by one more part that began before that.
+// All engines but one have a long prompt of their own to prefill, and new prompts keep arriving
+// that they could help with. Each part is prefilled before the waiting prompt, and effects that
+// the prediction does not cover delay it further, so prompts that were delayed to the limit of
+// their aim became late. Parts may delay them to little over half of their aim, and if no
+// placement keeps all limits, by one more part that began before that.
 func TestWaitingPromptsKeepSlack(t *testing.T) {
 	board, now := pool(6), time.Now()
 	ahead := map[dogwoodfleet.EndpointID]time.Duration{}
 	aim, largest := long(now, 0).Aim, time.Duration(0)
 	for i := 1; i < 6; i++ {
-		waiting := unreadWork(engineEndpoint(i).ID, now, 0, time.Second)
+		waiting := waitingWork(engineEndpoint(i).ID, now, 0, time.Second)
 		board.Put(now, waiting)
 		ahead[waiting.Endpoint] = waiting.Reading
 	}
@@ -92,9 +92,9 @@
 			largest = max(largest, placement.Work.Reading)
 		}
 	}
-	for id, reading := range ahead {
-		if limit := aim*11/20 + largest; reading > limit {
-			t.Errorf("got the waiting prompt at %s read after %s, want at most %s", id, reading, limit)
+	for id, prefill := range ahead {
+		if limit := aim*11/20 + largest; prefill > limit {
+			t.Errorf("got the waiting prompt at %s prefilled after %s, want at most %s", id, prefill, limit)
 		}
 	}
 }
--- a/core/decision/dogwoodpacking/simulation_test.go
+++ b/core/decision/dogwoodpacking/simulation_test.go
@@ -12,57 +12,58 @@
 	"dogwoodmux.example/core/decision/dogwoodwaiting"
 )
 
-// simulatedEngine is an engine on virtual time. It reads its prompts one after another, and
-// while it writes it runs passes that take longer by what is read in them.
+// simulatedEngine is an engine on virtual time. It prefills its prompts one after another. While
+// it decodes answers, it prefills prompts within its passes, each of which takes longer by the time
+// of the prefill.
 type simulatedEngine struct {
-	queue   []*job
-	writers []*job
-	now     time.Duration
+	queue    []*job
+	decoding []*job
+	now      time.Duration
 }
 
 // job is a request in the simulation.
 type job struct {
 	ask          *Ask
 	arrived      time.Duration
-	parts        int // engines that have not read their part yet
-	eventsLeft   int // events still to be written
+	parts        int // engines that have not prefilled their part yet
+	eventsLeft   int // events still to be decoded
 	lastEvent    time.Duration
 	firstEvent   time.Duration
 	longestPause time.Duration
-	writer       *simulatedEngine
+	primary      *simulatedEngine
 }
 
 const answerEvents = 38
 
-// step runs one pass, or reads one prompt if nothing is being written. It returns false once
+// step runs one pass, or prefills one prompt if nothing is being decoded. It returns false once
 // there is nothing to do before until.
 func (simulatedEngine *simulatedEngine) step(until time.Duration) bool {
-	if simulatedEngine.now >= until || len(simulatedEngine.queue)+len(simulatedEngine.writers) == 0 {
+	if simulatedEngine.now >= until || len(simulatedEngine.queue)+len(simulatedEngine.decoding) == 0 {
 		simulatedEngine.now = max(simulatedEngine.now, until)
 		return false
 	}
 	took := time.Duration(0)
-	if len(simulatedEngine.writers) > 0 {
-		took = testEngine.Pass(len(simulatedEngine.writers), 0)
+	if len(simulatedEngine.decoding) > 0 {
+		took = testEngine.Pass(len(simulatedEngine.decoding), 0)
 	}
-	var read []*job
+	var prefilled []*job
 	for tokens := 0; len(simulatedEngine.queue) > 0 && tokens < testEngine.Chunk*testEngine.Stride; {
 		head := simulatedEngine.queue[0]
 		simulatedEngine.queue = simulatedEngine.queue[1:]
 		parts := head.partCount()
 		took += testEngine.Read(head.ask.Prompt, parts)
 		tokens += head.ask.Prompt / parts
-		read = append(read, head)
-		if len(simulatedEngine.writers) == 0 {
+		prefilled = append(prefilled, head)
+		if len(simulatedEngine.decoding) == 0 {
 			break
 		}
 	}
 	simulatedEngine.now += took
-	simulatedEngine.write()
-	for _, request := range read {
+	simulatedEngine.decode()
+	for _, request := range prefilled {
 		if request.parts--; request.parts == 0 {
 			request.firstEvent, request.lastEvent = simulatedEngine.now, simulatedEngine.now
-			request.writer.writers = append(request.writer.writers, request)
+			request.primary.decoding = append(request.primary.decoding, request)
 		}
 	}
 	return true
@@ -70,8 +71,8 @@
 
 func (job *job) partCount() int { return job.ask.Answer >> 16 }
 
-func (simulatedEngine *simulatedEngine) write() {
-	simulatedEngine.writers = slices.DeleteFunc(simulatedEngine.writers, func(job *job) bool {
+func (simulatedEngine *simulatedEngine) decode() {
+	simulatedEngine.decoding = slices.DeleteFunc(simulatedEngine.decoding, func(job *job) bool {
 		job.longestPause = max(job.longestPause, simulatedEngine.now-job.lastEvent)
 		job.lastEvent = simulatedEngine.now
 		job.eventsLeft--
@@ -79,11 +80,11 @@
 	})
 }
 
-// policy places a request and returns the indexes of the first engine, which writes the answer,
-// and of the helpers. If the first index is negative, the request waits.
-type policy func(now time.Duration, ask *Ask, engines []*simulatedEngine) (first int, helpers []int)
+// policy places a request and returns the indexes of the primary engine, which decodes the
+// answer, and of the helpers. If the index of the primary engine is negative, the request waits.
+type policy func(now time.Duration, ask *Ask, engines []*simulatedEngine) (primary int, helpers []int)
 
-// retryInterval is the interval at which waiting requests are tried again.
+// retryInterval is the interval at which the placement of waiting requests is tried again.
 const retryInterval = 20 * time.Millisecond
 
 // alternatingBursts returns the traffic that the policies are compared on: short prompts
@@ -118,14 +119,14 @@
 	}
 	var waiting []*job
 	place := func(now time.Duration, request *job) bool {
-		first, helpers := choose(now, request.ask, engines)
-		if first < 0 {
+		primary, helpers := choose(now, request.ask, engines)
+		if primary < 0 {
 			return false
 		}
 		request.parts = 1 + len(helpers)
 		request.ask.Answer = request.parts << 16 // stores the number of parts; all answers have the same length
-		request.writer = engines[first]
-		engines[first].queue = append(engines[first].queue, request)
+		request.primary = engines[primary]
+		engines[primary].queue = append(engines[primary].queue, request)
 		for _, helper := range helpers {
 			engines[helper].queue = append([]*job{request}, engines[helper].queue...)
 		}
@@ -182,7 +183,7 @@
 // leastRequests is the baseline policy: the engine with the fewest requests.
 func leastRequests(_ time.Duration, _ *Ask, engines []*simulatedEngine) (int, []int) {
 	least := slices.MinFunc(engines, func(a, b *simulatedEngine) int {
-		return cmp.Compare(len(a.queue)+len(a.writers), len(b.queue)+len(b.writers))
+		return cmp.Compare(len(a.queue)+len(a.decoding), len(b.queue)+len(b.decoding))
 	})
 	return slices.Index(engines, least), nil
 }
@@ -222,8 +223,8 @@
 }
 
 // Bursts of drafts and of reviews alternate. When engines are chosen by the number of requests
-// alone, reviews are placed on engines that write drafts: these drafts pause for seconds, and
-// the reviews are late. Measured by what callers get, packing must do far better for both.
+// alone, reviews are placed on engines that decode drafts: these drafts pause for seconds, and
+// the reviews are late. Measured by what callers get, packing must keep far more of both in time.
 func TestAlternatingBurstsOfDraftsAndReviews(t *testing.T) {
 	const seeds = 5
 	var drafts, reviews, draftsBaseline, reviewsBaseline float64
--- a/core/decision/dogwoodplacement/placement.go
+++ b/core/decision/dogwoodplacement/placement.go
@@ -1,7 +1,7 @@
 // Package dogwoodplacement decides which engine of a service holds which model, version and
-// adapters, following the operators' configuration. An order states the holding that an engine
-// shall reach. The planner repeatedly compares the engines' reports with the configuration, so an
-// order that was lost or only partly carried out is issued again.
+// adapters, following the operators' text. An order states the holding that an engine shall load.
+// The planner repeatedly compares the engines' reports with the text, so an order that was lost or
+// only partly carried out is issued again.
 //
 // Load pattern: several models share a pool of engines. Engines fail and return, data centres
 // are taken out and brought back, and new versions of a model are rolled out under full load.
--- a/core/decision/dogwoodplacement/placement_test.go
+++ b/core/decision/dogwoodplacement/placement_test.go
@@ -191,6 +191,8 @@
 	}
 }
 
+// Guards against models that stay short of engines, and against engines that keep moving between
+// models: each load takes minutes, so no order may follow once the placement is complete.
 func TestPlacementReachesConfiguration(t *testing.T) {
 	models := []Model{{Holding: holding("a", "1"), Replicas: 3}, {Holding: holding("b", "1"), Replicas: 2}}
 	tests := []struct {
--- a/core/decision/dogwoodprefix/prefix_test.go
+++ b/core/decision/dogwoodprefix/prefix_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// A block's hash must cover the text before the block, too. Otherwise prompts that differ at the
+// beginning and agree later would count as sharing a prefix.
 func TestBlocksChain(t *testing.T) {
 	text := bytes.Repeat([]byte("a"), 4*BlockBytes+7)
 	blocks := Blocks(text, 8)
--- a/core/decision/dogwoodquota/home.go
+++ b/core/decision/dogwoodquota/home.go
@@ -51,7 +51,8 @@
 	}
 	share := wanted.minimum(available.sub(customerPool.shares))
 	if near && share.fractionOf(available) < wanted.fractionOf(available)/2 {
-		// Others hold its part until their next reports, which arrive before the entry's own.
+		// Other entries hold the rest of the wanted share until their next reports, which arrive
+		// before this entry's regular one, so this entry reports sooner.
 		next = max(nearInterval, next/4)
 	}
 	customerPool.add(entry, grant{demand: report.Demand, share: share, expires: now.Add(ValidFor * next)})
--- a/core/decision/dogwoodquota/quota_test.go
+++ b/core/decision/dogwoodquota/quota_test.go
@@ -54,6 +54,8 @@
 	return admitted
 }
 
+// A limit covers all entries together. It must neither multiply with the number of entries nor
+// shrink for a customer that uses only a few of them.
 func TestLimitAcrossEntries(t *testing.T) {
 	all := make([]int, 100)
 	for i := range all {
@@ -99,6 +101,8 @@
 	}
 }
 
+// Guards against shares that together exceed the limit. Entries report at random times and with
+// random demand, and old shares are still valid when new ones are granted.
 func TestSharesNeverExceedTheLimit(t *testing.T) {
 	seed := uint64(7)
 	random := rand.New(rand.NewPCG(seed, seed))
--- a/core/decision/dogwoodretry/retry.go
+++ b/core/decision/dogwoodretry/retry.go
@@ -1,8 +1,8 @@
-// Package dogwoodretry decides whether a failed attempt may be retried.
+// Package dogwoodretry decides whether a request may be retried after a failed try.
 //
 // Load pattern: after an outage, or while an endpoint keeps failing, each failure causes
 // a retry, and the retries keep the fleet overloaded. A token bucket for each customer and
-// service limits retries to a tenth of first attempts. A request that is not repeatable is
+// service limits retries to a tenth of first tries. A request that is not repeatable is
 // retried only if it certainly did not run, and no request is retried that can't finish by
 // its deadline. Without these rules a fault of seconds becomes an overload of minutes, and
 // a reservation is held twice.
@@ -16,7 +16,7 @@
 )
 
 const (
-	// Share is the number of retries that each first attempt adds to the budget. At 0.1,
+	// Share is the number of retries that each first try adds to the budget. At 0.1,
 	// retries add at most a tenth to the load, which is less than the headroom that any
 	// service runs with.
 	Share = 0.1
@@ -29,15 +29,15 @@
 	Backoff = 20 * time.Millisecond
 	// MaxBackoff bounds the mean wait before a retry.
 	MaxBackoff = 2 * time.Second
-	// MaxTries bounds the attempts of a request. With the doubling backoff, eight attempts
-	// span about 2.5 s, roughly the time that an engine takes to restart. With four, a
-	// request that met two restarting engines failed after 0.3 s, long before its deadline.
+	// MaxTries bounds the tries of a request. With the doubling backoff, eight tries span
+	// about 2.5 s, roughly the time that an engine takes to restart. With four, a request
+	// that met two restarting engines failed after 0.3 s, long before its deadline.
 	MaxTries = 8
 	// bucketTTL is the time after its last use at which a bucket is dropped.
 	bucketTTL = 10 * time.Minute
 )
 
-// Failure describes a failed attempt.
+// Failure describes a failed try.
 type Failure struct {
 	Customer   dogwoodfleet.Customer
 	Service    dogwoodfleet.Service
@@ -47,7 +47,7 @@
 	// Streamed is true if part of the answer was sent to the caller. The answer of another
 	// run can't continue it.
 	Streamed bool
-	// Try is the number of the attempt, starting at 1.
+	// Try is the number of the try, starting at 1.
 	Try int
 	// Left is the time until the deadline; Needs is the predicted duration of a run.
 	Left, Needs time.Duration
@@ -73,8 +73,8 @@
 	lastUsed time.Time
 }
 
-// Budget holds the token buckets that limit an entry's retries. It is not safe for
-// concurrent use.
+// Budget holds the token buckets that limit the retries of an entry daemon. It is not
+// safe for concurrent use.
 type Budget struct {
 	buckets   map[bucketKey]*bucket
 	lastSweep time.Time
@@ -85,21 +85,21 @@
 	return &Budget{buckets: map[bucketKey]*bucket{}}
 }
 
-// First records a first attempt, which adds Share to the bucket of its customer and service.
+// First records a first try, which adds Share to the bucket of its customer and service.
 func (budget *Budget) First(now time.Time, customer dogwoodfleet.Customer, service dogwoodfleet.Service) {
 	bucket := budget.bucket(now, bucketKey{customer, service})
 	bucket.tokens = min(bucket.tokens+Share, Burst)
 }
 
-// Decide returns whether the failed attempt may be retried, and if so takes a token from the
-// bucket of its customer and service.
+// Decide returns whether the request may be retried after the failed try, and if so takes a
+// token from the bucket of its customer and service.
 func (budget *Budget) Decide(now time.Time, failure Failure, random *rand.Rand) Verdict {
 	if reason := denialReason(failure); reason != "" {
 		return Verdict{Why: reason}
 	}
 	wait := backoff(failure, random)
 	if wait+failure.Needs >= failure.Left {
-		return Verdict{Why: "no time left for another attempt"}
+		return Verdict{Why: "no time left for another try"}
 	}
 	bucket := budget.bucket(now, bucketKey{failure.Customer, failure.Service})
 	if bucket.tokens < 1 {
@@ -117,18 +117,18 @@
 	case failure.State != dogwoodfleet.NotRun && !failure.Repeatable:
 		return "it may have run and is not repeatable"
 	case failure.Try >= MaxTries:
-		return "the maximum number of attempts is reached"
+		return "the maximum number of tries is reached"
 	}
 	switch failure.Reason {
 	case dogwoodfleet.ReasonEndpointDied, dogwoodfleet.ReasonNoEndpoint, dogwoodfleet.ReasonShutdown,
 		dogwoodfleet.ReasonInternal, dogwoodfleet.ReasonDependency:
 		return ""
 	default:
-		return "another attempt would fail in the same way"
+		return "another try would fail in the same way"
 	}
 }
 
-// backoff returns the wait before the next attempt. It is uniformly distributed between 0.5
+// backoff returns the wait before the next try. It is uniformly distributed between 0.5
 // and 1.5 times its mean, so that requests that failed together aren't retried together.
 func backoff(failure Failure, random *rand.Rand) time.Duration {
 	mean := min(Backoff<<max(failure.Try-1, 0), MaxBackoff)
--- a/core/decision/dogwoodretry/retry_test.go
+++ b/core/decision/dogwoodretry/retry_test.go
@@ -30,7 +30,7 @@
 		}, want: true},
 		{name: "part of the answer sent", change: func(failure *Failure) { failure.Streamed = true }, want: false},
 		{name: "no time for another run", change: func(failure *Failure) { failure.Left = failure.Needs }, want: false},
-		{name: "maximum number of attempts reached", change: func(failure *Failure) { failure.Try = MaxTries }, want: false},
+		{name: "maximum number of tries reached", change: func(failure *Failure) { failure.Try = MaxTries }, want: false},
 		{name: "refused over the customer's share", change: func(failure *Failure) {
 			failure.State, failure.Reason = dogwoodfleet.NotRun, dogwoodfleet.ReasonShare
 		}, want: false},
@@ -49,8 +49,8 @@
 
 // Guards against a retry storm: all endpoints are down and every request fails at once.
 // Without a budget, retries multiply the load on recovering endpoints by the number of
-// attempts.
-func TestRetriesStayWithinShareOfFirstAttempts(t *testing.T) {
+// tries.
+func TestRetriesStayWithinShareOfFirstTries(t *testing.T) {
 	budget, random := NewBudget(), rand.New(rand.NewPCG(1, 1))
 	retries := 0
 	const first = 1000
@@ -66,6 +66,6 @@
 		}
 	}
 	if got, limit := retries, int(first*Share)+Burst; got > limit {
-		t.Errorf("got %d retries for %d first attempts, want at most %d", got, first, limit)
+		t.Errorf("got %d retries for %d first tries, want at most %d", got, first, limit)
 	}
 }
--- a/core/decision/dogwoodretry/share.go
+++ b/core/decision/dogwoodretry/share.go
@@ -8,45 +8,45 @@
 )
 
 // Shared is one daemon's share of a retry budget that covers all daemons. In any window a
-// service gets at most Ratio retries for each of its requests, plus a fixed allowance. Each
-// daemon counts only the requests that it accepted, so the parts that come from the ratio
-// add up without coordination; the allowance is divided by the number of daemons. Separate
-// budgets for each daemon would together exceed the limit.
+// service gets at most Ratio retries for each first try, plus a fixed allowance. Each
+// daemon counts only the requests that it accepted, so the retries allowed by the ratio need
+// no coordination; the allowance is divided by the number of daemons. Separate budgets for
+// each daemon would together exceed the limit.
 type Shared struct {
-	// Ratio is the number of retries allowed for each first request.
+	// Ratio is the number of retries allowed for each first try.
 	Ratio float64
 	// Allowance is the number of retries allowed in a window in addition to Ratio, summed
 	// over all daemons.
 	Allowance float64
-	// Window is the period over which first requests and retries are counted.
+	// Window is the period over which first tries and retries are counted.
 	Window time.Duration
 
 	mutex    sync.Mutex
-	services map[dogwoodfleet.Service]*attempts
+	services map[dogwoodfleet.Service]*tries
 }
 
-// attempts holds the times of a service's first requests and retries in the last window.
-type attempts struct {
+// tries holds the times of a service's first tries and retries in the last window.
+type tries struct {
 	first, retries []time.Time
 }
 
-// First records a first request of a caller.
+// First records the first try of a request.
 func (shared *Shared) First(now time.Time, service dogwoodfleet.Service) {
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
-	attempts := shared.attempts(now, service)
-	attempts.first = append(attempts.first, now)
+	tries := shared.tries(now, service)
+	tries.first = append(tries.first, now)
 }
 
 // Take takes one retry from this daemon's share, or returns false if the share is used up.
 func (shared *Shared) Take(now time.Time, service dogwoodfleet.Service, daemons int) bool {
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
-	attempts := shared.attempts(now, service)
-	if shared.remaining(attempts, daemons) < 1 {
+	tries := shared.tries(now, service)
+	if shared.remaining(tries, daemons) < 1 {
 		return false
 	}
-	attempts.retries = append(attempts.retries, now)
+	tries.retries = append(tries.retries, now)
 	return true
 }
 
@@ -54,9 +54,9 @@
 func (shared *Shared) Return(now time.Time, service dogwoodfleet.Service) {
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
-	attempts := shared.attempts(now, service)
-	if last := len(attempts.retries) - 1; last >= 0 {
-		attempts.retries = attempts.retries[:last]
+	tries := shared.tries(now, service)
+	if last := len(tries.retries) - 1; last >= 0 {
+		tries.retries = tries.retries[:last]
 	}
 }
 
@@ -64,32 +64,32 @@
 func (shared *Shared) Allows(now time.Time, service dogwoodfleet.Service, daemons int) bool {
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
-	return shared.remaining(shared.attempts(now, service), daemons) >= 1
+	return shared.remaining(shared.tries(now, service), daemons) >= 1
 }
 
 // Left returns the number of retries left to the service that has the fewest left.
 func (shared *Shared) Left(now time.Time, daemons int) float64 {
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
-	least := shared.remaining(&attempts{}, daemons)
+	least := shared.remaining(&tries{}, daemons)
 	for service := range shared.services {
-		least = min(least, shared.remaining(shared.attempts(now, service), daemons))
+		least = min(least, shared.remaining(shared.tries(now, service), daemons))
 	}
 	return least
 }
 
-func (shared *Shared) remaining(attempts *attempts, daemons int) float64 {
-	allowed := shared.Ratio*float64(len(attempts.first)) + shared.Allowance/float64(max(daemons, 1))
-	return allowed - float64(len(attempts.retries))
+func (shared *Shared) remaining(tries *tries, daemons int) float64 {
+	allowed := shared.Ratio*float64(len(tries.first)) + shared.Allowance/float64(max(daemons, 1))
+	return allowed - float64(len(tries.retries))
 }
 
-func (shared *Shared) attempts(now time.Time, service dogwoodfleet.Service) *attempts {
+func (shared *Shared) tries(now time.Time, service dogwoodfleet.Service) *tries {
 	if shared.services == nil {
-		shared.services = map[dogwoodfleet.Service]*attempts{}
+		shared.services = map[dogwoodfleet.Service]*tries{}
 	}
 	found := shared.services[service]
 	if found == nil {
-		found = &attempts{}
+		found = &tries{}
 		shared.services[service] = found
 	}
 	found.first = dropBefore(found.first, now.Add(-shared.Window))
--- a/core/decision/dogwoodretry/share_test.go
+++ b/core/decision/dogwoodretry/share_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// Guards against a figure that hides an exhausted budget. An operator who sees a daemon deny
-// retries must see what is left to the service with the least, not to services without retries.
+// Guards against hiding an exhausted budget. When a daemon denies retries, operators must see
+// what is left to the service with the least, not what is left to services without retries.
 func TestLeftReportsServiceWithLeastBudget(t *testing.T) {
 	const daemons = 2
 	shared, now := &Shared{Ratio: 0.5, Allowance: 8, Window: 10 * time.Second}, time.Now()
@@ -52,7 +52,7 @@
 		want           float64
 	}{
 		{"no requests", "a", 0, 0, 4},
-		{"first requests add to the budget", "a", 4, 0, 4},
+		{"first tries add to the budget", "a", 4, 0, 4},
 		{"retries use the budget", "a", 0, 5, 1},
 		{"another service", "b", 2, 0, 1},
 		{"the other service used more", "b", 0, 5, 0},
--- a/core/decision/dogwoodroute/route.go
+++ b/core/decision/dogwoodroute/route.go
@@ -1,6 +1,6 @@
-// Package dogwoodroute looks up the parts of the operators' configuration that apply to a request:
-// the route by host and path, the service by weight and the customer by key. A Table holds one
-// version of the configuration and is immutable, so all lookups for a request use the same version.
+// Package dogwoodroute looks up the parts of the operators' text that apply to a request: the route
+// by host and path, the service by weight and the customer by key. A Table holds one version of the
+// text and is immutable, so all lookups for a request use the same version.
 package dogwoodroute
 
 import (
@@ -90,7 +90,7 @@
 // about the key.
 type keyDigest [sha256.Size]byte
 
-// Table holds one version of the operators' configuration.
+// Table holds one version of the operators' text.
 type Table struct {
 	Version      int64
 	Limits       Limits
--- a/core/decision/dogwoodrouting/routing.go
+++ b/core/decision/dogwoodrouting/routing.go
@@ -24,7 +24,7 @@
 	// applies: the 1.25 of consistent hashing with bounded loads.
 	boundedLoad = 1.25
 	// slowThreshold is the slowness above which an endpoint gets only probes while another
-	// candidate isn't slow. The limiter's ratio treats 1 as bad, at three times the normal latency.
+	// candidate isn't slow. At a slowness of 1 the latency is already three times the normal one.
 	slowThreshold = 1.5
 	// probeInterval is the age of a slow endpoint's last measurement at which the endpoint gets
 	// one request to check whether it has recovered.
@@ -50,7 +50,8 @@
 	HitTokens int
 	// PerToken is the time to prefill one prompt token.
 	PerToken time.Duration
-	// Slowness is the ratio of the latency to the normal one; 1 or less is healthy.
+	// Slowness is the ratio of the recent latency to the allowed one, which is three times the
+	// normal latency; 1 or less is healthy.
 	Slowness float64
 	// Measured is when the latency was last reported.
 	Measured time.Time
--- a/core/decision/dogwoodsuspect/suspect.go
+++ b/core/decision/dogwoodsuspect/suspect.go
@@ -1,19 +1,20 @@
 // Package dogwoodsuspect decides which requests are suspected of crashing endpoints.
 //
 // Load pattern: one request crashes each endpoint that runs it, and its caller sends it
-// again, perhaps through several entries at the same moment. Without a guard it takes the
-// fleet down endpoint by endpoint. Each request that was running on an endpoint when it died
-// gets a strike, recorded under a digest of customer and body. A digest with a strike is a
-// suspect: it runs alone on its endpoint, one run at a time in the whole system. If the
-// endpoint dies again during such a run, the digest is convicted and refused; if the run
-// finishes, the digest is cleared, so that harmless requests of the batch still succeed. A
-// digest that was running on two endpoints that died at the same time, and that has never
-// finished, is also convicted, since it is what both batches had in common.
+// again, perhaps through several entry daemons at the same moment. Without a guard it takes
+// the fleet down endpoint by endpoint. Each request that was running on an endpoint when it
+// died gets a strike, recorded under a digest of customer and body. A digest with a strike is
+// a suspect: a request with this digest runs alone on its endpoint, and only one such request
+// runs at a time in the whole system. If the endpoint dies during such a run, the digest is
+// convicted and its requests are refused; if the run finishes, the digest is cleared, so that
+// harmless requests that ran beside a crashing one still succeed. A digest that was running on
+// two endpoints that died, both before it could run alone, is also convicted unless it finished
+// recently, since it is what the two deaths have in common.
 //
 // A crashing request thus kills two endpoints: the first, and the one on which it then runs
-// alone. Owners share strikes by notices, which are sent before the caller learns of the
-// failure, so that the strikes are known when the caller resends at once. One owner, selected
-// by a hash of the digest, permits one run of a suspect at a time.
+// alone. Owners share strikes by notices, which are sent before the failure is returned to
+// the caller, so that all owners have the strikes when the caller resends at once. One owner,
+// selected by a hash of the digest, permits one run of a suspect at a time.
 package dogwoodsuspect
 
 import (
--- a/core/decision/dogwoodsuspect/suspect_test.go
+++ b/core/decision/dogwoodsuspect/suspect_test.go
@@ -36,6 +36,8 @@
 	checkStanding(t, ledger, now.Add(ConvictionKept), digest, Clear)
 }
 
+// Guards against owners that disagree about a digest. A notice may arrive twice or after a later
+// one, and a daemon that has just started must get the same standing from another owner's notices.
 func TestNotices(t *testing.T) {
 	strike := Notice{Kind: Strike, Digest: digest, Request: "1", Endpoint: "a"}
 	tests := []struct {
@@ -63,7 +65,7 @@
 }
 
 // Guards against concurrent runs of a suspect, each of which can kill an endpoint. Its caller
-// sends it through several entries at the same moment. One request gets the permit; the
+// sends it through several entry daemons at the same moment. One request gets the permit; the
 // others wait until its run ends or its lease expires.
 func TestOneSuspectRunAtATime(t *testing.T) {
 	ledger := NewLedger()
--- a/core/decision/dogwoodsuspect/trial.go
+++ b/core/decision/dogwoodsuspect/trial.go
@@ -34,8 +34,8 @@
 const permitPollInterval = 200 * time.Millisecond
 
 // Judge answers a Trial. It permits only one run of a suspect at a time across all owners.
-// Otherwise a caller that resends a crashing request through four entries at the same moment
-// would kill four more endpoints.
+// Otherwise a caller that resends a crashing request through four entry daemons at the same
+// moment would kill four more endpoints.
 func (ledger *Ledger) Judge(now time.Time, trial Trial) TrialAnswer {
 	standing, _ := ledger.Standing(now, trial.Digest)
 	found := ledger.records[trial.Digest]
--- a/core/decision/dogwoodtopology/topology_test.go
+++ b/core/decision/dogwoodtopology/topology_test.go
@@ -68,7 +68,7 @@
 
 // A daemon accepts a change after another one died but before the death is detected. If the change
 // were propagated along one tree only, the daemons behind the dead one would keep the old
-// configuration until the next poll. Flooding over the same edges reaches them.
+// state until the next poll. Flooding over the same edges reaches them.
 func TestFloodReachesAllDespiteLostMember(t *testing.T) {
 	const seed = 7
 	random := rand.New(rand.NewPCG(seed, seed))
--- a/core/decision/dogwoodwaiting/waiting.go
+++ b/core/decision/dogwoodwaiting/waiting.go
@@ -33,8 +33,8 @@
 	toleratedAims   = 4
 	toleratedPauses = 8
 	minTolerance    = 2 * time.Second
-	// toleranceShare is the fraction of that time for which a request waits for a slot, so
-	// that it is rejected or its prefill begins before the caller gives up.
+	// toleranceShare is the fraction of the caller's tolerance for which a request waits for
+	// a slot, so that it is rejected or its prefill begins before the caller gives up.
 	toleranceShare = 0.55
 )
 
