--- a/core/duty/dogwooddispatch/choose.go
+++ b/core/duty/dogwooddispatch/choose.go
@@ -59,8 +59,8 @@
 	return model == "" || len(endpoint.Models) == 0 || slices.Contains(endpoint.Models, model)
 }
 
-// loads returns the last known work of each owner. An owner that hasn't reported yet counts
-// as idle, so that it receives a request and reports its work in the reply.
+// loads returns the last known load of each owner. An owner that hasn't reported yet counts
+// as idle, so that it receives a request and sends its summary in the reply.
 func (owners *Owners) loads(groups []*ownerGroup, service dogwoodfleet.Service) []dogwoodrouting.OwnerLoad {
 	local := owners.options.Local.Summary()
 	owners.mutex.Lock()
@@ -76,9 +76,9 @@
 			}
 			summary, loads[i].Asked = state.summary, state.acquires[service]
 		}
-		for _, line := range summary.Services {
-			if line.Service == service {
-				loads[i].Slots, loads[i].Running, loads[i].Waiting, loads[i].Wait = line.Slots, line.Running, line.Waiting, line.Wait
+		for _, reported := range summary.Services {
+			if reported.Service == service {
+				loads[i].Slots, loads[i].Running, loads[i].Waiting, loads[i].Wait = reported.Slots, reported.Running, reported.Waiting, reported.Wait
 			}
 		}
 	}
--- a/core/duty/dogwooddispatch/choose_bench_test.go
+++ b/core/duty/dogwooddispatch/choose_bench_test.go
@@ -44,6 +44,7 @@
 	})
 }
 
+// BenchmarkCandidates measures the choice of the owners that one request is sent to.
 func BenchmarkCandidates(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("%d daemons, %d endpoints", size.daemons, size.endpoints), func(b *testing.B) {
@@ -62,6 +63,7 @@
 	}
 }
 
+// BenchmarkOwnership measures the assignment of all endpoints to owners after a change.
 func BenchmarkOwnership(b *testing.B) {
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("%d daemons, %d endpoints", size.daemons, size.endpoints), func(b *testing.B) {
--- a/core/duty/dogwooddispatch/dispatch.go
+++ b/core/duty/dogwooddispatch/dispatch.go
@@ -40,7 +40,7 @@
 	Body   []byte
 	// Key is the caller's Idempotency-Key.
 	Key string
-	// LoadID is an identifier set by the caller and passed on to the endpoints.
+	// LoadID is an identifier set by the caller and forwarded to the endpoints.
 	LoadID string
 	// Ran is the data centre of the last endpoint that a try was sent to. The dispatcher
 	// sets it.
@@ -120,8 +120,8 @@
 
 // Slots assigns requests to slots at endpoints.
 type Slots interface {
-	// Acquire waits for a grant and sets the request's ID to that of the acquire request
-	// that was granted. The error is a *dogwoodowner.Refusal.
+	// Acquire waits for a grant. It sets ask.Request.ID to the ID under which the slot was
+	// granted, since it may send several acquire requests. The error is a *dogwoodowner.Refusal.
 	Acquire(ctx context.Context, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error)
 	// ToldCold notifies the owner of an endpoint that reported at the start of an answer
 	// that it is cold.
@@ -130,7 +130,7 @@
 	Release(ctx context.Context, grant dogwoodowner.Grant, release dogwoodowner.Release)
 }
 
-// Options configure a dispatcher.
+// Options configures a dispatcher.
 type Options struct {
 	Self     dogwoodfleet.InstanceID
 	Place    dogwoodfleet.Place
--- a/core/duty/dogwooddispatch/gangs.go
+++ b/core/duty/dogwooddispatch/gangs.go
@@ -15,8 +15,8 @@
 
 const (
 	// engineListTTL is how long the list of all owners' engines is cached. Free memory changes
-	// when a gang begins or ends, which takes seconds. A gang that chooses an engine by an
-	// outdated list is refused by its owner.
+	// when a gang begins or ends, which takes seconds. If a gang chooses an engine by an outdated
+	// list, the engine's owner refuses the slot.
 	engineListTTL = 500 * time.Millisecond
 	// engineListTimeout bounds fetching the list from the owners.
 	engineListTimeout = time.Second
--- a/core/duty/dogwooddispatch/health.go
+++ b/core/duty/dogwooddispatch/health.go
@@ -24,7 +24,7 @@
 }
 
 const (
-	// probeInterval is the interval between probes of endpoints that others depend on.
+	// probeInterval is the interval between probes of endpoints that other services depend on.
 	probeInterval = dependencyRetryAfter
 	// probeTimeout bounds connecting to an endpoint. It is far above any link's round trip.
 	probeTimeout = time.Second
--- a/core/duty/dogwooddispatch/hedge.go
+++ b/core/duty/dogwooddispatch/hedge.go
@@ -9,8 +9,8 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-// hedgeDelay is how long a short request waits at one owner before a second owner is asked
-// as well. A queue that makes progress grants a slot within tens of milliseconds. A request
+// hedgeDelay is how long a short request waits at one owner before an acquire request is sent to
+// a second one. A queue that makes progress grants a slot within tens of milliseconds. A request
 // that waits longer is blocked by long requests. The delay is about the time in which a short
 // request is answered completely.
 const hedgeDelay = 250 * time.Millisecond
@@ -29,15 +29,15 @@
 // acquireHedged acquires a slot from an owner. If that owner keeps a short request waiting
 // while another owner has free slots, it sends an acquire request to the other one too.
 //
-// It addresses the following load pattern. A few long prompts fill the engines of one owner.
-// Its slots look free, so short requests are sent there and wait for seconds while the
-// engines of other owners are idle.
+// This is needed when a few long prompts fill the engines of one owner. Its summary still shows
+// free slots, so short requests are sent there and wait for seconds while the engines of other
+// owners are idle.
 //
 // The second acquire request goes only to an owner with free slots, so that it never
-// lengthens a queue. In an overload there is no such owner. It has a separate ID, which
+// lengthens a queue; in an overload there is no such owner. It has a separate ID, which
 // becomes the request's ID if it is granted. With a shared ID, the end of the acquire request
-// that wasn't granted would count as the end of the request. That matters most for suspects,
-// of which only one may run at a time.
+// that wasn't granted would count as the end of the request. That matters most for a suspect,
+// of which only one copy may run at a time.
 func (owners *Owners) acquireHedged(ctx context.Context, member Member, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error) {
 	if owners.options.Policy == dogwoodowner.PolicyBaseline || dogwoodadmission.ClassOf(ask.Request.PromptTokens).Long() {
 		return owners.acquireFrom(ctx, member, *ask)
@@ -65,10 +65,10 @@
 		case <-timer.C:
 			if second, ok := owners.idleOwner(ask, member); ok {
 				counters.Add("Hedges", 1)
-				hedge := *ask
-				hedge.Request.ID += hedgeSuffix
-				hedge.Budget = time.Until(ask.Request.Deadline)
-				owners.acquireInBackground(ctx, second, hedge, results)
+				secondAsk := *ask
+				secondAsk.Request.ID += hedgeSuffix
+				secondAsk.Budget = time.Until(ask.Request.Deadline)
+				owners.acquireInBackground(ctx, second, secondAsk, results)
 				pending++
 			}
 		}
--- a/core/duty/dogwooddispatch/owners.go
+++ b/core/duty/dogwooddispatch/owners.go
@@ -29,8 +29,8 @@
 type Members interface {
 	// Alive lists the daemons alive, including this one.
 	Alive() []Member
-	// Endpoints lists all endpoints. InForce is set from the operators' configuration and the
-	// list of VMs.
+	// Endpoints lists all endpoints. InForce is set from the operators' text and the list of
+	// VMs.
 	Endpoints() []dogwoodfleet.Endpoint
 	// Watch returns a channel that is closed when either list changes.
 	Watch() <-chan struct{}
@@ -41,7 +41,7 @@
 	Call(ctx context.Context, peer netip.AddrPort, method string, args, reply any) error
 }
 
-// OwnersOptions configure Owners.
+// OwnersOptions configures Owners.
 type OwnersOptions struct {
 	Self  dogwoodfleet.InstanceID
 	Place dogwoodfleet.Place
@@ -61,9 +61,9 @@
 // Owners acquires slots from the daemons that own endpoints and keeps the grants that this
 // daemon holds. It is safe for concurrent use.
 type Owners struct {
-	options    OwnersOptions
-	background sync.WaitGroup
-	table      atomic.Pointer[ownership]
+	options         OwnersOptions
+	background      sync.WaitGroup
+	cachedOwnership atomic.Pointer[ownership]
 
 	mutex       sync.Mutex
 	closed      bool
@@ -85,7 +85,7 @@
 	heldSince time.Time
 }
 
-// ownerState is the last known work of an owner.
+// ownerState is the last known load of an owner.
 type ownerState struct {
 	summary    dogwoodowner.Summary
 	receivedAt time.Time
@@ -112,8 +112,8 @@
 	// acquireRetryInterval is the pause before another round if no owner could be reached.
 	// Daemons need up to three seconds to agree on the successor of a dead one.
 	acquireRetryInterval = 250 * time.Millisecond
-	// maxOwnersAsked bounds the owners that a request is sent to in one round. Two give most of
-	// the benefit of choosing among all. The third is for the case that a daemon just died.
+	// maxOwnersAsked bounds the owners that an acquire request is sent to in one round. Two give
+	// most of the benefit of choosing among all. The third is for the case that a daemon just died.
 	maxOwnersAsked = 3
 	// maxEmptyOwnersAsked bounds the additional owners that turn out to have no endpoint in
 	// force. Only the owner is notified immediately that an endpoint leaves, so an entry daemon
@@ -126,7 +126,7 @@
 )
 
 // Acquire sends an acquire request to the owners that have suitable endpoints, best first,
-// until one grants a slot. It sets the request's ID to that of the granted acquire request.
+// until one grants a slot. It sets ask.Request.ID to the ID under which the slot was granted.
 func (owners *Owners) Acquire(ctx context.Context, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error) {
 	for {
 		grant, err := owners.acquireOnce(ctx, ask)
@@ -284,7 +284,7 @@
 			continue
 		}
 		if member.Instance == owners.options.Self {
-			owners.options.Local.Release(partRelease) //nolint:contextcheck,nolintlint // it sets a time limit that also applies after the caller left; reported only with some states of the cache
+			owners.options.Local.Release(partRelease) //nolint:contextcheck,nolintlint // it sets a time limit that also applies after the caller disconnected; reported only with some states of the linter's cache
 			continue
 		}
 		reports.Add(1)
@@ -302,8 +302,8 @@
 }
 
 // dropGrant removes a held grant and returns its owner. It returns false if the grant is a
-// fallback grant that hasn't been announced to an owner, or if the owner is dead. The dead owner's successor accounts for the grant for at most one
-// lease.
+// fallback grant that hasn't been announced to an owner, or if the owner is dead. The dead
+// owner's successor accounts for the grant for at most one lease.
 func (owners *Owners) dropGrant(id dogwoodowner.GrantID) (Member, bool) {
 	owners.mutex.Lock()
 	held := owners.held[id]
@@ -318,7 +318,7 @@
 // releaseAt reports the end of a request to one owner.
 func (owners *Owners) releaseAt(ctx context.Context, member Member, release dogwoodowner.Release) {
 	if member.Instance == owners.options.Self {
-		owners.options.Local.Release(release) //nolint:contextcheck,nolintlint // it sets a time limit that also applies after the caller left; reported only with some states of the cache
+		owners.options.Local.Release(release) //nolint:contextcheck,nolintlint // it sets a time limit that also applies after the caller disconnected; reported only with some states of the linter's cache
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, releaseTimeout)
@@ -420,7 +420,7 @@
 	return engines
 }
 
-// recordSummary records an owner's summary of its work.
+// recordSummary records the summary that an owner sent.
 func (owners *Owners) recordSummary(summary dogwoodowner.Summary) {
 	if summary.Owner == "" {
 		return
--- a/core/duty/dogwooddispatch/ownership.go
+++ b/core/duty/dogwooddispatch/ownership.go
@@ -29,12 +29,12 @@
 // ownership returns the ownership for the current members and endpoints.
 func (owners *Owners) ownership() *ownership {
 	alive, endpoints := owners.options.Members.Alive(), owners.options.Members.Endpoints()
-	current := owners.table.Load()
+	current := owners.cachedOwnership.Load()
 	if current != nil && sameSlice(current.alive, alive) && sameSlice(current.endpoints, endpoints) {
 		return current
 	}
 	ownership := newOwnership(owners.options.Place, alive, endpoints)
-	owners.table.Store(ownership)
+	owners.cachedOwnership.Store(ownership)
 	return ownership
 }
 
--- a/core/duty/dogwooddispatch/prompt.go
+++ b/core/duty/dogwooddispatch/prompt.go
@@ -10,7 +10,7 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-// Prompt runs a model request and passes its events to the answer as they arrive. A nil error
+// Prompt runs a model request and forwards its events to the answer as they arrive. A nil error
 // means that the answer is complete. Any error is a *Failure.
 func (dispatcher *Dispatcher) Prompt(ctx context.Context, call *Call, answer PromptAnswer) error {
 	return dispatcher.serve(ctx, call, func(ctx context.Context, grant dogwoodowner.Grant, request *dogwoodfleet.Request) outcome {
--- a/core/duty/dogwooddispatch/receiver.go
+++ b/core/duty/dogwooddispatch/receiver.go
@@ -11,8 +11,8 @@
 	"dogwoodmux.example/core/duty/dogwoodowner"
 )
 
-// AcquireReply is the reply to Owner.Acquire. It holds a grant or a refusal, and a summary of
-// the owner's work, which saves entry daemons a separate call.
+// AcquireReply is the reply to Owner.Acquire. It holds a grant or a refusal, and the owner's
+// summary, which saves entry daemons a separate call.
 type AcquireReply struct {
 	Grant   dogwoodowner.Grant
 	Refusal *dogwoodowner.Refusal
--- a/core/duty/dogwooddispatch/service.go
+++ b/core/duty/dogwooddispatch/service.go
@@ -106,7 +106,7 @@
 }
 
 // claimFailure returns the failure of a call that could not be claimed. This attempt was
-// not sent, but the failure says "not run" only if no attempt with its key was.
+// not sent, but the failure says "not run" only if no other attempt with its key was sent.
 func claimFailure(err error) *Failure {
 	failure := &Failure{
 		Reason: dogwoodfleet.ReasonStore, Run: dogwoodfleet.NotRun, RetryAfter: storeRetryAfter,
@@ -159,7 +159,7 @@
 }
 
 // storeAnswer stores an answer before it is sent to the caller, so that a caller that lost
-// its connection can send the call again and get it. If storing fails, only that is lost:
+// its connection can send the call again and get the answer. If storing fails, only the stored answer is missing:
 // the claim remains and still prevents a second run.
 func (dispatcher *Dispatcher) storeAnswer(ctx context.Context, key ClaimKey, id string, answer *WholeAnswer) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), storeWriteTimeout)
--- a/core/duty/dogwooddispatch/upkeep.go
+++ b/core/duty/dogwooddispatch/upkeep.go
@@ -17,8 +17,8 @@
 	// renewTimeout bounds one renewal. The next one follows right away.
 	renewTimeout = renewInterval
 	// ownedUpdateInterval is the interval at which the owned endpoints are recomputed without a
-	// change of members or endpoints, which triggers it immediately. It covers configuration
-	// changes that don't affect any endpoint.
+	// change of members or endpoints; such a change triggers it immediately. The interval is for
+	// changes of the operators' text that don't affect any endpoint.
 	ownedUpdateInterval = time.Second
 	// maxConcurrentCancels bounds concurrent cancellations of a dead entry daemon's streams.
 	maxConcurrentCancels = 16
@@ -60,8 +60,8 @@
 	return runEvery(ctx, probeInterval, owners.probe)
 }
 
-func runEvery(ctx context.Context, pause time.Duration, step func(ctx context.Context)) error {
-	ticker := time.NewTicker(pause)
+func runEvery(ctx context.Context, interval time.Duration, step func(ctx context.Context)) error {
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		step(ctx)
--- a/core/duty/dogwoodowner/acquire.go
+++ b/core/duty/dogwoodowner/acquire.go
@@ -44,16 +44,16 @@
 }
 
 // accepts reports whether the waiter allows the endpoint and the endpoint has the adapter that
-// it needs. Endpoints to avoid are accepted if there are as many as the lane has in force.
+// it needs. Endpoints to avoid are accepted if they are as many as the lane has in force.
 func (waiter *waiter) accepts(state *endpoint) bool {
 	if waiter.ask.Pin != "" {
-		return state.fleet.ID == waiter.ask.Pin
+		return state.description.ID == waiter.ask.Pin
 	}
 	adapter := waiter.ask.Request.Adapter
-	if adapter != "" && len(state.fleet.Adapters) > 0 && !slices.Contains(state.fleet.Adapters, adapter) {
+	if adapter != "" && len(state.description.Adapters) > 0 && !slices.Contains(state.description.Adapters, adapter) {
 		return false
 	}
-	return !slices.Contains(waiter.ask.Avoid, state.fleet.ID) || waiter.lane.inForceCount() <= len(waiter.ask.Avoid)
+	return !slices.Contains(waiter.ask.Avoid, state.description.ID) || waiter.lane.inForceCount() <= len(waiter.ask.Avoid)
 }
 
 func refusalNoEndpoint() *Refusal {
@@ -162,7 +162,7 @@
 
 func (owner *Owner) ownsLocked(id dogwoodfleet.EndpointID) bool {
 	state := owner.endpoints[id]
-	return state != nil && state.fleet.InForce
+	return state != nil && state.description.InForce
 }
 
 // enqueue adds the waiter to one of its lane's queues, or returns why it isn't admitted.
--- a/core/duty/dogwoodowner/baseline.go
+++ b/core/duty/dogwoodowner/baseline.go
@@ -9,7 +9,7 @@
 		waiter := lane.baselineQueue[0]
 		lane.candidateEndpoints = lane.candidateEndpoints[:0]
 		for _, state := range lane.endpoints {
-			if state.fleet.InForce && state.running < state.warmLimit && waiter.accepts(state) {
+			if state.description.InForce && state.running < state.warmLimit && waiter.accepts(state) {
 				lane.candidateEndpoints = append(lane.candidateEndpoints, state)
 			}
 		}
--- a/core/duty/dogwoodowner/endpoint.go
+++ b/core/duty/dogwoodowner/endpoint.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// longSlotsDivisor limits long prompts to one of this many of an endpoint's slots, but at
+	// longSlotsDivisor limits long prompts to one in this many of an endpoint's slots, but at
 	// least one slot: prefills that take a minute then leave three of four slots to short work.
 	longSlotsDivisor = 4
 	// endedTTL is how long ended requests are recorded, since lagging reports may list them.
@@ -20,10 +20,11 @@
 
 // endpoint holds the state of an owned endpoint and the totals of the grants on it.
 type endpoint struct {
-	fleet     dogwoodfleet.Endpoint
-	warmLimit int
-	limiter   *dogwoodlimit.Limiter
-	memory    *dogwoodmemory.Ledger
+	// description is the endpoint as listed in the fleet, updated by the engine's reports.
+	description dogwoodfleet.Endpoint
+	warmLimit   int
+	limiter     *dogwoodlimit.Limiter
+	memory      *dogwoodmemory.Ledger
 	// reconciled is when the engine's list of streams was last compared with the grants.
 	reconciled time.Time
 	// running counts live and expired grants; runningLong counts those of long prompts.
@@ -71,20 +72,20 @@
 	}
 }
 
-// update applies the endpoint's data from the fleet and the limits from the text. Fields that the
-// fleet's data leaves empty keep the values that the engine reported.
-func (endpoint *endpoint) update(fleet dogwoodfleet.Endpoint, service *dogwoodsettings.Service) {
-	if fleet.Instance == "" {
-		fleet.Instance = endpoint.fleet.Instance
+// update applies the endpoint's description from the fleet and the limits from the operators'
+// text. Fields that are empty in the description keep the values that the engine reported.
+func (endpoint *endpoint) update(description dogwoodfleet.Endpoint, service *dogwoodsettings.Service) {
+	if description.Instance == "" {
+		description.Instance = endpoint.description.Instance
 	}
-	if fleet.MemoryTokens == 0 {
-		fleet.MemoryTokens = endpoint.fleet.MemoryTokens
+	if description.MemoryTokens == 0 {
+		description.MemoryTokens = endpoint.description.MemoryTokens
 	}
-	if len(fleet.Models) == 0 {
-		fleet.Models, fleet.Adapters = endpoint.fleet.Models, endpoint.fleet.Adapters
+	if len(description.Models) == 0 {
+		description.Models, description.Adapters = endpoint.description.Models, endpoint.description.Adapters
 	}
-	endpoint.fleet = fleet
-	endpoint.memory.SetMemory(fleet.MemoryTokens)
+	endpoint.description = description
+	endpoint.memory.SetMemory(description.MemoryTokens)
 	endpoint.warmLimit = max(service.WarmLimit, 1)
 	endpoint.limiter.SetBounds(service.ColdLimit, service.WarmLimit)
 }
@@ -92,22 +93,22 @@
 // report applies the engine's load report and returns whether the engine's models changed.
 func (endpoint *endpoint) report(now time.Time, report LoadReport) (modelsChanged bool) {
 	if len(report.Models) > 0 {
-		modelsChanged = !slices.Equal(report.Models, endpoint.fleet.Models)
-		endpoint.fleet.Models, endpoint.fleet.Adapters = report.Models, report.Adapters
+		modelsChanged = !slices.Equal(report.Models, endpoint.description.Models)
+		endpoint.description.Models, endpoint.description.Adapters = report.Models, report.Adapters
 	}
 	if report.Instance != "" {
-		endpoint.fleet.Instance = report.Instance
+		endpoint.description.Instance = report.Instance
 	}
 	if report.MemoryTokens > 0 {
-		endpoint.fleet.MemoryTokens = report.MemoryTokens
+		endpoint.description.MemoryTokens = report.MemoryTokens
 		endpoint.memory.SetMemory(report.MemoryTokens)
 	}
 	endpoint.limiter.Report(now, dogwoodlimit.Report{Taken: now.Add(-report.Age), Instance: report.Instance, Cold: report.Cold})
 	return modelsChanged
 }
 
-// shortenSettling ends the time without grants, and also the settling once the engine and an
-// entry daemon have reported.
+// shortenSettling ends the time without grants. It also ends the settling if both the engine and
+// an entry daemon have reported.
 func (endpoint *endpoint) shortenSettling(now time.Time) {
 	if now.Before(endpoint.noGrantsUntil) {
 		endpoint.noGrantsUntil = now
@@ -129,12 +130,12 @@
 // serving reports whether ordinary work can be granted as slots become free.
 func (endpoint *endpoint) serving(now time.Time) bool {
 	suspect := endpoint.alone || endpoint.reservation != nil && endpoint.reservation.waiter.suspect
-	return endpoint.fleet.InForce && !suspect && !now.Before(endpoint.limiter.Opens())
+	return endpoint.description.InForce && !suspect && !now.Before(endpoint.limiter.Opens())
 }
 
 // ready reports whether the endpoint accepts new grants.
 func (endpoint *endpoint) ready(now time.Time) bool {
-	return endpoint.fleet.InForce && !endpoint.alone &&
+	return endpoint.description.InForce && !endpoint.alone &&
 		!now.Before(endpoint.noGrantsUntil) && !now.Before(endpoint.limiter.Opens())
 }
 
@@ -162,7 +163,7 @@
 
 // usableTokens returns the memory that one request may reserve; 0 means unknown.
 func (endpoint *endpoint) usableTokens() int {
-	return endpoint.fleet.MemoryTokens - endpoint.fleet.MemoryTokens/dogwoodmemory.ShortPart
+	return endpoint.description.MemoryTokens - endpoint.description.MemoryTokens/dogwoodmemory.ShortPart
 }
 
 // fits reports whether the waiter can be granted a slot now.
@@ -181,7 +182,7 @@
 	if !endpoint.hasMemory(waiter.tokens, waiter.long) {
 		return false
 	}
-	return endpoint.reservation == nil || endpoint.reservation.backfilledTokens+waiter.tokens <= endpoint.fleet.MemoryTokens-endpoint.reservation.tokens
+	return endpoint.reservation == nil || endpoint.reservation.backfilledTokens+waiter.tokens <= endpoint.description.MemoryTokens-endpoint.reservation.tokens
 }
 
 // hasMemory reports whether the tokens fit into the engine's free memory. An empty engine
@@ -190,7 +191,7 @@
 // long prompt admitted by an empty engine may exceed that part by itself, and would keep all
 // short work off the engine's other slots until it ends.
 func (endpoint *endpoint) hasMemory(tokens int, long bool) bool {
-	memory := endpoint.fleet.MemoryTokens
+	memory := endpoint.description.MemoryTokens
 	if memory == 0 {
 		return true
 	}
--- a/core/duty/dogwoodowner/engine_test.go
+++ b/core/duty/dogwoodowner/engine_test.go
@@ -42,7 +42,7 @@
 	cached     map[uint64]struct{}
 	poison     map[dogwoodfleet.Digest]bool
 	runs       int
-	overruns   int
+	overruns   int // requests that arrived beyond the cold limit of a cold engine
 	crashes    int
 	prefilled  int
 	reportCold func(id dogwoodfleet.EndpointID, instance dogwoodfleet.InstanceID)
@@ -52,12 +52,12 @@
 type stream struct {
 	request      dogwoodfleet.Request
 	priority     dogwoodfleet.Priority
-	order        int
+	order        int // number of the run, for first come, first served within a priority
 	tokens       int
 	batched      bool
-	needsPrefill bool // waits for prefill or is in it
-	arrivedCold  bool // arrived while the engine was cold
-	turn         chan struct{}
+	needsPrefill bool          // waits for prefill or is in it
+	arrivedCold  bool          // arrived while the engine was cold
+	turn         chan struct{} // receives a value when the prefill may start
 }
 
 // runResult is the result of a request that was sent to an engine.
--- a/core/duty/dogwoodowner/gang.go
+++ b/core/duty/dogwoodowner/gang.go
@@ -133,10 +133,11 @@
 // chooseGang returns the smallest set of engines that together hold the request, in the order
 // of their IDs. It prefers engines that are all free at once: in one data centre if possible,
 // since engines there pass KV blocks to each other, otherwise in the region. If too few are
-// free it returns engines that must be waited for. The data centre within the region, and its
-// engines, are selected by a hash of the request's ID: for a prompt that takes seconds to
-// prefill, the millisecond saved by the nearest ones doesn't matter, and gangs that all selected those
-// would run one after another.
+// free it returns engines that must be waited for.
+//
+// The data centre within the region, and its engines, are selected by a hash of the request's
+// ID and not by distance. If all gangs selected the nearest engines, they would run one after
+// another. The millisecond saved doesn't matter for a prompt that takes seconds to prefill.
 func chooseGang(request *dogwoodfleet.Request, engines []GangEngine, avoid []dogwoodfleet.EndpointID) []dogwoodfleet.Endpoint {
 	eligible := slices.DeleteFunc(slices.Clone(engines), func(engine GangEngine) bool {
 		return !engine.InForce || engine.MemoryTokens == 0 || slices.Contains(avoid, engine.ID)
@@ -160,8 +161,8 @@
 	return nil
 }
 
-// sortForGang sorts engines by the distance of their regions from the request's origin, and within
-// a distance by hashes of the request's ID with the data centre and with the engine.
+// sortForGang sorts engines by the distance of their regions from the request's origin, and at
+// equal distance by hashes of the request's ID with the data centre and with the engine.
 func sortForGang(request *dogwoodfleet.Request, engines []GangEngine) {
 	hash := func(name string) uint64 {
 		return xxhash.Sum64String(string(request.ID) + "\x00" + name)
@@ -204,7 +205,7 @@
 	waiting := lane.members
 	lane.members = nil
 	for _, member := range waiting {
-		index := slices.IndexFunc(lane.endpoints, func(state *endpoint) bool { return state.fleet.ID == member.ask.Pin })
+		index := slices.IndexFunc(lane.endpoints, func(state *endpoint) bool { return state.description.ID == member.ask.Pin })
 		switch {
 		case index < 0:
 			member.reject(refusalNoEndpoint())
@@ -219,7 +220,7 @@
 
 // reserveForMember reserves the endpoint for a member, unless it is reserved already.
 func (lane *lane) reserveForMember(member *waiter, state *endpoint) {
-	if state.reservation == nil && member.reserved == nil && state.fleet.InForce && member.tokens <= state.fleet.MemoryTokens {
+	if state.reservation == nil && member.reserved == nil && state.description.InForce && member.tokens <= state.description.MemoryTokens {
 		state.reservation = &reservation{waiter: member, tokens: member.tokens}
 		member.reserved = state
 	}
--- a/core/duty/dogwoodowner/lane.go
+++ b/core/duty/dogwoodowner/lane.go
@@ -32,12 +32,15 @@
 	// baselineQueue holds all waiters under the baseline policy.
 	baselineQueue []*waiter
 
+	// candidates and candidateEndpoints are buffers that each choice of an endpoint reuses.
 	candidates         []dogwoodrouting.Candidate
 	candidateEndpoints []*endpoint // the endpoint of each candidate
-	now                time.Time
-	picked             *endpoint
-	pickedHitTokens    int
-	placeFunc          func(*dogwoodadmission.Work) bool
+	// now is the time of the current pass over the queue; picked and pickedHitTokens are the
+	// result of placeWork, which placeFunc holds as a function value.
+	now             time.Time
+	picked          *endpoint
+	pickedHitTokens int
+	placeFunc       func(*dogwoodadmission.Work) bool
 }
 
 func newLane(owner *Owner, key laneKey) *lane {
@@ -54,7 +57,7 @@
 func (lane *lane) inForceCount() int {
 	count := 0
 	for _, state := range lane.endpoints {
-		if state.fleet.InForce {
+		if state.description.InForce {
 			count++
 		}
 	}
@@ -66,17 +69,17 @@
 }
 
 // usableTokens returns the largest memory that one request may reserve on an endpoint in force,
-// and the largest total memory of one. Both are 0 if the memory of one is unknown.
+// and the largest total memory of one. Both are 0 if the memory of any of them is unknown.
 func (lane *lane) usableTokens() (usable, largest int) {
 	for _, state := range lane.endpoints {
-		if !state.fleet.InForce {
+		if !state.description.InForce {
 			continue
 		}
-		if state.fleet.MemoryTokens == 0 {
+		if state.description.MemoryTokens == 0 {
 			return 0, 0
 		}
 		usable = max(usable, state.usableTokens())
-		largest = max(largest, state.fleet.MemoryTokens)
+		largest = max(largest, state.description.MemoryTokens)
 	}
 	return usable, largest
 }
@@ -153,9 +156,9 @@
 		lane.candidates = append(lane.candidates, dogwoodrouting.Candidate{
 			InFlight: state.running + state.unknownStreams, Limit: state.limit(lane.now),
 			AheadTokens: state.aheadTokens(lane.now),
-			HitTokens:   lane.owner.prefixes.Hits(state.fleet.ID, request.Blocks) * (dogwoodprefix.BlockBytes / bytesPerToken),
+			HitTokens:   lane.owner.prefixes.Hits(state.description.ID, request.Blocks) * (dogwoodprefix.BlockBytes / bytesPerToken),
 			PerToken:    state.limiter.PerToken(), Slowness: state.limiter.Slowness(), Measured: state.limiter.Measured(),
-			Distance: dogwoodownership.Distance(request.Origin, state.fleet.Place),
+			Distance: dogwoodownership.Distance(request.Origin, state.description.Place),
 		})
 	}
 	index := dogwoodrouting.Pick(lane.now, lane.candidates, request.PromptTokens, lane.owner.random)
@@ -166,15 +169,15 @@
 	return true
 }
 
-// bytesPerToken is the number of bytes by which a request's tokens are estimated.
+// bytesPerToken is the estimated number of bytes in a token.
 const bytesPerToken = 4
 
-// reservedEndpointsDivisor limits reservations for long work: a further one is made only while
-// fewer than one in this many of a lane's endpoints is reserved, or while none is.
+// reservedEndpointsDivisor limits reservations for long work: none is added once one in this many
+// of a lane's endpoints, and at least one endpoint, is reserved for any waiter.
 const reservedEndpointsDivisor = 4
 
-// reserveForLong reserves an endpoint for the first long work in the queue, which fits no endpoint
-// now.
+// reserveForLong reserves an endpoint for the first long work in the queue. It is called when
+// that work fits no endpoint.
 func (lane *lane) reserveForLong(now time.Time) {
 	head := lane.queue.NextLong()
 	if head == nil {
@@ -191,7 +194,7 @@
 			}
 			continue
 		}
-		eligible := state.fleet.InForce && !state.alone && waiter.accepts(state) && waiter.tokens <= state.fleet.MemoryTokens &&
+		eligible := state.description.InForce && !state.alone && waiter.accepts(state) && waiter.tokens <= state.description.MemoryTokens &&
 			state.runningLong < max(1, state.limit(now)/longSlotsDivisor)
 		if eligible && (best == nil || state.memory.Free() > best.memory.Free()) {
 			best = state
@@ -211,7 +214,7 @@
 	held := &grant{
 		Grant: Grant{
 			ID:       GrantID{Owner: owner.options.Self, Number: owner.lastGrantNumber},
-			Endpoint: state.fleet, Priority: lane.priority(waiter.ask.Request.PromptTokens),
+			Endpoint: state.description, Priority: lane.priority(waiter.ask.Request.PromptTokens),
 			ReservedTokens: waiter.tokens, Lease: GrantLease, Alone: alone,
 		},
 		endpoint: state, lane: lane, waiter: waiter, holder: waiter.ask.Holder, request: waiter.ask.Request,
@@ -223,7 +226,7 @@
 	owner.grants[held.ID] = held
 	owner.byRequest[held.request.ID] = held
 	owner.trackRunLocked(held)
-	owner.prefixes.Expect(state.fleet.ID, held.request.Blocks)
+	owner.prefixes.Expect(state.description.ID, held.request.Blocks)
 	waiter.outcomes <- outcome{grant: held.Grant}
 }
 
--- a/core/duty/dogwoodowner/owner.go
+++ b/core/duty/dogwoodowner/owner.go
@@ -59,7 +59,7 @@
 	// Engines lists the engines that a gang may include, those of this owner among them.
 	// The memory of each is known.
 	Engines(service dogwoodfleet.Service, model dogwoodfleet.Model) []GangEngine
-	// Acquire acquires a slot at the owner of the endpoint, which ask.Pin names.
+	// Acquire acquires a slot on the endpoint from its owner. ask.Pin is the endpoint's ID.
 	Acquire(ctx context.Context, endpoint dogwoodfleet.Endpoint, ask Ask) (Grant, error)
 	// Release ends a grant at the owner of the endpoint.
 	Release(ctx context.Context, endpoint dogwoodfleet.Endpoint, release Release)
@@ -152,9 +152,9 @@
 	owner.setTextLocked(text)
 	owned := make(map[dogwoodfleet.EndpointID]*endpoint, len(endpoints))
 	owner.endpointList = owner.endpointList[:0]
-	for _, fleet := range endpoints {
-		state := owner.endpoints[fleet.ID]
-		service, known := owner.text.Service(fleet.Service)
+	for _, description := range endpoints {
+		state := owner.endpoints[description.ID]
+		service, known := owner.text.Service(description.Service)
 		if !known {
 			service = &dogwoodsettings.Service{ColdLimit: 1, WarmLimit: 1}
 		}
@@ -163,8 +163,8 @@
 			owner.scheduleWakeLocked(state.noGrantsUntil)
 			owner.scheduleWakeLocked(state.settlingUntil)
 		}
-		state.update(fleet, service)
-		owned[fleet.ID] = state
+		state.update(description, service)
+		owned[description.ID] = state
 		owner.endpointList = append(owner.endpointList, state)
 	}
 	for id, state := range owner.endpoints {
@@ -185,24 +185,24 @@
 			owner.untrackRunLocked(grant)
 		}
 	}
-	owner.prefixes.Forget(state.fleet.ID)
+	owner.prefixes.Forget(state.description.ID)
 }
 
 // assignLanesLocked assigns the endpoints to their lanes. Requests that wait in a lane
-// without endpoints in force are queued anew if another lane can serve them, as after engines
-// reported their models. Otherwise they are rejected, so that the entry daemons can
-// try another owner at once.
+// without endpoints in force are queued anew if another lane can serve them, for example because
+// the engines have reported their models. Otherwise they are rejected, so that the entry daemons
+// can try another owner at once.
 func (owner *Owner) assignLanesLocked() {
 	for _, lane := range owner.laneList {
 		lane.endpoints = lane.endpoints[:0]
 	}
 	for _, state := range owner.endpointList {
-		models := state.fleet.Models
+		models := state.description.Models
 		if len(models) == 0 {
-			owner.laneLocked(laneKey{service: state.fleet.Service}).add(state)
+			owner.laneLocked(laneKey{service: state.description.Service}).add(state)
 		}
 		for _, model := range models {
-			owner.laneLocked(laneKey{service: state.fleet.Service, model: model}).add(state)
+			owner.laneLocked(laneKey{service: state.description.Service, model: model}).add(state)
 		}
 	}
 	for _, lane := range owner.laneList {
@@ -288,7 +288,7 @@
 		return
 	}
 	now := time.Now()
-	restarted := state.fleet.Instance != "" && report.Instance != "" && state.fleet.Instance != report.Instance
+	restarted := state.description.Instance != "" && report.Instance != "" && state.description.Instance != report.Instance
 	if state.report(now, report) {
 		owner.assignLanesLocked()
 	}
@@ -321,7 +321,7 @@
 	}
 	now := time.Now()
 	for _, unclaimed := range state.memory.Reconcile(report, now) {
-		orphan := Orphan{Endpoint: state.fleet, Request: unclaimed.Request}
+		orphan := Orphan{Endpoint: state.description, Request: unclaimed.Request}
 		if grant := owner.byRequest[unclaimed.Request]; grant != nil && grant.endpoint == state {
 			orphan.Grant = grant.ID
 		}
@@ -368,15 +368,15 @@
 	summary := Summary{Owner: owner.options.Self}
 	index := map[dogwoodfleet.Service]int{}
 	for _, state := range owner.endpointList {
-		i, ok := index[state.fleet.Service]
+		i, ok := index[state.description.Service]
 		if !ok {
 			i = len(summary.Services)
-			index[state.fleet.Service] = i
-			summary.Services = append(summary.Services, ServiceSummary{Service: state.fleet.Service})
+			index[state.description.Service] = i
+			summary.Services = append(summary.Services, ServiceSummary{Service: state.description.Service})
 		}
 		service := &summary.Services[i]
 		summary.Settling = summary.Settling || now.Before(state.settlingUntil)
-		if !state.fleet.InForce {
+		if !state.description.InForce {
 			continue
 		}
 		service.Endpoints++
--- a/core/duty/dogwoodowner/owner_test.go
+++ b/core/duty/dogwoodowner/owner_test.go
@@ -148,7 +148,7 @@
 	})
 }
 
-// Guards against a leaked slot when a caller leaves while its request waits.
+// Guards against a leaked slot when a caller disconnects while its request waits.
 func TestWithdrawnRequestReleasesItsSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		owner := dogwoodowner.New(dogwoodowner.Options{Self: "owner", Seed: 1})
@@ -176,7 +176,8 @@
 	})
 }
 
-// TestOverloadGoodput compares the goodput at twice the capacity with that at capacity.
+// Guards against goodput that collapses in an overload. At twice the capacity it must stay near
+// that at capacity, so work must not be spent on requests that end too late.
 func TestOverloadGoodput(t *testing.T) {
 	capacity, overload := readTrace(t, "capacity"), readTrace(t, "overload")
 	atCapacity, atTwice := replay(t, capacity, ""), replay(t, overload, "")
--- a/core/duty/dogwoodowner/release.go
+++ b/core/duty/dogwoodowner/release.go
@@ -68,7 +68,7 @@
 	owner.untrackRunLocked(grant)
 }
 
-// observeLocked updates the lane's rates and the endpoint's limiter by the result.
+// observeLocked updates the lane's rates and the endpoint's limiter from the result.
 func (owner *Owner) observeLocked(now time.Time, grant *grant, release Release) {
 	prompt := release.PromptTokens
 	if prompt == 0 || grant.member {
@@ -82,19 +82,19 @@
 	}
 	state := grant.endpoint
 	if grant.member {
-		// The instance, the cold flag and the times are those of the gang, whose first engine
-		// runs it, and not of this member's engine. Applied here they would cut the limits of
-		// healthy engines. Only a death is reported for the very engine that died.
+		// The instance, the cold flag and the times are those of the gang's primary engine, which
+		// runs the request. Applied to another member's engine they would cut the limit of a
+		// healthy engine. Only a death is reported for the engine that died.
 		if release.Result != dogwoodfleet.ResultDied {
 			return
 		}
 		release.Instance, release.Cold = "", false
 	}
-	if release.Instance != "" && release.Instance != state.fleet.Instance {
-		if state.fleet.Instance != "" {
-			owner.prefixes.Forget(state.fleet.ID)
+	if release.Instance != "" && release.Instance != state.description.Instance {
+		if state.description.Instance != "" {
+			owner.prefixes.Forget(state.description.ID)
 		}
-		state.fleet.Instance = release.Instance
+		state.description.Instance = release.Instance
 	}
 	if grant.takenOver && release.Result == dogwoodfleet.ResultDone {
 		return
@@ -105,7 +105,7 @@
 		Instance: release.Instance, Cold: release.Cold, Sent: grant.grantedAt,
 	})
 	if release.Result == dogwoodfleet.ResultDied {
-		owner.prefixes.Forget(state.fleet.ID)
+		owner.prefixes.Forget(state.description.ID)
 	}
 }
 
@@ -165,7 +165,7 @@
 		return
 	}
 	request := dogwoodfleet.Request{
-		ID: held.Request, Customer: held.Customer, Service: state.fleet.Service, Digest: held.Digest,
+		ID: held.Request, Customer: held.Customer, Service: state.description.Service, Digest: held.Digest,
 		PromptTokens: held.PromptTokens, MaxTokens: held.MaxTokens,
 	}
 	taken := &grant{
@@ -185,7 +185,7 @@
 // Expire marks the grants whose holders stopped renewing them and, after a grace period,
 // returns their streams. It returns them at each call until Cancelled is called or the engine
 // no longer lists them. Their slots and memory stay taken until then; an engine that still
-// runs them would otherwise be overfilled. A holder that returns within the grace period
+// runs them would otherwise be overloaded. A holder that returns within the grace period
 // restores its grant by announcing it. Expire must be called about once a second.
 func (owner *Owner) Expire(now time.Time) (orphans []Orphan) {
 	owner.mutex.Lock()
--- a/core/duty/dogwoodowner/suspect.go
+++ b/core/duty/dogwoodowner/suspect.go
@@ -13,11 +13,13 @@
 	// notifyTimeout bounds how long a failure is withheld from its caller while the other owners
 	// are notified: about a hundred round trips within a region.
 	notifyTimeout = 300 * time.Millisecond
-	// permitRetryInterval is the delay before another request to a home that can't be reached.
+	// permitRetryInterval is the delay before another permit request if the digest's home can't be
+	// reached.
 	permitRetryInterval = 200 * time.Millisecond
 )
 
-// unprovenRun counts the live grants of a digest that hasn't finished once yet.
+// unprovenRun counts the live grants of a digest of which no run has finished yet, and holds the
+// endpoint on which they run.
 type unprovenRun struct {
 	endpoint *endpoint
 	count    int
@@ -56,15 +58,15 @@
 	owner.unprovenRuns[grant.request.Digest] = run
 }
 
-// requiredEndpointLocked returns the endpoint on which an identical request runs that hasn't
-// finished once yet, or nil. Copies are granted only that endpoint: a crashing request that is
+// requiredEndpointLocked returns the endpoint on which an identical request runs, or nil. It
+// applies until a run of that digest has finished. Copies are granted only that endpoint: a crashing request that is
 // sent several times at the same moment then takes down one endpoint and not one for each copy.
 func (owner *Owner) requiredEndpointLocked(waiter *waiter) *endpoint {
 	if waiter.ask.Pin != "" {
 		return nil
 	}
 	run, ok := owner.unprovenRuns[waiter.ask.Request.Digest]
-	if !ok || owner.suspects.Proven(waiter.ask.Request.Digest) || !run.endpoint.fleet.InForce {
+	if !ok || owner.suspects.Proven(waiter.ask.Request.Digest) || !run.endpoint.description.InForce {
 		return nil
 	}
 	return run.endpoint
@@ -80,7 +82,7 @@
 	var notices []dogwoodsuspect.Notice
 	switch release.Result {
 	case dogwoodfleet.ResultDied:
-		notices = owner.suspects.Died(now, grant.endpoint.fleet.ID, []dogwoodsuspect.Run{run})
+		notices = owner.suspects.Died(now, grant.endpoint.description.ID, []dogwoodsuspect.Run{run})
 		owner.evictSuspectsLocked(now, grant.request.Digest)
 	case dogwoodfleet.ResultDone:
 		notices = owner.suspects.Finished(now, run)
@@ -232,7 +234,7 @@
 	owner.notifyPeers(ctx, peerUpdate{notices: notices})
 }
 
-// suspectEndpointsDivisor limits suspects to one of this many of a lane's endpoints at once, but
+// suspectEndpointsDivisor limits suspects to one in this many of a lane's endpoints at once, but
 // at least one endpoint. The harmless suspects of a whole failed rack then leave the rest to
 // ordinary work.
 const suspectEndpointsDivisor = 4
@@ -293,6 +295,6 @@
 // fitsSuspect reports whether the endpoint can run the suspect once it is empty.
 func (endpoint *endpoint) fitsSuspect(now time.Time, suspect *waiter) bool {
 	unreserved := endpoint.reservation == nil || endpoint.reservation.waiter == suspect
-	largeEnough := endpoint.fleet.MemoryTokens == 0 || suspect.tokens <= endpoint.fleet.MemoryTokens
+	largeEnough := endpoint.description.MemoryTokens == 0 || suspect.tokens <= endpoint.description.MemoryTokens
 	return endpoint.ready(now) && unreserved && largeEnough && suspect.accepts(endpoint)
 }
--- a/core/duty/dogwoodowner/trace_test.go
+++ b/core/duty/dogwoodowner/trace_test.go
@@ -191,6 +191,7 @@
 	}
 }
 
+// shortTokens is the length up to which a prompt counts as short in an outcome.
 const shortTokens = 4000
 
 func (outcome *outcome) add(settings *engineSettings, got *callResult) {
@@ -345,7 +346,8 @@
 }
 
 // TestTraces replays each recorded trace on a fake clock, under the product's policy and under
-// the baseline, and checks the product's outcome against the trace's expectations.
+// the baseline, and checks the product's outcome against the trace's expectations. The About of
+// each trace describes the failure that it guards against.
 func TestTraces(t *testing.T) {
 	if *record {
 		for _, named := range makeTraces() {
--- a/core/duty/dogwoodrelay/alive.go
+++ b/core/duty/dogwoodrelay/alive.go
@@ -9,14 +9,15 @@
 
 // liveness tracks when each endpoint last sent an event on any of this daemon's streams. A busy
 // engine may delay one stream while it serves others; a dead one is silent on all. Without this
-// distinction a burst moves streams away from busy engines, and their prompts are prefilled again
-// for nothing.
+// distinction a burst would move streams away from busy engines, whose prompts would then be
+// prefilled a second time without need.
 type liveness struct {
 	mutex    sync.Mutex
 	lastSeen map[dogwoodfleet.EndpointID]time.Time
 }
 
-// livenessWindow is how recent the last event must be: it covers several passes of a busy engine.
+// livenessWindow is the age up to which an endpoint's last event shows that the endpoint is alive.
+// It covers several passes of a busy engine.
 const livenessWindow = 700 * time.Millisecond
 
 // livenessTTL is the age at which the time of an endpoint's last event is dropped.
--- a/core/duty/dogwoodrelay/hedge.go
+++ b/core/duty/dogwoodrelay/hedge.go
@@ -11,20 +11,19 @@
 )
 
 const (
-	// firstEventFactor is how many times the predicted time, but at least minFirstEventLimit,
-	// a run may take to its first event before another endpoint is tried. Slow or busy engines
-	// take a few times the predicted time; dead ones never answer.
+	// firstEventFactor times the predicted time, and at least minFirstEventLimit, is how long a run
+	// may take to its first event before another endpoint is tried. Slow or busy engines take a
+	// few times the predicted time; dead ones never answer.
 	firstEventFactor   = 4
 	minFirstEventLimit = 1500 * time.Millisecond
-	// pauseFactor is how many times its longest acceptable pause, but at least minPauseLimit, a
-	// stream may be silent.
+	// pauseFactor times a stream's longest acceptable pause, and at least minPauseLimit, is how long
+	// the stream may be silent before another endpoint is tried.
 	pauseFactor   = 4
 	minPauseLimit = time.Second
-	// hangFactor is how many times its aim an idempotent call may hang at an endpoint before
-	// another one is tried. A working endpoint answers well within that time.
-	hangFactor = 3
-	// minHangLimit is the lower bound of that time, for aims shorter than the delays of a slow
-	// network.
+	// hangFactor times its aim, and at least minHangLimit, is how long an idempotent call may hang
+	// at an endpoint before another one is tried. A working endpoint answers well within that
+	// time. The minimum is for aims shorter than the delays of a slow network.
+	hangFactor   = 3
 	minHangLimit = 500 * time.Millisecond
 	// silenceRecheck is the delay before a silent run is checked again if its endpoint still
 	// sends events of other streams, or if no other endpoint may be tried.
@@ -37,8 +36,8 @@
 )
 
 // hedge starts a second run of a request whose endpoint is silent, since silence is the only sign of a
-// connection that lost its peer. The first run continues until the second one has returned an event: its
-// endpoint may only have paused, and no other endpoint may be able to serve the request.
+// connection that lost its peer. The first run continues until the second one has returned an event: the
+// first endpoint may only have paused, and perhaps no other endpoint can serve the request.
 type hedge struct {
 	attempt *attempt
 	first   *run
--- a/core/duty/dogwoodrelay/line.go
+++ b/core/duty/dogwoodrelay/line.go
@@ -12,8 +12,9 @@
 	"dogwoodmux.example/core/dogwoodkernel"
 )
 
-// placementInterval is the mean interval at which waiting tries are placed without a
-// notification of a change. Other daemons and limits per second free slots without one.
+// placementInterval is the mean interval at which waiting tries are placed if there is no
+// notification of a change. None is sent for slots that other daemons free, or that become free
+// because a limit per second allows the next request.
 const placementInterval = 20 * time.Millisecond
 
 // queue holds the tries that wait for a slot.
@@ -38,7 +39,7 @@
 	refusal   dogwoodpacking.Refusal
 }
 
-// add adds a waiter and places the waiters that it can.
+// add adds a waiter and places as many waiters as possible.
 func (queue *queue) add(waiter *waiter) {
 	queue.mutex.Lock()
 	defer queue.mutex.Unlock()
--- a/core/duty/dogwoodrelay/line_test.go
+++ b/core/duty/dogwoodrelay/line_test.go
@@ -8,26 +8,26 @@
 	"dogwoodmux.example/core/decision/dogwoodpacking"
 )
 
-// panickyPlaces panics for one request.
+// panickingPlaces panics when it places the request with the ID id.
 type panickingPlaces struct {
 	places
 	id string
 }
 
-func (panicky panickingPlaces) Place(now time.Time, ask *dogwoodpacking.Ask) (dogwoodpacking.Placement, dogwoodpacking.Refusal) {
-	if strings.HasPrefix(string(ask.ID), panicky.id) {
+func (panicking panickingPlaces) Place(now time.Time, ask *dogwoodpacking.Ask) (dogwoodpacking.Placement, dogwoodpacking.Refusal) {
+	if strings.HasPrefix(string(ask.ID), panicking.id) {
 		panic("unplaceable request")
 	}
-	return panicky.places.Place(now, ask)
+	return panicking.places.Place(now, ask)
 }
 
 // Guards against a daemon that crashes because placing one request panics.
 func TestARequestThatPanicsLeavesTheLine(t *testing.T) {
 	board := dogwoodpacking.NewBoard("me")
-	line := &queue{places: panickingPlaces{places: places{board}, id: "odd"}}
+	queue := &queue{places: panickingPlaces{places: places{board}, id: "odd"}}
 	join := func(id string) (panicked bool) {
 		defer func() { panicked = recover() != nil }()
-		line.add(&waiter{ask: &dogwoodpacking.Ask{ID: dogwoodpacking.WorkID(id), Service: "s"}, result: make(chan placementResult, 1)})
+		queue.add(&waiter{ask: &dogwoodpacking.Ask{ID: dogwoodpacking.WorkID(id), Service: "s"}, result: make(chan placementResult, 1)})
 		return false
 	}
 	if !join("odd") {
--- a/core/duty/dogwoodrelay/plain.go
+++ b/core/duty/dogwoodrelay/plain.go
@@ -9,8 +9,8 @@
 // request can be retried if the answer is interrupted. Larger answers are forwarded as they arrive.
 const maxHeldBytes = 1 << 20
 
-// forwardAnswer forwards a complete answer, or one that is too large to be held together with
-// the rest of its body.
+// forwardAnswer forwards the answer that data holds. If that is only the beginning, since the
+// answer is larger than maxHeldBytes, it also forwards the rest of the body as it arrives.
 func (attempt *attempt) forwardAnswer(run *run, data []byte) tryResult {
 	if len(data) > maxHeldBytes {
 		return attempt.forwardLarge(run.response, data)
@@ -32,7 +32,8 @@
 	return nil
 }
 
-// forwardLarge forwards an answer that is too large to be held as it arrives.
+// forwardLarge forwards the start of an answer that is too large to be held, then the rest of the
+// body as it arrives.
 func (attempt *attempt) forwardLarge(response *Response, start []byte) tryResult {
 	if err := attempt.sendAnswer(response, start); err != nil {
 		return tryResult{err: err}
--- a/core/duty/dogwoodrelay/random_test.go
+++ b/core/duty/dogwoodrelay/random_test.go
@@ -50,9 +50,9 @@
 	faultAt int
 	// wrote is true once an event was written.
 	wrote bool
-	// ended is true once the endpoint is done; callerLeft reports whether the relay has cancelled the run.
-	ended      bool
-	callerLeft func() bool
+	// ended is true once the endpoint is done; cancelled reports whether the relay has cancelled the run.
+	ended     bool
+	cancelled func() bool
 }
 
 func randomBehavior(random *rand.Rand) *behavior {
@@ -100,7 +100,7 @@
 	endpoints.mutex.Lock()
 	defer endpoints.mutex.Unlock()
 	behavior := randomBehavior(rand.New(rand.NewPCG(endpoints.seed, uint64(len(endpoints.behaviors)+1))))
-	behavior.startedAt, behavior.callerLeft = time.Now(), func() bool { return ctx.Err() != nil }
+	behavior.startedAt, behavior.cancelled = time.Now(), func() bool { return ctx.Err() != nil }
 	endpoints.behaviors = append(endpoints.behaviors, behavior)
 	if behavior.kind != unsent {
 		endpoints.arrived++
@@ -114,7 +114,7 @@
 
 // active returns the behaviors of requests that are neither done nor cancelled. The caller holds the mutex.
 func (endpoints *randomEndpoints) active() []*behavior {
-	return slices.DeleteFunc(slices.Clone(endpoints.behaviors), func(behavior *behavior) bool { return behavior.ended || behavior.callerLeft() })
+	return slices.DeleteFunc(slices.Clone(endpoints.behaviors), func(behavior *behavior) bool { return behavior.ended || behavior.cancelled() })
 }
 
 func (endpoints *randomEndpoints) end(behavior *behavior) {
@@ -205,16 +205,16 @@
 // randomCase is a random request with its caller and conditions.
 type randomCase struct {
 	request *Request
-	// leaveAfter is when the caller leaves, writeDelay how long it takes to read each event.
-	leaveAfter, writeDelay time.Duration
-	staleAfter             time.Duration
-	takenSlots             int
-	allowance              float64
-	maxUnused              time.Duration
+	// disconnectAfter is when the caller disconnects, writeDelay how long it takes to read each event.
+	disconnectAfter, writeDelay time.Duration
+	staleAfter                  time.Duration
+	takenSlots                  int
+	allowance                   float64
+	maxUnused                   time.Duration
 }
 
 func newRandomCase(random *rand.Rand) *randomCase {
-	randomCase := &randomCase{request: streamRequest(), leaveAfter: time.Hour, staleAfter: time.Hour}
+	randomCase := &randomCase{request: streamRequest(), disconnectAfter: time.Hour, staleAfter: time.Hour}
 	request, route := randomCase.request, randomCase.request.Route
 	switch random.IntN(6) {
 	case 0:
@@ -235,7 +235,7 @@
 	randomCase.takenSlots = random.IntN(2 * testEngine.Slots)
 	switch random.IntN(6) {
 	case 0:
-		randomCase.leaveAfter = time.Duration(random.Int64N(int64(8 * time.Second)))
+		randomCase.disconnectAfter = time.Duration(random.Int64N(int64(8 * time.Second)))
 	case 1:
 		randomCase.writeDelay = time.Duration(random.Int64N(int64(500 * time.Millisecond)))
 	case 2:
@@ -262,9 +262,9 @@
 		options.Retries = &dogwoodretry.Shared{Allowance: randomCase.allowance, Window: time.Minute}
 		fixture.setEndpoints(6, testEngine)
 		fixture.takeSlots(t, randomCase.takenSlots)
-		ctx, leave := context.WithCancel(t.Context())
-		defer leave()
-		defer time.AfterFunc(randomCase.leaveAfter, leave).Stop()
+		ctx, disconnect := context.WithCancel(t.Context())
+		defer disconnect()
+		defer time.AfterFunc(randomCase.disconnectAfter, disconnect).Stop()
 		defer time.AfterFunc(randomCase.staleAfter, func() { fixture.stale.Store(true) }).Stop()
 		caller := &slowCaller{recorder: fixture.answer, delay: randomCase.writeDelay}
 		err := fixture.relay.Serve(ctx, randomCase.request, caller)
@@ -303,7 +303,7 @@
 		return
 	}
 	if errors.Is(err, ErrCallerGone) {
-		if randomCase.leaveAfter == time.Hour {
+		if randomCase.disconnectAfter == time.Hour {
 			t.Errorf("got %v, want no error for a caller that stayed", err)
 		}
 		return
@@ -339,11 +339,11 @@
 	return first.kind == healthy && first.startedAt.Add(first.duration()).Before(randomCase.request.Deadline)
 }
 
-// checkEndTime checks that the request ended by its deadline or when its caller left.
+// checkEndTime checks that the request ended by its deadline or when its caller disconnected.
 func checkEndTime(t *testing.T, randomCase *randomCase, elapsed time.Duration) {
 	t.Helper()
 	limit := randomCase.request.Deadline.Sub(randomCase.request.Arrived)
-	if most := min(limit, randomCase.leaveAfter) + scriptedEvents*randomCase.writeDelay; elapsed > most {
+	if most := min(limit, randomCase.disconnectAfter) + scriptedEvents*randomCase.writeDelay; elapsed > most {
 		t.Errorf("got the end after %s, want it within %s", elapsed, most)
 	}
 }
--- a/core/duty/dogwoodrelay/relay.go
+++ b/core/duty/dogwoodrelay/relay.go
@@ -123,12 +123,20 @@
 
 // Places assigns requests to endpoints and records their results.
 type Places interface {
+	// Place chooses an endpoint, and helpers for a long prompt, and counts the work there until
+	// End.
 	Place(now time.Time, ask *dogwoodpacking.Ask) (dogwoodpacking.Placement, dogwoodpacking.Refusal)
+	// Writes records the first event of an answer with its predicted and its observed time.
 	Writes(id dogwoodpacking.WorkID, predicted, seen time.Duration)
+	// Paced records a short pause between two events, which shows how fast the endpoint decodes.
 	Paced(endpoint dogwoodfleet.EndpointID, pause time.Duration)
+	// End drops work that has ended.
 	End(id dogwoodpacking.WorkID)
+	// Failed records that an endpoint failed a request.
 	Failed(now time.Time, endpoint dogwoodfleet.EndpointID)
+	// Avoid assigns an endpoint no new work for the duration, unless no other is available.
 	Avoid(now time.Time, endpoint dogwoodfleet.EndpointID, duration time.Duration)
+	// Changed returns a channel that is closed when a slot may have become free.
 	Changed() <-chan struct{}
 	// Other reports whether the service has an endpoint that the request doesn't avoid.
 	Other(ask *dogwoodpacking.Ask) bool
--- a/core/duty/dogwoodrelay/relay_test.go
+++ b/core/duty/dogwoodrelay/relay_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// Both servers answer an idempotent call with a failure, which is forwarded unchanged.
+// Both servers answer an idempotent call with a failure. The caller must get it unchanged.
 func TestServerFailureIsForwarded(t *testing.T) {
 	runRelayTest(t, nil, []step{responds(500, "failed")}, func(t *testing.T, fixture *fixture) {
 		if err := fixture.relay.Serve(t.Context(), plainRequest(dogwoodroute.Idempotent), fixture.answer); err != nil {
@@ -309,9 +309,9 @@
 	})
 }
 
-// A caller leaves while its answer is sent. The engine's connection is closed at once, and its
-// slot is free for other requests.
-func TestACallerThatLeavesFreesItsSlot(t *testing.T) {
+// A caller disconnects while its answer is sent. The engine's connection must be closed at once,
+// and its slot must be free for other requests.
+func TestDisconnectedCallerFreesItsSlot(t *testing.T) {
 	runRelayTest(t, testEngine, []step{fallsSilent(firstEvents)}, func(t *testing.T, fixture *fixture) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
@@ -376,6 +376,8 @@
 	}
 }
 
+// Guards against a helper that gets no ticket, or that of another try. It couldn't find the memory
+// that was reserved for the prompt.
 func TestHelpersGetTheirTickets(t *testing.T) {
 	runRelayTest(t, testEngine, []step{responds(200, firstEvents)}, func(t *testing.T, fixture *fixture) {
 		request := streamRequest()
@@ -390,6 +392,8 @@
 	})
 }
 
+// Guards against a prompt that no set of engines can hold and that waits in the queue until its
+// deadline.
 func TestOversizedPromptIsRejectedAtOnce(t *testing.T) {
 	runRelayTest(t, testEngine, []step{responds(200, firstEvents)}, func(t *testing.T, fixture *fixture) {
 		request := streamRequest()
--- a/core/duty/dogwoodrelay/run.go
+++ b/core/duty/dogwoodrelay/run.go
@@ -133,7 +133,8 @@
 	return nil
 }
 
-// isAnswer reports whether the response may be forwarded to the caller without trying another endpoint.
+// isAnswer reports whether the response is an answer to forward. A response after which another endpoint may
+// be tried is none, and neither is an error status in place of a stream.
 func (run *run) isAnswer() bool {
 	response, request := run.response, run.attempt.request
 	success := response.Status >= 200 && response.Status < 300
--- a/core/duty/dogwoodrelay/serve.go
+++ b/core/duty/dogwoodrelay/serve.go
@@ -22,7 +22,7 @@
 	// connection costs only a millisecond.
 	maxUnsentTries = 24
 	// staleRetryAfter is how long a caller waits before it tries another daemon when this one
-	// has lost the store. The short delay allows its connection to be closed first.
+	// has lost the store. The short delay lets its connection to this daemon be closed first.
 	staleRetryAfter = 50 * time.Millisecond
 	// fullRetryAfter is the mean wait sent to a caller when all endpoints are full. If
 	// answers take some seconds, a good part of the slots becomes free in that time.
--- a/core/duty/dogwoodrelay/silent_test.go
+++ b/core/duty/dogwoodrelay/silent_test.go
@@ -189,21 +189,21 @@
 	}
 }
 
-// Guards against a run that continues unused after its stream moved or its caller left.
+// Guards against a run that continues unused after its stream moved or its caller disconnected.
 func TestSecondRunEndsWithItsStream(t *testing.T) {
 	tests := []struct {
-		name  string
-		other step
-		leave time.Duration
+		name            string
+		second          step
+		disconnectAfter time.Duration
 	}{
-		{"the caller leaves during prefill", pauses("", time.Minute, ""), 3 * time.Second},
-		{"the caller leaves during decoding", pauses("id: 3\ndata: c\n\n", time.Minute, ""), 3 * time.Second},
+		{"the caller disconnects during prefill", pauses("", time.Minute, ""), 3 * time.Second},
+		{"the caller disconnects during decoding", pauses("id: 3\ndata: c\n\n", time.Minute, ""), 3 * time.Second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			runRelayTest(t, testEngine, []step{fallsSilent(firstEvents), test.other}, func(t *testing.T, fixture *fixture) {
-				ctx, leave := context.WithCancel(t.Context())
-				timer := time.AfterFunc(test.leave, leave)
+			runRelayTest(t, testEngine, []step{fallsSilent(firstEvents), test.second}, func(t *testing.T, fixture *fixture) {
+				ctx, disconnect := context.WithCancel(t.Context())
+				timer := time.AfterFunc(test.disconnectAfter, disconnect)
 				defer timer.Stop()
 				if err := fixture.relay.Serve(ctx, streamRequest(), fixture.answer); !errors.Is(err, ErrCallerGone) {
 					t.Errorf("got %v, want ErrCallerGone", err)
--- a/core/duty/dogwoodrelay/unused_test.go
+++ b/core/duty/dogwoodrelay/unused_test.go
@@ -56,7 +56,7 @@
 }
 
 // Prefilling a prompt of nearly a million tokens takes longer than memory may stay unused. Its engines use the
-// memory during that time, so the caller must get the answer.
+// memory during that time, so the caller must get the answer. The test uses a shorter prompt and slower engines.
 func TestLongPrefillDoesNotCountAsUnusedMemory(t *testing.T) {
 	slow := *testEngine
 	slow.TokensPerSecond = 5_000
--- a/core/duty/dogwoodrelay/verdict.go
+++ b/core/duty/dogwoodrelay/verdict.go
@@ -60,7 +60,7 @@
 }
 
 // reportHang reports an endpoint as failed if it held a call for much longer than the route's
-// aim when the deadline passed. A short deadline is no evidence against the endpoint.
+// aim when the deadline passed. A deadline that passes earlier is no evidence against the endpoint.
 func (attempt *attempt) reportHang(ctx context.Context, placement dogwoodpacking.Placement) {
 	elapsed := time.Since(placement.Work.Begun)
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) && elapsed >= max(hangFactor*attempt.request.Route.Aim, minReportedHang) {
