--- a/core/duty/dogwoodboard/board.go
+++ b/core/duty/dogwoodboard/board.go
@@ -313,8 +313,7 @@
 	return duty.options.Board.Changed()
 }
 
-// Other reports whether the service has an endpoint in force that the request does not
-// ask to avoid.
+// Other reports whether the service has an endpoint in force that is not in ask.Avoid.
 func (duty *Duty) Other(ask *dogwoodpacking.Ask) bool {
 	return duty.options.Board.Other(ask)
 }
--- a/core/duty/dogwoodboard/board_test.go
+++ b/core/duty/dogwoodboard/board_test.go
@@ -167,7 +167,7 @@
 	node.duty.Place(now, &dogwoodpacking.Ask{ID: dogwoodpacking.WorkID(id), Service: "s", Prompt: tokens, Until: now.Add(10 * time.Second)})
 }
 
-// visibleWork returns how much work the node knows of at the endpoint: it counts the slots
+// visibleWork returns how much work at the endpoint is on the node's board: it counts the slots
 // that are free there.
 func (node *node) visibleWork() int {
 	now, free := time.Now(), 0
@@ -248,7 +248,7 @@
 }
 
 // The number of hubs follows the number of callers' requests. Requests to leaves, mostly the
-// platform's own tests, need no hub: when they were counted, twenty leaves were promoted.
+// platform's probes, need no hub: when they were counted, twenty leaves were promoted.
 func TestLeafRequestsDoNotCountForHubs(t *testing.T) {
 	runMesh(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
 		mesh.makeLeaf()
@@ -269,7 +269,7 @@
 	})
 }
 
-// The platform tests each daemon with a plain call every second. Leaves must not query the
+// The platform probes each daemon with a plain call every second. Leaves must not query the
 // view of the pool for these calls.
 func TestPlainCallsQueryNoView(t *testing.T) {
 	runMesh(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
@@ -308,8 +308,8 @@
 }
 
 // The daemons can't reach each other for a while, and the ends of requests are not delivered.
-// After that each daemon must know exactly the work that runs, or engines would appear full
-// for ever.
+// After that each daemon's board must hold exactly the work that runs, or engines would appear
+// full for ever.
 func TestLostAnnouncementIsRepaired(t *testing.T) {
 	runMesh(t, 3, func(t *testing.T, nodes []*node, mesh *mesh) {
 		nodes[0].place("w1")
--- a/core/duty/dogwoodboard/leafview.go
+++ b/core/duty/dogwoodboard/leafview.go
@@ -21,10 +21,10 @@
 )
 
 // leafView tracks a leaf's view of the pool, which the leaf fetches only while it receives
-// prompts: sending every request to two hundred leaves would cost more than the requests.
+// prompts: announcing every request to two hundred leaves would cost more than the requests.
 // Plain calls are short and need no view, so the leaf places them by the work that it
-// placed itself. The platform's tests send each daemon a plain call every second: when plain
-// calls needed a view, all leaves queried permanently.
+// placed itself. The platform probes each daemon with a plain call every second: when plain
+// calls needed a view, all leaves queried their hubs permanently.
 type leafView struct {
 	requested chan struct{}
 
--- a/core/duty/dogwoodboard/receiver.go
+++ b/core/duty/dogwoodboard/receiver.go
@@ -59,8 +59,8 @@
 }
 
 // recordReport records a peer's announced state. A hub forwards the updates of a leaf to the
-// other hubs: the leaf announces to this hub only, and the others would consider the slots
-// free that the leaf has taken.
+// other hubs, since the leaf announces to this hub only. Otherwise the other hubs would consider
+// the slots free that the leaf has taken.
 func (duty *Duty) recordReport(now time.Time, batch *Batch, works []dogwoodpacking.Work) {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
@@ -84,7 +84,7 @@
 	}
 }
 
-// View lists the work in the pool that a daemon knows of.
+// View lists the work in the pool that is on a daemon's board.
 type View struct {
 	Items []Item
 }
--- a/core/duty/dogwoodburnkeeper/keeper_test.go
+++ b/core/duty/dogwoodburnkeeper/keeper_test.go
@@ -139,6 +139,8 @@
 	})
 }
 
+// Copies go to the next two daemons in the order of VM names, which wraps around at the end. If all
+// daemons chose the same peers, these would hold the copies of the whole fleet.
 func TestCopiesAreSpreadOverDaemons(t *testing.T) {
 	members := []Member{member("entry-3", "c", 3), member("entry-1", "a", 1), member("entry-4", "d", 4), member("entry-2", "b", 2)}
 	tests := []struct {
@@ -160,6 +162,8 @@
 	}
 }
 
+// A daemon must send a copy each minute without waiting for its shutdown, or a crash would lose all
+// of its counts. Run must end without an error when its context ends.
 func TestRunSendsCopiesEveryMinuteUntilCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := &network{keepers: map[netip.AddrPort]*Keeper{}, down: map[netip.AddrPort]bool{}}
--- a/core/duty/dogwoodchanges/changes.go
+++ b/core/duty/dogwoodchanges/changes.go
@@ -48,9 +48,9 @@
 	exchangeTimeout  = 500 * time.Millisecond
 	// pollInterval is how often the store is read: 50 reads a second for 500 daemons.
 	pollInterval = 10 * time.Second
-	// keepInterval is how often a daemon tries to write provisional take-outs to the log. During
+	// storeInterval is how often a daemon tries to write provisional take-outs to the log. During
 	// an outage the store's breaker makes such a try cost nothing.
-	keepInterval = 2 * time.Second
+	storeInterval = 2 * time.Second
 	// startRetryInterval is the wait between tries to load the log at the start.
 	startRetryInterval = 200 * time.Millisecond
 	// peerLookupTries is how often a daemon without known peers checks for one at the start.
@@ -77,7 +77,7 @@
 	Log     *dogwoodchange.Log
 	Members Members
 	Caller  Caller
-	// Logger is nil for none.
+	// Logger may be nil to disable logging.
 	Logger hclog.Logger
 }
 
@@ -116,7 +116,7 @@
 		var repairs errgroup.Group
 		repairs.Go(func() error { return runPeriodically(ctx, exchangeInterval, duty.exchangeWithRandom) })
 		repairs.Go(func() error { return runPeriodically(ctx, pollInterval, duty.poll) })
-		repairs.Go(func() error { return runPeriodically(ctx, keepInterval, duty.keepProvisional) })
+		repairs.Go(func() error { return runPeriodically(ctx, storeInterval, duty.storeProvisional) })
 		return repairs.Wait()
 	})
 	return group.Wait()
@@ -275,7 +275,7 @@
 	}
 }
 
-func (duty *Duty) keepProvisional(ctx context.Context) {
+func (duty *Duty) storeProvisional(ctx context.Context) {
 	if len(duty.options.Log.Current().Provisional) == 0 {
 		return
 	}
@@ -379,6 +379,6 @@
 // jittered varies a period randomly by up to a tenth in both directions, so that daemons do not
 // act in lockstep.
 func jittered(period time.Duration) time.Duration {
-	const divisor = 10
-	return period - period/divisor + rand.N(2*period/divisor)
+	const jitterDivisor = 10
+	return period - period/jitterDivisor + rand.N(2*period/jitterDivisor)
 }
--- a/core/duty/dogwoodchanges/receiver.go
+++ b/core/duty/dogwoodchanges/receiver.go
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// Exchange returns the changes that the asking daemon lacks.
+// Exchange returns the changes that the querying daemon lacks.
 func (receiver *Receiver) Exchange(ask Ask, told *Told) error {
 	told.News = receiver.duty.options.Log.Since(ask.Version)
 	select {
--- a/core/duty/dogwoodhub/duty.go
+++ b/core/duty/dogwoodhub/duty.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	// firstListPause and longestListPause bound the mean pause between failed reads of the list
-	// of hubs: after a loss of power all daemons read it at once.
-	firstListPause   = 200 * time.Millisecond
-	longestListPause = time.Second
+	// listMinBackoff and listMaxBackoff bound the mean pause between failed reads of the list of
+	// hubs: after a loss of power all daemons read it at once.
+	listMinBackoff = 200 * time.Millisecond
+	listMaxBackoff = time.Second
 	// offerRetryPause is the mean pause before a daemon retries to get itself listed.
 	offerRetryPause = 50 * time.Millisecond
 )
@@ -149,7 +149,7 @@
 
 // readList returns the listed hubs. It retries until the list is read or the context ends.
 func (duty *Duty) readList(ctx context.Context) ([]dogwoodhubs.Daemon, error) {
-	backoff := dogwoodkernel.Backoff{First: firstListPause, Longest: longestListPause}
+	backoff := dogwoodkernel.Backoff{First: listMinBackoff, Longest: listMaxBackoff}
 	for {
 		hubs, err := duty.options.List.Hubs(ctx)
 		if err == nil {
@@ -187,9 +187,9 @@
 	return names
 }
 
-// serveAsHub lists this daemon and runs it as a hub until it is spare or the context ends. A
-// daemon that can't be listed doesn't become a hub: it follows one, to which it reports itself
-// as ineligible for a while.
+// serveAsHub lists this daemon and runs it as a hub until it is spare or the context ends. It
+// reports whether this daemon became a hub. A daemon that can't be listed doesn't become one: it
+// follows a hub, to which it reports itself as ineligible for a while.
 func (duty *Duty) serveAsHub(ctx context.Context, hubs []dogwoodhubs.Daemon, silent []dogwoodfleet.VM) (became bool, err error) {
 	if !duty.isListed(hubs) || len(silent) > 0 {
 		if err := duty.offer(ctx, silent); err != nil {
--- a/core/duty/dogwoodhub/fleet_test.go
+++ b/core/duty/dogwoodhub/fleet_test.go
@@ -73,8 +73,8 @@
 }
 
 func (tables *tables) Position(table string) (int64, time.Duration) {
-	version, proven := tables.copies[table].Known()
-	return version, tables.clock() - proven
+	version, confirmed := tables.copies[table].Known()
+	return version, tables.clock() - confirmed
 }
 
 func (tables *tables) Feed(table string, answer dogwoodcopy.Answer) {
@@ -114,7 +114,7 @@
 	})
 	duty := New(Options{
 		Self: self, FirstStart: node.starts == 1, List: node, Leaf: leaf, Logger: hclog.NewNullLogger(),
-		BeHub: func(ctx context.Context) error { return node.beHub(ctx, self, known) },
+		BeHub: func(ctx context.Context) error { return node.runHub(ctx, self, known) },
 	})
 	node.group.Go(func() { _ = duty.Run(ctx) })
 }
@@ -134,8 +134,8 @@
 	return !node.dead && node.hub != nil
 }
 
-// beHub runs a hub that answers leaves and reads the store twice a second.
-func (node *node) beHub(ctx context.Context, self dogwoodhubs.Daemon, known *tables) error {
+// runHub runs a hub that answers leaves and reads the store twice a second.
+func (node *node) runHub(ctx context.Context, self dogwoodhubs.Daemon, known *tables) error {
 	hub := NewHub(HubOptions{
 		Self: self, Tables: known, Names: tableNames, Clock: known.clock, Hubs: node.fleet.hubs, OtherLeaves: node.otherLeaves,
 		Requests: node.fleet.requests, DataCentres: node.fleet.centres(), Logger: hclog.NewNullLogger(),
@@ -190,7 +190,7 @@
 	return leaves
 }
 
-// Position returns the version of a table that the daemon knows, and the age of its last
+// Position returns the version of a table that the daemon has, and the age of its last
 // confirmation.
 func (node *node) Position(table string) (int64, time.Duration) {
 	node.mutex.Lock()
--- a/core/duty/dogwoodhub/hub.go
+++ b/core/duty/dogwoodhub/hub.go
@@ -143,7 +143,7 @@
 	return len(hub.leaves)
 }
 
-// Daemons returns the number of daemons in the fleet as the hubs know it, at least 1.
+// Daemons returns the number of daemons in the fleet, as counted at the last check, at least 1.
 func (hub *Hub) Daemons() int {
 	hub.mutex.Lock()
 	defer hub.mutex.Unlock()
@@ -221,7 +221,7 @@
 // promote asks the best leaf of a data centre to become a hub if there are too few hubs.
 func (hub *Hub) promote(now time.Time, place dogwoodfleet.Place, leaves []*leaf, hubs []dogwoodhubs.Daemon, needs dogwoodhubs.Needs) {
 	localHubs := inPlace(hubs, place)
-	isFirst := len(localHubs) == 0 || !slices.ContainsFunc(localHubs, func(other dogwoodhubs.Daemon) bool {
+	isHighestRanked := len(localHubs) == 0 || !slices.ContainsFunc(localHubs, func(other dogwoodhubs.Daemon) bool {
 		return dogwoodhubs.Compare(other, hub.options.Self) < 0
 	})
 	var candidates []*leaf
@@ -240,7 +240,7 @@
 	if hub.shortageSince[place].IsZero() {
 		hub.shortageSince[place] = now
 	}
-	if !isFirst && now.Sub(hub.shortageSince[place]) < fallbackPromotionDelay {
+	if !isHighestRanked && now.Sub(hub.shortageSince[place]) < fallbackPromotionDelay {
 		return
 	}
 	best := slices.MinFunc(candidates, func(a, b *leaf) int { return dogwoodhubs.Compare(a.Daemon, b.Daemon) })
--- a/core/duty/dogwoodhub/keep_test.go
+++ b/core/duty/dogwoodhub/keep_test.go
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// Guards against a leaf that leaves a remote hub that answers for a local one that is dead and
-// then reports that no hub answers.
+// A leaf follows a remote hub that answers, while a local hub is listed but dead. The leaf must not
+// switch to the local hub, or it would end with the error that no hub answers.
 func TestALeafKeepsAHubThatAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hub := func(vm dogwoodfleet.VM, centre dogwoodfleet.DataCentre, at byte) dogwoodhubs.Daemon {
--- a/core/duty/dogwoodhub/leaf.go
+++ b/core/duty/dogwoodhub/leaf.go
@@ -30,8 +30,8 @@
 	// startSearchTimeout is how long a leaf that starts searches for a hub before it gives up
 	// with ErrAlone. Hubs that lost power together with it are back within this time.
 	startSearchTimeout = 1200 * time.Millisecond
-	// failoverTimeout is the same after the leaf's hub has failed. It is shorter because the
-	// failure itself took a while to detect.
+	// failoverTimeout is how long a leaf searches after its hub has failed. It is shorter than
+	// startSearchTimeout because detecting the failure has taken a while already.
 	failoverTimeout = 400 * time.Millisecond
 	// searchPause is the mean pause between two rounds of a search: hubs that are starting
 	// refuse connections.
@@ -142,7 +142,7 @@
 	return ctx.Err()
 }
 
-// reset drops the hubs that are known from the last time when this daemon was a leaf.
+// reset drops the hubs that remain from an earlier time as a leaf.
 func (leaf *Leaf) reset() {
 	leaf.mutex.Lock()
 	defer leaf.mutex.Unlock()
--- a/core/duty/dogwoodhub/messages.go
+++ b/core/duty/dogwoodhub/messages.go
@@ -42,9 +42,9 @@
 // Position is a leaf's version of a table and how old that is.
 type Position struct {
 	Table string
-	// After is the version that the leaf knows, -1 for none.
+	// After is the version that the leaf has, -1 for none.
 	After int64
-	// Age is the age of the last confirmation that the leaf knows.
+	// Age is the age of the last confirmation that the leaf has received.
 	Age time.Duration
 }
 
@@ -52,11 +52,11 @@
 type Question struct {
 	Leaf   dogwoodhubs.Daemon
 	Tables []Position
-	// Fleet is the version of the list of hubs that the leaf knows, 0 for none.
+	// Fleet is the version of the list of hubs that the leaf has, 0 for none.
 	Fleet uint64
 }
 
-// TableNews is an update of a table: what the hub knows beyond the leaf's position.
+// TableNews is an update of a table: the changes and the confirmation after the leaf's position.
 type TableNews struct {
 	Table string
 	dogwoodcopy.Told
--- a/core/duty/dogwoodhub/receiver.go
+++ b/core/duty/dogwoodhub/receiver.go
@@ -51,8 +51,8 @@
 	fleet, promoted <-chan struct{}
 }
 
-// updateFor returns what the hub knows and the leaf does not, whether that is worth an answer at
-// once, and the signals to wait for otherwise.
+// updateFor returns what the hub has and the leaf lacks, whether that must be sent at once, and
+// the signals to wait for otherwise.
 func (hub *Hub) updateFor(question Question, arrived time.Duration) (update News, isUpdate bool, signals signals) {
 	for i, position := range question.Tables[:min(len(question.Tables), len(signals.tables))] {
 		if !slices.Contains(hub.options.Names, position.Table) {
--- a/core/duty/dogwoodmembership/membership.go
+++ b/core/duty/dogwoodmembership/membership.go
@@ -23,8 +23,8 @@
 var Error = errs.Class("membership")
 
 const (
-	// heartbeatTimeout bounds the call of one heartbeat. A peer that has not answered by then is
-	// sent the next heartbeat. Until then no second one is queued for it.
+	// heartbeatTimeout bounds the call that sends one heartbeat. Until the call ends, the peer is
+	// sent no other heartbeat.
 	heartbeatTimeout = time.Second
 	// listInterval is how often the platform's list is read: an endpoint that it shows as
 	// leaving gets no new work after this interval plus the list's own lag. 500 daemons make
@@ -51,7 +51,7 @@
 	Members *dogwoodmember.Members
 	Caller  Caller
 	List    List
-	// Logger may be nil, then nothing is logged.
+	// Logger may be nil to disable logging.
 	Logger hclog.Logger
 }
 
@@ -198,7 +198,7 @@
 }
 
 // readLists reads the list at regular intervals. The first list triggers a heartbeat at once:
-// without it daemons that all start at the same time would not know each other until their second
+// otherwise daemons that start at the same time would find each other only with their second
 // heartbeat.
 func (duty *Duty) readLists(ctx context.Context) error {
 	first := true
--- a/core/duty/dogwoodorders/orders.go
+++ b/core/duty/dogwoodorders/orders.go
@@ -69,7 +69,7 @@
 // Weights is the weight store. All daemons share its limited rate, so each load needs its
 // permission.
 type Weights interface {
-	// Allow returns 0 if the load may start now, otherwise the time to wait before asking again.
+	// Allow returns 0 if the load may start now, otherwise the time to wait before the next query.
 	Allow(ctx context.Context, model dogwoodfleet.Model, version string) (wait time.Duration, err error)
 }
 
--- a/core/duty/dogwoodquotas/quotas.go
+++ b/core/duty/dogwoodquotas/quotas.go
@@ -1,6 +1,8 @@
-// Package dogwoodquotas connects the meters of the entry daemons with the customers' homes: it
-// sends the due reports, grants shares to the customers whose home this daemon is, and rejects
-// requests over their customer's limit before they ask for a slot.
+// Package dogwoodquotas connects the meters of the entry daemons with the customers' homes. A
+// customer's home is the daemon that divides the customer's limit into shares for the entry
+// daemons. The package reports the demand of this daemon to the homes, grants shares for the
+// customers whose home this daemon is, and rejects requests over their customer's limit before
+// they request a slot.
 package dogwoodquotas
 
 import (
@@ -97,7 +99,7 @@
 	return quotas.limits[customer]
 }
 
-// Admit returns nil if it admits a request, else a refusal that marks the request as not run.
+// Admit returns nil if it admits a request, otherwise a refusal that marks the request as not run.
 func (quotas *Quotas) Admit(request *dogwoodfleet.Request) *dogwoodowner.Refusal {
 	quotas.mutex.Lock()
 	defer quotas.mutex.Unlock()
@@ -120,7 +122,7 @@
 	quotas *Quotas
 }
 
-// Acquire rejects a first try over the limit, else asks for a slot.
+// Acquire rejects a first try over the limit, otherwise it acquires a slot.
 func (limited *limited) Acquire(ctx context.Context, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error) {
 	if ask.Try <= 1 {
 		if refusal := limited.quotas.Admit(&ask.Request); refusal != nil {
--- a/core/duty/dogwoodquotas/quotas_test.go
+++ b/core/duty/dogwoodquotas/quotas_test.go
@@ -91,7 +91,7 @@
 	})
 }
 
-// countingSlots counts the requests that ask for a slot.
+// countingSlots counts the requests that acquire a slot.
 type countingSlots struct{ acquired int }
 
 func (slots *countingSlots) Acquire(context.Context, *dogwoodowner.Ask) (dogwoodowner.Grant, error) {
@@ -119,6 +119,6 @@
 		t.Errorf("got %+v, want a refusal over the limit, not run, with a time to retry", refusal)
 	}
 	if got, want := slots.acquired, 2; got != want {
-		t.Errorf("requests that asked for a slot: got %d, want %d", got, want)
+		t.Errorf("requests that acquired a slot: got %d, want %d", got, want)
 	}
 }
--- a/core/duty/dogwoodreader/reader.go
+++ b/core/duty/dogwoodreader/reader.go
@@ -1,5 +1,6 @@
 // Package dogwoodreader reads the tables of a store: from the store itself, from a peer that
-// reads it, or, on a leaf, from the updates of the leaf's hub (dogwoodhub).
+// reads it, or, on a leaf, from the updates that the leaf's hub sends (dogwoodhub). A daemon that
+// receives its tables from a hub is called fed.
 //
 // Load pattern: every daemon must learn of each change almost at once and confirm every second
 // that it has missed none. If each daemon queried the store, the store would receive as many
@@ -44,9 +45,9 @@
 	// Name is the name under which the receiver is registered with the peers' server.
 	Name = "Reader"
 	// maxHold is how long a reader holds a query while nothing changes. A reader queries the
-	// store again after a second, so a confirmation is at most 1.4 s old. That is below the
-	// 1.6 s up to which a daemon may answer callers that the operators' text does not allow a
-	// request.
+	// store again after a second, so a confirmation is at most 1.4 s old. That is below 1.6 s,
+	// the age up to which a daemon may reject a request because the operators' text does not
+	// allow it.
 	maxHold = 400 * time.Millisecond
 	// answerAllowance is the time that an answer may take in addition to maxHold: network
 	// latency and the delay of a busy small VM. A frozen reader is dropped after both, well
@@ -171,8 +172,8 @@
 	reader.copyOf(table).Take(answer, true)
 }
 
-// freshFor returns how much longer this daemon may forward what it knows of a table; zero or
-// less if it may not.
+// freshFor returns how much longer this daemon may forward its copy of a table; zero or less if
+// it may not.
 func (reader *Reader) freshFor(table string) time.Duration {
 	reader.mutex.Lock()
 	defer reader.mutex.Unlock()
@@ -245,8 +246,8 @@
 	return version, reader.options.Clock() - confirmed
 }
 
-// Latest returns the changes of a table that this daemon knows of, and a channel that is closed
-// at the next answer. Send the result only to daemons that forward it to no other daemon.
+// Latest returns the changes of a table that this daemon has, and a channel that is closed at the
+// next answer. Send the result only to daemons that don't forward it.
 func (reader *Reader) Latest(table string, after int64) (dogwoodcopy.Answer, <-chan struct{}, bool) {
 	return reader.copyOf(table).Latest(after)
 }
--- a/core/duty/dogwoodreconcile/reconcile_test.go
+++ b/core/duty/dogwoodreconcile/reconcile_test.go
@@ -111,7 +111,7 @@
 			t.Errorf("got age %v, want %v", got, fakes.delay)
 		}
 		if got, want := fakes.queriedAfter, []uint64{0, 1, 2, 3, 4, 5}; !slices.Equal(got, want) {
-			t.Errorf("got events asked for after %v, want %v", got, want)
+			t.Errorf("got queries for events after %v, want %v", got, want)
 		}
 	})
 }
@@ -131,7 +131,7 @@
 		fakes.queriedAfter = nil
 		fakes.run(t, 3500*time.Millisecond)
 		if got, want := fakes.queriedAfter, []uint64{0, 1, 0, 1}; !slices.Equal(got, want) {
-			t.Errorf("got events asked for after %v, want %v", got, want)
+			t.Errorf("got queries for events after %v, want %v", got, want)
 		}
 	})
 }
--- a/core/duty/dogwoodwitness/witness.go
+++ b/core/duty/dogwoodwitness/witness.go
@@ -1,5 +1,5 @@
-// Package dogwoodwitness asks the other daemons what they remember of a call that may run only
-// once, while the platform's store can't answer that.
+// Package dogwoodwitness queries the other daemons for what they hold in memory about a call that
+// may run only once, while the platform's store is unavailable.
 //
 // Load pattern: an outage of the store during which callers resend the calls that were not
 // answered. Without this package the refusal would say "not run" for calls that another daemon
@@ -19,7 +19,7 @@
 const (
 	// Name is the name under which the receiver is registered with the peers' server.
 	Name = "Claim"
-	// maxPeers bounds the number of daemons that are asked about one call. With 500 daemons, an
+	// maxPeers bounds the number of daemons that are queried about one call. With 500 daemons, an
 	// outage with a thousand such calls a second would cause half a million calls a second
 	// between daemons. Above the bound the call's outcome is reported as unknown.
 	maxPeers = 32
@@ -49,7 +49,7 @@
 	KeepFor time.Duration
 }
 
-// Witnesses asks the other daemons about calls. It is safe for concurrent use.
+// Witnesses queries the other daemons about calls. It is safe for concurrent use.
 type Witnesses struct {
 	options Options
 }
@@ -61,9 +61,9 @@
 	return &Witnesses{options: options}
 }
 
-// Recall asks all other daemons what they remember of a call. A daemon that can't be reached
-// counts as having forgotten it. Recall returns false if there are more than maxPeers daemons, or
-// if a daemon that was lost recently may have sent the call.
+// Recall queries all other daemons for what they hold about a call. A daemon that can't be reached
+// counts as one that may have dropped its record. Recall returns false if there are more than
+// maxPeers daemons, or if a daemon that was lost recently may have sent the call.
 func (witnesses *Witnesses) Recall(ctx context.Context, question dogwoodclaim.Question) ([]dogwoodclaim.Testimony, bool) {
 	peers := witnesses.options.Members.Peers()
 	if len(peers) > maxPeers {
@@ -84,7 +84,7 @@
 	return testimonies, lost.IsZero() || time.Since(lost) > witnesses.options.KeepFor
 }
 
-// Testifier answers questions about calls from this daemon's own claims.
+// Testifier answers queries about calls from this daemon's own claims.
 type Testifier interface {
 	Testify(question dogwoodclaim.Question) dogwoodclaim.Testimony
 }
@@ -100,8 +100,8 @@
 	return &Receiver{claims: claims, members: members}
 }
 
-// Recall reports what this daemon remembers of a call. It sets Forgot also if this daemon has
-// lost another one recently: the daemon that asks may have started later and not know that.
+// Recall reports what this daemon holds about a call. It sets Forgot also if this daemon has lost
+// another one recently, because the querying daemon may have started after that loss.
 func (receiver *Receiver) Recall(question dogwoodclaim.Question, testimony *dogwoodclaim.Testimony) error {
 	*testimony = receiver.claims.Testify(question)
 	lost := receiver.members.Lost()
--- a/core/state/dogwoodchange/change.go
+++ b/core/state/dogwoodchange/change.go
@@ -7,7 +7,7 @@
 // version order without gaps. Its version only increases: neither a stale read nor an update
 // from a peer with older state lowers it.
 //
-// Without it, two operators who edit concurrently would silently overwrite each other's
+// Without this order, two operators who edit concurrently would silently overwrite each other's
 // changes, and a daemon that reads a stale copy of the operators' text would revert to it.
 package dogwoodchange
 
--- a/core/state/dogwoodchange/log.go
+++ b/core/state/dogwoodchange/log.go
@@ -34,7 +34,7 @@
 	// that a take-out would leave without an endpoint, and is nil in a daemon that accepts no
 	// changes.
 	VMs func() []dogwoodfleet.ListedVM
-	// Logger may be nil.
+	// Logger may be nil to disable logging.
 	Logger hclog.Logger
 }
 
@@ -191,7 +191,7 @@
 	log.changed = make(chan struct{})
 }
 
-// versionOf returns the version of a change, if this daemon knows that the log holds it.
+// versionOf returns the version of a change, or false if this daemon's copy of the log lacks it.
 func (log *Log) versionOf(id string) (uint64, bool) {
 	log.mutex.Lock()
 	defer log.mutex.Unlock()
--- a/core/state/dogwoodchange/stranded.go
+++ b/core/state/dogwoodchange/stranded.go
@@ -9,7 +9,7 @@
 // Stranded returns the services that have an endpoint in service now and would have none
 // after the take-out.
 //
-// Without it, an operator who takes out the second of two data centres during maintenance
+// Without this check, an operator who takes out the second of two data centres during maintenance
 // of the first would stop a service with one command and without a warning.
 func Stranded(view View, vms []dogwoodfleet.ListedVM, change Change) []dogwoodfleet.Service {
 	serving := map[dogwoodfleet.Service]bool{}
--- a/core/state/dogwoodchange/submit.go
+++ b/core/state/dogwoodchange/submit.go
@@ -22,9 +22,9 @@
 	// maxTextBytes bounds the operators' text, so that its row fits into the table service.
 	maxTextBytes = 1 << 20
 	// maxRowBytes is the largest row that the table service accepts.
-	maxRowBytes    = 256 << 10
-	firstBackoff   = 10 * time.Millisecond
-	longestBackoff = 500 * time.Millisecond
+	maxRowBytes = 256 << 10
+	minBackoff  = 10 * time.Millisecond
+	maxBackoff  = 500 * time.Millisecond
 )
 
 // Submit writes the change to the log. Its error is *Conflict, *Refused, *Unavailable or
@@ -54,7 +54,7 @@
 	if change.Kind == BringBack {
 		// Earlier provisional take-outs are written first. Otherwise, a take-out that the
 		// operator of the bring-back already knew of would follow it in the log and undo it.
-		log.keepProvisional(ctx)
+		log.storeProvisional(ctx)
 	}
 	return log.signalIfAccepted(log.appendChange(ctx, change, log.check))
 }
@@ -76,11 +76,11 @@
 	case <-ctx.Done():
 		return len(log.Current().Provisional)
 	}
-	return log.keepProvisional(ctx)
+	return log.storeProvisional(ctx)
 }
 
-// keepProvisional is KeepProvisional for a caller that holds the submitting semaphore.
-func (log *Log) keepProvisional(ctx context.Context) int {
+// storeProvisional is KeepProvisional for a caller that holds the submitting semaphore.
+func (log *Log) storeProvisional(ctx context.Context) int {
 	for _, change := range log.Current().Provisional {
 		change.Provisional = false
 		accepted, err := log.appendChange(ctx, change, log.skipCheck)
@@ -102,7 +102,7 @@
 func (log *Log) appendChange(
 	ctx context.Context, change Change, check func(View, Change) error,
 ) (Accepted, error) {
-	wait := dogwoodkernel.Backoff{First: firstBackoff, Longest: longestBackoff}
+	wait := dogwoodkernel.Backoff{First: minBackoff, Longest: maxBackoff}
 	// uncertainAt is the version at which a write of this change may have taken effect or may
 	// still take effect; 0 if there is none.
 	var uncertainAt uint64
--- a/core/state/dogwoodclaim/claim.go
+++ b/core/state/dogwoodclaim/claim.go
@@ -1,4 +1,4 @@
-// Package dogwoodclaim makes a call that may not be repeated run at most once.
+// Package dogwoodclaim ensures that a call that must not be repeated runs at most once.
 //
 // Before such a call is sent, its entry daemon inserts a row for (customer, service,
 // idempotency key) that carries the random id of this attempt. Only the attempt whose id
@@ -8,7 +8,7 @@
 // the id in the row is read back. A row is removed only by its holder, and only when the
 // call was certainly not sent and will not be.
 //
-// Without it, a reservation that a caller resends through another entry daemon after a
+// Without claims, a reservation that a caller resends through another entry daemon after a
 // broken connection would run twice.
 package dogwoodclaim
 
@@ -53,8 +53,8 @@
 	// most.
 	maxRecentClaims = 4096
 	maxRecentBody   = 4 << 10
-	firstBackoff    = 10 * time.Millisecond
-	longestBackoff  = 200 * time.Millisecond
+	minBackoff      = 10 * time.Millisecond
+	maxBackoff      = 200 * time.Millisecond
 )
 
 // Store is the part of the table service that claims use.
@@ -150,7 +150,7 @@
 	Witnesses Witnesses
 	// KeepFor is the time after which a claim expires; 0 means DefaultKeepFor.
 	KeepFor time.Duration
-	// Logger may be nil.
+	// Logger may be nil to disable logging.
 	Logger hclog.Logger
 }
 
@@ -228,7 +228,7 @@
 		KeepFor: claims.options.KeepFor,
 	}
 	progress := takeProgress{row: insert.Key, wanted: wanted}
-	wait := dogwoodkernel.Backoff{First: firstBackoff, Longest: longestBackoff}
+	wait := dogwoodkernel.Backoff{First: minBackoff, Longest: maxBackoff}
 	for {
 		retryable, err := claims.takeOnce(ctx, insert, &progress)
 		if !retryable || wait.Sleep(ctx) != nil {
--- a/core/state/dogwoodcopy/copy.go
+++ b/core/state/dogwoodcopy/copy.go
@@ -31,7 +31,7 @@
 	// Whole is true if Rows are all rows of the table; otherwise they are the changed ones.
 	Whole bool
 	Rows  []Row
-	// Version is the version of the table in this answer; the next query asks for changes
+	// Version is the version of the table in this answer; the next query is for changes
 	// after it.
 	Version int64
 	// Proven is the time as of which the answer is confirmed to be current, on a clock that
@@ -138,7 +138,7 @@
 
 // Known returns the version of the copy, -1 before the first answer, and the time as of which
 // the store or a peer last confirmed it.
-func (table *Copy) Known() (version int64, proven time.Duration) {
+func (table *Copy) Known() (version int64, confirmed time.Duration) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	return table.version, table.lastConfirmed
--- a/core/state/dogwoodcopy/copy_test.go
+++ b/core/state/dogwoodcopy/copy_test.go
@@ -17,7 +17,7 @@
 	return values
 }
 
-// A daemon that knows the table at some version queries its changes. It must get each row that
+// A daemon that has the table at some version queries its changes. It must get each row that
 // was changed or deleted since then, and the whole table if its version is from before the
 // start of the copy's history. Otherwise it would send requests to endpoints that have left.
 func TestChangesSinceAVersion(t *testing.T) {
--- a/core/state/dogwoodcopy/told.go
+++ b/core/state/dogwoodcopy/told.go
@@ -17,9 +17,9 @@
 	return Told{Answer: answer, ProvenAfter: answer.Proven - arrived}
 }
 
-// Heard returns the answer for the daemon that sent the query, given when it sent it on its own
-// clock and the version of the table that it knew then. The network latency makes the
-// confirmation look older than it is, never younger.
+// Heard converts the answer to the clock of the daemon that sent the query. sent is when the query
+// was sent, on that clock, and after is the version of the table that the daemon had then. The
+// network latency makes the confirmation look older than it is, never younger.
 func (told Told) Heard(sent time.Duration, after int64) Answer {
 	answer := told.Answer
 	answer.Proven = sent + told.ProvenAfter
--- a/core/state/dogwoodlease/lease.go
+++ b/core/state/dogwoodlease/lease.go
@@ -87,13 +87,13 @@
 	Unchecked time.Time
 }
 
-// Covers reports whether an order may be sent now to an endpoint, which checks fencing
-// numbers or does not, as given by checksFencing.
+// Covers reports whether an order may be sent now to an endpoint. checksFencing is true if the
+// endpoint checks fencing numbers.
 func (fence Fence) Covers(checksFencing bool, now time.Time) bool {
 	return now.Before(fence.Until) && (checksFencing || !now.Before(fence.Unchecked))
 }
 
-// NotHeld is the error that this daemon may not issue orders for a shard.
+// NotHeld is the error for a shard for which this daemon may not issue orders.
 type NotHeld struct {
 	Shard  string
 	Reason string
--- a/core/state/dogwoodlease/run.go
+++ b/core/state/dogwoodlease/run.go
@@ -170,7 +170,7 @@
 		return
 	}
 	holder.mutex.Lock()
-	own := holder.own.key
+	sessionKey := holder.own.key
 	holder.mutex.Unlock()
 	unchecked := time.Now()
 	var version uint64
@@ -180,7 +180,7 @@
 			holder.options.Logger.Error("Row of a shard can't be read.", "shard", name, "error", err)
 			return
 		}
-		if stored.Session != "" && stored.Session != own && !holder.ensureEnded(ctx, stored.Session) {
+		if stored.Session != "" && stored.Session != sessionKey && !holder.ensureEnded(ctx, stored.Session) {
 			return
 		}
 		// A row that names this session comes from a write whose response was lost, or from a
@@ -196,18 +196,18 @@
 		Table:   ShardTable,
 		Key:     name,
 		Version: version,
-		Value:   encode(shardRow{Session: own, Holder: holder.options.Self}),
+		Value:   encode(shardRow{Session: sessionKey, Holder: holder.options.Self}),
 	})
 	if err == nil {
-		holder.recordShard(own, name, versions[0], unchecked)
+		holder.recordShard(sessionKey, name, versions[0], unchecked)
 	}
 }
 
-// recordShard records a shard that was taken under the session with the key own.
-func (holder *Holder) recordShard(own, name string, number uint64, unchecked time.Time) {
+// recordShard records a shard that was taken under the session with this key.
+func (holder *Holder) recordShard(sessionKey, name string, number uint64, unchecked time.Time) {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
-	if holder.own.key != own {
+	if holder.own.key != sessionKey {
 		return // the session was ended in the meantime
 	}
 	shard := &heldShard{number: number, unchecked: unchecked}
@@ -300,8 +300,8 @@
 		if !step(ctx) {
 			wait = min(retryDelay, period)
 		}
-		const jitterShare = 10
-		timer := time.NewTimer(wait - rand.N(wait/jitterShare))
+		const jitterDivisor = 10
+		timer := time.NewTimer(wait - rand.N(wait/jitterDivisor))
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
--- a/core/state/dogwoodmember/endpoints_test.go
+++ b/core/state/dogwoodmember/endpoints_test.go
@@ -58,13 +58,13 @@
 	check("after an older view")
 	members.SetEndpointLeaving("leaving-by-word", false)
 	want["leaving-by-word"] = true
-	check("after it stays after all")
+	check("after it stopped reporting that it is leaving")
 }
 
-// Callers request entry daemons while one is in a data centre that is taken out, one is leaving
-// according to the list and one according to its own record. Callers that were sent to any of
-// them would soon have to switch to another.
-func TestEntriesInService(t *testing.T) {
+// Callers request the addresses of entry daemons while one is in a data centre that is taken out,
+// one is leaving according to the list and one according to its own record. Callers that were sent
+// to any of them would soon have to switch to another.
+func TestEntryDaemonsInService(t *testing.T) {
 	members := New(Options{Self: Member{VM: "entry-1"}})
 	members.SetView(dogwoodchange.View{Version: 1, OutDataCentres: []dogwoodfleet.DataCentre{"oita-c"}})
 	members.SetListed([]dogwoodfleet.ListedVM{
--- a/core/state/dogwoodmember/member.go
+++ b/core/state/dogwoodmember/member.go
@@ -54,8 +54,8 @@
 	// heartbeat: after a power failure, other daemons may start to listen some moments after
 	// this daemon's first probe.
 	startupProbeWindow = 3 * time.Second
-	// inboundHeartbeatTTL is how long a neighbour's heartbeat, once received, relieves this
-	// daemon of sending its own to that neighbour. It is slightly more than two heartbeats.
+	// inboundHeartbeatTTL is how long after a neighbour's heartbeat this daemon need not send its
+	// own to that neighbour. It is slightly more than the time of two heartbeats.
 	inboundHeartbeatTTL = 2*BeatEvery + 200*time.Millisecond
 	// peerTTL is how long a daemon is kept that is neither listed nor sends heartbeats.
 	peerTTL = 10 * time.Minute
@@ -118,7 +118,7 @@
 	Logger hclog.Logger
 }
 
-// Members holds what one daemon knows about the others. It is safe for concurrent use.
+// Members holds one daemon's records of the others. It is safe for concurrent use.
 type Members struct {
 	options Options
 	alive   atomic.Pointer[[]Member]
@@ -153,7 +153,8 @@
 	hasRecord bool
 	record    Member
 	counter   uint32
-	// lastSeen is when the daemon that received the latest count directly received it.
+	// lastSeen is when the first daemon received the peer's heartbeat with the latest count. It
+	// is computed from the age in the update.
 	lastSeen time.Time
 	// firstProbe and lastProbe are when the peer was first and last probed while silent.
 	firstProbe, lastProbe time.Time
--- a/core/state/dogwoodtable/table.go
+++ b/core/state/dogwoodtable/table.go
@@ -47,7 +47,7 @@
 	Limit   int
 }
 
-// Unavailable is the error that a call certainly had no effect: it was not sent, or the
+// Unavailable is the error of a call that certainly had no effect: it was not sent, or the
 // service refused it before processing began.
 type Unavailable struct {
 	Cause error
@@ -59,7 +59,7 @@
 
 func (unavailable *Unavailable) Unwrap() error { return unavailable.Cause }
 
-// Unknown is the error that a write may have taken effect or may still do so, since its
+// Unknown is the error of a write that may have taken effect or may still do so, since its
 // response was lost.
 type Unknown struct {
 	Cause error
@@ -71,7 +71,8 @@
 
 func (unknown *Unknown) Unwrap() error { return unknown.Cause }
 
-// Conflict is the error that conditions of a call's writes failed and nothing was written.
+// Conflict is the error of a call in which the conditions of some writes failed, so that nothing
+// was written.
 type Conflict struct {
 	// Failed holds the indexes, in the call's list of writes, of those whose condition failed.
 	Failed []int
--- a/core/state/dogwoodview/view.go
+++ b/core/state/dogwoodview/view.go
@@ -232,8 +232,8 @@
 	return b
 }
 
-// SetServers replaces all entries. An entry that is not in servers is handled as in Apply when
-// it is gone.
+// SetServers replaces all entries. An entry that is not in servers is handled like a Change with
+// Gone set.
 func (view *View) SetServers(now time.Time, servers []Server) {
 	view.mutex.Lock()
 	defer view.mutex.Unlock()
--- a/core/state/dogwoodview/view_test.go
+++ b/core/state/dogwoodview/view_test.go
@@ -145,6 +145,7 @@
 	}
 }
 
+// A data centre is taken out and brought back. Its endpoints must get no new work in between.
 func TestTakenOutDataCentres(t *testing.T) {
 	fixture := newFixture()
 	fixture.set(time.Now(), server("x"))
@@ -158,6 +159,8 @@
 	}
 }
 
+// An endpoint registers for a service that the operators' text does not list. It must not be
+// published, since no request can be sent to it.
 func TestEndpointsOfUnknownServicesAreLeftOut(t *testing.T) {
 	fixture := newFixture()
 	other := server("x")
