--- a/core/dogwoodsettings/benchmark_test.go
+++ b/core/dogwoodsettings/benchmark_test.go
@@ -9,8 +9,8 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// BenchmarkText gives the size of a text by its customers and the cost of reading it, which
-// every daemon pays for every change of the text.
+// BenchmarkText measures the size of a text and the cost of parsing it by the number of
+// customers. Every daemon parses the text at each change.
 func BenchmarkText(b *testing.B) {
 	for _, customers := range []int{10, 300, 2700} {
 		b.Run(fmt.Sprintf("customers=%d", customers), func(b *testing.B) {
--- a/core/dogwoodsettings/checkdaemon.go
+++ b/core/dogwoodsettings/checkdaemon.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// PolicyBaseline is the Daemon.Policy that measures compare against.
+// PolicyBaseline is the Daemon.Policy that measurements are compared against.
 const PolicyBaseline = "Baseline"
 
 var logLevels = []string{"", "trace", "debug", "info", "warn", "error"}
@@ -27,29 +27,30 @@
 	}
 }
 
-// checkOwnAddresses wants three different addresses that others can dial: callers and
-// peers are told these, so an unspecified one would send them to themselves.
+// checkOwnAddresses reports addresses that are missing, used twice or not dialable by
+// other hosts. The daemon publishes them to callers and peers, which would connect to
+// themselves if one were unspecified.
 func checkOwnAddresses(daemon *Daemon, report *report) {
-	taken := map[netip.AddrPort]string{}
-	own := []struct {
+	seen := map[netip.AddrPort]string{}
+	fields := []struct {
 		name    string
 		address netip.AddrPort
 	}{{"Serve", daemon.Serve}, {"Peer", daemon.Peer}, {"Admin", daemon.Admin}}
-	for _, each := range own {
-		if !each.address.IsValid() {
-			report.add(each.name, "is missing; it is an address such as \"10.0.0.1:8080\"")
+	for _, field := range fields {
+		if !field.address.IsValid() {
+			report.add(field.name, "is missing; it is an address such as \"10.0.0.1:8080\"")
 			continue
 		}
-		if each.address.Addr().IsUnspecified() {
-			report.add(each.name, "%s can't be dialled by others; give the VM's own address", each.address)
+		if field.address.Addr().IsUnspecified() {
+			report.add(field.name, "%s can't be dialled by others; give the VM's own address", field.address)
 		}
-		if each.address.Port() == 0 {
-			report.add(each.name, "%s has no port", each.address)
+		if field.address.Port() == 0 {
+			report.add(field.name, "%s has no port", field.address)
 		}
-		if other, clash := taken[each.address]; clash {
-			report.add(each.name, "%s is the address of %s too", each.address, other)
+		if first, used := seen[field.address]; used {
+			report.add(field.name, "%s is the address of %s too", field.address, first)
 		}
-		taken[each.address] = each.name
+		seen[field.address] = field.name
 	}
 }
 
--- a/core/dogwoodsettings/checktext.go
+++ b/core/dogwoodsettings/checktext.go
@@ -10,17 +10,17 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Bounds of the operators' text. They are wide: they catch a slip of the hand, such as a
-// deadline in milliseconds, and keep one text within what every daemon can hold.
+// Bounds of the operators' text. They are wide: they catch typing mistakes, such as a
+// deadline in milliseconds, and keep a text small enough for every daemon to hold.
 const (
-	// LongestDeadline bounds MaxDeadline. Claims of non-repeatable calls are kept for a
+	// LongestDeadline bounds MaxDeadline. Claims of non-repeatable calls expire after a
 	// multiple of it.
 	LongestDeadline = 6 * time.Hour
 	// MostInFlight bounds ColdLimit and WarmLimit.
 	MostInFlight = 100_000
 	// MostReplicas bounds Replicas of one model.
 	MostReplicas = 100_000
-	// MostWeight bounds a customer's weight against another's.
+	// MostWeight bounds a customer's weight.
 	MostWeight = 10_000
 	// digestBytes is the length of a SHA-256 digest.
 	digestBytes = 32
@@ -45,7 +45,8 @@
 	checkCustomers(text, services, report)
 }
 
-// checkName allows what stands safely in a path, a header and a log line.
+// checkName reports a name that is empty or has characters that are not safe in a path,
+// a header and a log line.
 func checkName(report *report, path, name string) {
 	if name == "" {
 		report.add(path, "is missing")
@@ -81,15 +82,15 @@
 }
 
 func checkDeadlines(report *report, path string, service *Service) {
-	deadline, most := time.Duration(service.Deadline), time.Duration(service.MaxDeadline)
+	deadline, maxDeadline := time.Duration(service.Deadline), time.Duration(service.MaxDeadline)
 	if deadline <= 0 {
 		report.add(path+".Deadline", "must be above 0")
 	}
-	if most <= 0 || most > LongestDeadline {
+	if maxDeadline <= 0 || maxDeadline > LongestDeadline {
 		report.add(path+".MaxDeadline", "must be above 0 and at most %s", LongestDeadline)
 	}
-	if deadline > most {
-		report.add(path+".Deadline", "%s is beyond MaxDeadline %s", deadline, most)
+	if deadline > maxDeadline {
+		report.add(path+".Deadline", "%s is beyond MaxDeadline %s", deadline, maxDeadline)
 	}
 }
 
@@ -136,8 +137,8 @@
 	}
 }
 
-// patternProblem asks net/http itself whether it takes the pattern; it panics on one
-// that it doesn't.
+// patternProblem returns what is wrong with the call's path, or "". It registers the
+// pattern with a ServeMux, which panics on an invalid one.
 func patternProblem(call Call) (problem string) {
 	if !strings.HasPrefix(call.Path, "/") {
 		return `must start with "/"`
@@ -156,13 +157,13 @@
 	if objectives.InTime < 0 || objectives.InTime >= 1 {
 		report.add(path+".Objectives.InTime", "must be a share from 0 to below 1, such as 0.999")
 	}
-	last := 0
+	lastUpTo := 0
 	for i, objective := range objectives.FirstToken {
 		objectivePath := fmt.Sprintf("%s.Objectives.FirstToken[%d]", path, i)
-		if objective.UpToTokens <= last {
+		if objective.UpToTokens <= lastUpTo {
 			report.add(objectivePath+".UpToTokens", "must rise from one objective to the next")
 		}
-		last = objective.UpToTokens
+		lastUpTo = objective.UpToTokens
 		if objective.Within <= 0 {
 			report.add(objectivePath+".Within", "must be above 0")
 		}
@@ -172,41 +173,41 @@
 	}
 }
 
-// checkDependencies refuses unknown names and cycles. A cycle would make each of its
-// services wait for the other for good.
+// checkDependencies reports unknown names and cycles. The services of a cycle would wait
+// for each other forever.
 func checkDependencies(text *Text, services map[dogwoodfleet.Service]bool, report *report) {
 	for i := range text.Services {
 		service := &text.Services[i]
-		for j, needed := range service.DependsOn {
+		for j, dependency := range service.DependsOn {
 			path := fmt.Sprintf("Services[%d].DependsOn[%d]", i, j)
-			if !services[needed] {
-				report.add(path, "no service is named %q", needed)
+			if !services[dependency] {
+				report.add(path, "no service is named %q", dependency)
 			}
 		}
 		seen := map[dogwoodfleet.Service]bool{}
-		if cycle := text.wayBack(service.Name, service.Name, seen); cycle != nil {
+		if cycle := text.findCycle(service.Name, service.Name, seen); cycle != nil {
 			report.add(fmt.Sprintf("Services[%d].DependsOn", i), "the services depend on each other: %s", strings.Join(cycle, " -> "))
 		}
 	}
 }
 
-// wayBack returns the services on a way from name to start, or nil. Each service is
-// looked at once, so that a text of many layers is checked as fast as a flat one.
-func (text *Text) wayBack(start, name dogwoodfleet.Service, seen map[dogwoodfleet.Service]bool) []string {
+// findCycle returns the services on a dependency path from name to start, or nil. It visits
+// each service once, so that the time does not grow with the number of paths.
+func (text *Text) findCycle(start, name dogwoodfleet.Service, seen map[dogwoodfleet.Service]bool) []string {
 	seen[name] = true
 	service, known := text.Service(name)
 	if !known {
 		return nil
 	}
-	for _, needed := range service.DependsOn {
-		if needed == start {
+	for _, dependency := range service.DependsOn {
+		if dependency == start {
 			return []string{string(name), string(start)}
 		}
-		if seen[needed] {
+		if seen[dependency] {
 			continue
 		}
-		if way := text.wayBack(start, needed, seen); way != nil {
-			return append([]string{string(name)}, way...)
+		if path := text.findCycle(start, dependency, seen); path != nil {
+			return append([]string{string(name)}, path...)
 		}
 	}
 	return nil
@@ -248,7 +249,8 @@
 	}
 }
 
-// checkKeys refuses a key given to two customers: one's work would be counted as the other's.
+// checkKeys reports invalid digests and keys that two customers share: the work of one
+// customer would be counted as the other's.
 func checkKeys(report *report, path string, customer *Customer, keys map[string]dogwoodfleet.Customer) {
 	if len(customer.KeySHA256) == 0 {
 		report.add(path+".KeySHA256", "is missing; the customer could not call")
@@ -260,10 +262,10 @@
 			report.add(keyPath, "must be a SHA-256 digest of 64 hexadecimal digits")
 			continue
 		}
-		normal := strings.ToLower(digest)
-		if owner, twice := keys[normal]; twice {
+		normalized := strings.ToLower(digest)
+		if owner, used := keys[normalized]; used {
 			report.add(keyPath, "is a key of customer %q too", owner)
 		}
-		keys[normal] = customer.Name
+		keys[normalized] = customer.Name
 	}
 }
--- a/core/dogwoodsettings/daemon.go
+++ b/core/dogwoodsettings/daemon.go
@@ -6,27 +6,27 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Daemon is the settings file of one dogwoodmuxd.
+// Daemon holds the settings file of a dogwoodmuxd process.
 type Daemon struct {
 	VM         dogwoodfleet.VM
 	Region     dogwoodfleet.Region
 	DataCentre dogwoodfleet.DataCentre
-	// Serve, Peer and Admin are the addresses to listen on and to be reached at.
+	// Serve, Peer and Admin are the addresses that the daemon listens on and publishes.
 	Serve netip.AddrPort
 	Peer  netip.AddrPort
 	Admin netip.AddrPort
-	// Platform is where the table service, object store, VM list and weight store answer.
+	// Platform holds the addresses of the table service, object store, VM list and weight store.
 	Platform Platform
 	// AdminKey and PeerKey guard the administration API and the connections between daemons.
 	AdminKey Secret
 	PeerKey  Secret
 	LogLevel string `json:",omitempty"`
-	// Policy is "" for the product's decisions or "Baseline" for first come, first served
-	// with random choice, which measures compare against.
+	// Policy is "" for the product's own policy, or "Baseline" for first come, first served
+	// with a random choice of endpoint, which measurements are compared against.
 	Policy string `json:",omitempty"`
 }
 
-// Platform locates the platform's services.
+// Platform holds the addresses of the platform's services and the key for them.
 type Platform struct {
 	Tables  netip.AddrPort
 	Objects netip.AddrPort
@@ -35,8 +35,8 @@
 	Key     Secret `json:",omitzero"`
 }
 
-// Secret is a key that a settings file names but need not hold: the first of Value,
-// File and Environment that is given.
+// Secret is a key, given in the settings file (Value), in another file (File) or in an
+// environment variable (Environment). The first of them that is set counts.
 type Secret struct {
 	Value       string `json:",omitempty"`
 	File        string `json:",omitempty"`
--- a/core/dogwoodsettings/parse.go
+++ b/core/dogwoodsettings/parse.go
@@ -1,5 +1,5 @@
-// Package dogwoodsettings reads the daemon's settings and the operators' text: JSON with
-// comments, checked, with the line and column of all that is wrong.
+// Package dogwoodsettings parses and checks the daemon's settings and the operators' text.
+// Both are JSON with comments; each problem is reported with its line and column.
 package dogwoodsettings
 
 import (
@@ -22,7 +22,7 @@
 	return []byte(time.Duration(duration).String()), nil
 }
 
-// UnmarshalText reads what time.ParseDuration takes.
+// UnmarshalText parses the duration with time.ParseDuration.
 func (duration *Duration) UnmarshalText(text []byte) error {
 	parsed, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -32,13 +32,13 @@
 	return nil
 }
 
-// ParseText reads and checks the operators' text. The error is a *Problems that names
-// every place where something is wrong.
+// ParseText parses and checks the operators' text. The error is a *Problems that lists
+// every problem found.
 func ParseText(source []byte) (*Text, error) {
 	return parse(source, checkText)
 }
 
-// ParseDaemon reads and checks a daemon's settings. The error is a *Problems.
+// ParseDaemon parses and checks a daemon's settings. The error is a *Problems.
 func ParseDaemon(source []byte) (*Daemon, error) {
 	return parse(source, checkDaemon)
 }
@@ -46,7 +46,7 @@
 func parse[T any](source []byte, check func(value *T, report *report)) (*T, error) {
 	tree, err := hujson.Parse(source)
 	if err != nil {
-		// hujson's message already names the line and column.
+		// hujson's message already has the line and column.
 		return nil, &Problems{List: []Problem{{Message: err.Error()}}}
 	}
 	report := newReport(source)
@@ -64,8 +64,8 @@
 	return value, nil
 }
 
-// decode fills the value. walk has tried each literal already, so an error here is rare
-// and stands without a better place than the whole.
+// decode fills the value. walk has decoded each literal already, so an error here is rare;
+// it is reported without a field.
 func (report *report) decode(source []byte, value any) {
 	standard, err := hujson.Standardize(append([]byte(nil), source...))
 	if err != nil {
--- a/core/dogwoodsettings/problem.go
+++ b/core/dogwoodsettings/problem.go
@@ -8,15 +8,15 @@
 
 // Problem is one thing that is wrong in a settings file.
 type Problem struct {
-	// Line and Column count from 1; 0 where the message itself names the place.
+	// Line and Column count from 1; they are 0 if the message itself contains the position.
 	Line   int `json:",omitempty"`
 	Column int `json:",omitempty"`
-	// Path is the field, for example "Services[1].Deadline".
+	// Path locates the field, for example "Services[1].Deadline".
 	Path    string `json:",omitempty"`
 	Message string
 }
 
-// String prints the problem as compilers do.
+// String formats the problem like a compiler error: line:column: path: message.
 func (problem Problem) String() string {
 	var text strings.Builder
 	if problem.Line > 0 {
@@ -29,12 +29,12 @@
 	return text.String()
 }
 
-// Problems is the error of a settings file: all that is wrong with it.
+// Problems is the error returned for a settings file. It lists everything that is wrong.
 type Problems struct {
 	List []Problem
 }
 
-// Error prints one problem a line.
+// Error returns the problems, one per line.
 func (problems *Problems) Error() string {
 	lines := make([]string, len(problems.List))
 	for i, problem := range problems.List {
@@ -43,7 +43,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// report collects problems and knows where each field stands in the source.
+// report collects problems and records the offset of each field in the source.
 type report struct {
 	source   []byte
 	offsets  map[string]int
@@ -54,12 +54,12 @@
 	return &report{source: source, offsets: map[string]int{}}
 }
 
-// add reports a problem at the field, or at its nearest enclosing one that is in the source.
+// add reports a problem at the field, or at the nearest enclosing field that is in the source.
 func (report *report) add(path, format string, arguments ...any) {
-	report.addAt(report.offset(path), path, fmt.Sprintf(format, arguments...))
+	report.addAtOffset(report.offset(path), path, fmt.Sprintf(format, arguments...))
 }
 
-func (report *report) addAt(offset int, path, message string) {
+func (report *report) addAtOffset(offset int, path, message string) {
 	line, column := position(report.source, offset)
 	report.problems = append(report.problems, Problem{Line: line, Column: column, Path: path, Message: message})
 }
@@ -74,7 +74,7 @@
 	return report.offsets[""]
 }
 
-// position turns an offset into a line and column, both from 1. Columns count bytes.
+// position converts an offset to a line and column, both from 1. Columns count bytes.
 func position(source []byte, offset int) (line, column int) {
 	before := source[:min(max(offset, 0), len(source))]
 	line = 1 + bytes.Count(before, []byte("\n"))
--- a/core/dogwoodsettings/secret.go
+++ b/core/dogwoodsettings/secret.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Read returns the key. An empty one is an error: an empty key would let everybody in.
+// Read returns the key. An empty key is an error, since it would admit everybody.
 func (secret Secret) Read() (string, error) {
 	switch {
 	case secret.Value != "":
--- a/core/dogwoodsettings/settings_test.go
+++ b/core/dogwoodsettings/settings_test.go
@@ -56,20 +56,20 @@
 		{"unknown field", `"ColdLimit": 2, "WarmLimit": 16,
 			"Models"`, `"ColdLimi": 2, "WarmLimit": 16,
 			"Models"`, `7:4: Services[0].ColdLimi: is unknown`},
-		{"field twice", `"Kind": "EnginePool"`, `"Kind": "EnginePool", "Kind": "EnginePool"`, "5:42: Services[0].Kind: is given twice"},
+		{"repeated field", `"Kind": "EnginePool"`, `"Kind": "EnginePool", "Kind": "EnginePool"`, "5:42: Services[0].Kind: is given twice"},
 		{"wrong type", `"Replicas": 4`, `"Replicas": "4"`, `8:61: Services[0].Models[0].Replicas: is "4", where a whole number belongs`},
 		{"null", `"Replicas": 4`, `"Replicas": null`, `Services[0].Models[0].Replicas: is null`},
 		{"bad duration", `"Deadline": "30s"`, `"Deadline": "30"`, `6:16: Services[0].Deadline: "30" is no duration`},
-		{"deadline beyond the most", `"Deadline": "30s"`, `"Deadline": "30m"`, "Services[0].Deadline: 30m0s is beyond MaxDeadline 10m0s"},
+		{"deadline above MaxDeadline", `"Deadline": "30s"`, `"Deadline": "30m"`, "Services[0].Deadline: 30m0s is beyond MaxDeadline 10m0s"},
 		{"missing", `"ColdLimit": 2, "WarmLimit": 16,
 			"Calls"`, `"WarmLimit": 16,
 			"Calls"`, "Services[1].ColdLimit: must be from 1"},
 		{"unknown dependency", `"DependsOn": ["pool"]`, `"DependsOn": ["pol"]`, `12:58: Services[1].DependsOn[0]: no service is named "pol"`},
 		{"cycle", `"Kind": "EnginePool",`, `"Kind": "EnginePool", "DependsOn": ["desk"],`, "the services depend on each other: pool -> desk -> pool"},
-		{"service twice", `"Name": "desk"`, `"Name": "pool"`, `"pool" names two services`},
+		{"repeated service", `"Name": "desk"`, `"Name": "pool"`, `"pool" names two services`},
 		{"unknown kind", `"Kind": "PlainService"`, `"Kind": "Plain"`, "Services[1].Kind"},
 		{"bad pattern", `"/holds/{ID}"`, `"/holds/{ID"`, "Services[1].Calls[0].Path"},
-		{"no share", `"InTime": 0.999`, `"InTime": 99.9`, "Services[0].Objectives.InTime"},
+		{"objective above 1", `"InTime": 0.999`, `"InTime": 99.9`, "Services[0].Objectives.InTime"},
 		{"bad name", `"Name": "a"`, `"Name": "a b"`, "Customers[0].Name"},
 		{"short digest", digestA, digestA[1:], "64 hexadecimal digits"},
 		{
@@ -82,7 +82,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			source := strings.Replace(goodText, test.old, test.new, 1)
 			if source == goodText {
-				t.Fatal("the test changes nothing")
+				t.Fatal("the replacement changes nothing")
 			}
 			_, err := ParseText([]byte(source))
 			var problems *Problems
@@ -116,9 +116,9 @@
 		{"unspecified", `"10.0.0.1:8080"`, `"0.0.0.0:8080"`, "can't be dialled by others"},
 		{"not an address", `"10.0.0.1:8080"`, `"example"`, "3:11: Serve:"},
 		{"no platform", `"Tables": "10.0.9.1:1", `, ``, "Platform.Tables: is missing"},
-		{"two keys", `{"Value": "secret"}`, `{"Value": "secret", "File": "x"}`, "PeerKey: needs exactly one of Value, File, Environment; 2 are given"},
+		{"two sources of a key", `{"Value": "secret"}`, `{"Value": "secret", "File": "x"}`, "PeerKey: needs exactly one of Value, File, Environment; 2 are given"},
 		{"policy", `"VM": "entry-1"`, `"VM": "entry-1", "Policy": "Best"`, `Policy: is "Best"`},
-		{"log level", `"VM": "entry-1"`, `"VM": "entry-1", "LogLevel": "loud"`, `LogLevel: is "loud"`},
+		{"unknown log level", `"VM": "entry-1"`, `"VM": "entry-1", "LogLevel": "loud"`, `LogLevel: is "loud"`},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -158,9 +158,9 @@
 	}
 }
 
-// TestExamplesOfThePage parses the examples that docs/SETTINGS.md shows: the daemon's
-// settings first, then the operators' text.
-func TestExamplesOfThePage(t *testing.T) {
+// TestDocumentedExamples parses the examples in docs/SETTINGS.md: the daemon's settings
+// first, then the operators' text.
+func TestDocumentedExamples(t *testing.T) {
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
 	if err != nil {
 		t.Fatal(err)
--- a/core/dogwoodsettings/walk.go
+++ b/core/dogwoodsettings/walk.go
@@ -10,24 +10,25 @@
 	"github.com/tailscale/hujson"
 )
 
-// walk compares the source with the type it is for: it notes where each field stands and
-// reports unknown and repeated fields. encoding/json would drop the first and let the
-// second win in silence, so that a misspelt "Replicsa" would mean the default.
-func (report *report) walk(value *hujson.Value, kind reflect.Type, path string) {
+// walk compares the source with the Go type that it is decoded into. It records the offset
+// of each field and reports unknown and repeated fields. encoding/json would silently ignore
+// unknown fields, so that a misspelt "Replicsa" would mean the default, and would use the
+// last of repeated ones.
+func (report *report) walk(value *hujson.Value, typ reflect.Type, path string) {
 	report.offsets[path] = value.StartOffset
 	switch node := value.Value.(type) {
 	case *hujson.Object:
-		report.walkObject(node, kind, path)
+		report.walkObject(node, typ, path)
 	case *hujson.Array:
-		report.walkArray(node, kind, path)
+		report.walkArray(node, typ, path)
 	case hujson.Literal:
-		report.checkLiteral(node, kind, path)
+		report.checkLiteral(node, typ, path)
 	}
 }
 
-func (report *report) walkObject(object *hujson.Object, kind reflect.Type, path string) {
-	if kind.Kind() != reflect.Struct || isText(kind) {
-		report.add(path, "is an object, where %s belongs", kindName(kind))
+func (report *report) walkObject(object *hujson.Object, typ reflect.Type, path string) {
+	if typ.Kind() != reflect.Struct || isTextUnmarshaler(typ) {
+		report.add(path, "is an object, where %s belongs", describeType(typ))
 		return
 	}
 	seen := map[string]bool{}
@@ -36,46 +37,46 @@
 		name := literalString(member.Name.Value)
 		fieldPath := joinPath(path, name)
 		if seen[name] {
-			report.addAt(member.Name.StartOffset, fieldPath, "is given twice")
+			report.addAtOffset(member.Name.StartOffset, fieldPath, "is given twice")
 			continue
 		}
 		seen[name] = true
-		field, known := kind.FieldByName(name)
+		field, known := typ.FieldByName(name)
 		if !known || !field.IsExported() {
-			report.addAt(member.Name.StartOffset, fieldPath, "is unknown; known are "+fieldNames(kind))
+			report.addAtOffset(member.Name.StartOffset, fieldPath, "is unknown; known are "+fieldNames(typ))
 			continue
 		}
 		report.walk(&member.Value, field.Type, fieldPath)
 	}
 }
 
-func (report *report) walkArray(array *hujson.Array, kind reflect.Type, path string) {
-	if kind.Kind() != reflect.Slice {
-		report.add(path, "is a list, where %s belongs", kindName(kind))
+func (report *report) walkArray(array *hujson.Array, typ reflect.Type, path string) {
+	if typ.Kind() != reflect.Slice {
+		report.add(path, "is a list, where %s belongs", describeType(typ))
 		return
 	}
 	for i := range array.Elements {
-		report.walk(&array.Elements[i], kind.Elem(), fmt.Sprintf("%s[%d]", path, i))
+		report.walk(&array.Elements[i], typ.Elem(), fmt.Sprintf("%s[%d]", path, i))
 	}
 }
 
-// checkLiteral reports a text that its type can't read. encoding/json gives no offset for
-// these, so they are tried here, where the place is known.
-func (report *report) checkLiteral(literal hujson.Literal, kind reflect.Type, path string) {
+// checkLiteral reports a literal that can't be decoded into its type. encoding/json's errors
+// lack the offset, so each literal is decoded here, where its path is known.
+func (report *report) checkLiteral(literal hujson.Literal, typ reflect.Type, path string) {
 	if literal.Kind() == 'n' {
-		report.add(path, "is null, where %s belongs", kindName(kind))
+		report.add(path, "is null, where %s belongs", describeType(typ))
 		return
 	}
-	if err := json.Unmarshal([]byte(literal), reflect.New(kind).Interface()); err != nil {
-		report.add(path, "%s", literalMessage(literal, kind, err))
+	if err := json.Unmarshal([]byte(literal), reflect.New(typ).Interface()); err != nil {
+		report.add(path, "%s", literalMessage(literal, typ, err))
 	}
 }
 
-func literalMessage(literal hujson.Literal, kind reflect.Type, err error) string {
-	if isText(kind) && literal.Kind() == '"' {
+func literalMessage(literal hujson.Literal, typ reflect.Type, err error) string {
+	if isTextUnmarshaler(typ) && literal.Kind() == '"' {
 		return strings.TrimPrefix(err.Error(), "settings: ")
 	}
-	return fmt.Sprintf("is %s, where %s belongs", []byte(literal), kindName(kind))
+	return fmt.Sprintf("is %s, where %s belongs", []byte(literal), describeType(typ))
 }
 
 func literalString(value hujson.ValueTrimmed) string {
@@ -93,27 +94,27 @@
 	return path + "." + name
 }
 
-func fieldNames(kind reflect.Type) string {
-	names := make([]string, 0, kind.NumField())
-	for field := range kind.Fields() {
+func fieldNames(typ reflect.Type) string {
+	names := make([]string, 0, typ.NumField())
+	for field := range typ.Fields() {
 		names = append(names, field.Name)
 	}
 	return strings.Join(names, ", ")
 }
 
-func isText(kind reflect.Type) bool {
-	return reflect.PointerTo(kind).Implements(reflect.TypeFor[encoding.TextUnmarshaler]())
+func isTextUnmarshaler(typ reflect.Type) bool {
+	return reflect.PointerTo(typ).Implements(reflect.TypeFor[encoding.TextUnmarshaler]())
 }
 
-// kindName says in words what belongs at a place of that type.
-func kindName(kind reflect.Type) string {
+// describeType returns the description of a type for problem messages.
+func describeType(typ reflect.Type) string {
 	switch {
-	case kind == reflect.TypeFor[Duration]():
+	case typ == reflect.TypeFor[Duration]():
 		return `a duration such as "1.5s"`
-	case isText(kind):
+	case isTextUnmarshaler(typ):
 		return `an address such as "10.0.0.1:80"`
 	}
-	switch kind.Kind() {
+	switch typ.Kind() {
 	case reflect.Struct:
 		return "an object"
 	case reflect.Slice:
