--- a/dogwoodctl/dogwoodburnview/burn.go
+++ b/dogwoodctl/dogwoodburnview/burn.go
@@ -1,4 +1,4 @@
-// Package dogwoodburnview has the verb that shows how fast the error budgets burn.
+// Package dogwoodburnview holds the subcommand that shows how fast the error budgets burn.
 package dogwoodburnview
 
 import (
@@ -15,15 +15,16 @@
 	"dogwoodmux.example/dogwoodctl/dogwoodfactory"
 )
 
-// BurnOptions are what burn works with.
+// BurnOptions holds the flags and dependencies of burn.
 type BurnOptions struct {
 	Factory *dogwoodfactory.Factory
 	JSON    bool
-	// HTML is the file that gets the page; empty for none.
+	// HTML is the file to which the HTML page is written. If it is empty, no page is written.
 	HTML string
 }
 
-// NewBurn makes the verb. run replaces its work in tests; nil means the work itself.
+// NewBurn returns the subcommand that shows the burn rates of the error budgets. run
+// replaces its implementation in tests; nil means the real one.
 func NewBurn(factory *dogwoodfactory.Factory, run func(context.Context, *BurnOptions) error) *dogwoodsubcommand.Command {
 	options := &BurnOptions{Factory: factory}
 	if run == nil {
@@ -76,8 +77,8 @@
 		return dogwoodsubcommand.NewUsageError("%v", err)
 	}
 	defer func() {
-		if closing := file.Close(); err == nil {
-			err = closing
+		if closeErr := file.Close(); err == nil {
+			err = closeErr
 		}
 	}()
 	return dogwoodburnreport.HTML(io.Writer(file), report)
--- a/dogwoodctl/dogwoodcommand/exit.go
+++ b/dogwoodctl/dogwoodcommand/exit.go
@@ -1,5 +1,5 @@
-// Package dogwoodcommand is what dogwoodctl's verbs share: exit codes by kind of failure,
-// tables, and waiting until a change is in force.
+// Package dogwoodcommand holds what dogwoodctl's subcommands share: exit codes by kind of
+// failure, tables, and waiting until a change is in force.
 package dogwoodcommand
 
 import (
@@ -13,34 +13,34 @@
 // Code is a process's exit code.
 type Code int
 
-// The exit codes, so that scripts can tell the failures apart.
+// The exit codes, by which scripts can distinguish the kinds of failure.
 const (
 	ExitOK            Code = 0
-	ExitFailure       Code = 1 // any failure that has no code of its own
-	ExitUsage         Code = 2 // wrong flags, arguments or settings of the command itself
-	ExitConflict      Code = 3 // another change came first; nothing was changed
+	ExitFailure       Code = 1 // any failure without a more specific code
+	ExitUsage         Code = 2 // wrong flags, arguments or environment of the command
+	ExitConflict      Code = 3 // another change was accepted first; nothing was changed
 	ExitInvalid       Code = 4 // the text has faults; nothing was changed
-	ExitRefused       Code = 5 // it would leave a service without a place; nothing was changed
-	ExitUnavailable   Code = 6 // no daemon, or the store behind it, answers; nothing was changed
-	ExitUnknown       Code = 7 // it may or may not have been changed
+	ExitRefused       Code = 5 // the change would leave a service without endpoints; nothing was changed
+	ExitUnavailable   Code = 6 // no daemon answers, or the store does not answer; nothing was changed
+	ExitUnknown       Code = 7 // whether the change was made is not known
 	ExitNotEverywhere Code = 8 // accepted, but not yet in force on every daemon
 	ExitDifferent     Code = 9 // diff found a difference
 )
 
-// CodedError is an error with an exit code of its own.
+// CodedError is an error with an explicit exit code.
 type CodedError struct {
 	Code Code
 	Err  error
 }
 
-// Error is the error's own message.
+// Error returns the message of the wrapped error.
 func (coded *CodedError) Error() string { return coded.Err.Error() }
 
-// Unwrap returns the error.
+// Unwrap returns the wrapped error.
 func (coded *CodedError) Unwrap() error { return coded.Err }
 
-// codes gives the exit code of each kind of problem.
-var codes = []struct {
+// exitCodes maps each kind of problem to its exit code.
+var exitCodes = []struct {
 	kind string
 	code Code
 }{
@@ -81,7 +81,7 @@
 }
 
 func codeOfKind(kind string) Code {
-	for _, each := range codes {
+	for _, each := range exitCodes {
 		if each.kind == kind {
 			return each.code
 		}
@@ -89,7 +89,7 @@
 	return ExitFailure
 }
 
-// New makes a verb of dogwoodctl.
+// New returns a subcommand of dogwoodctl.
 func New(spec dogwoodsubcommand.Spec) *dogwoodsubcommand.Command {
 	spec.Program = "dogwoodctl"
 	spec.Code = func(err error) int { return int(CodeOf(err)) }
--- a/dogwoodctl/dogwoodcommand/table.go
+++ b/dogwoodctl/dogwoodcommand/table.go
@@ -11,14 +11,14 @@
 // columnGap separates the columns of a table on a terminal.
 const columnGap = 2
 
-// Table is rows under headings.
+// Table holds rows of cells and the headings of the columns.
 type Table struct {
 	Headings []string
 	Rows     [][]string
 }
 
-// Print writes aligned columns with headings to a terminal, and tabs without headings to
-// a pipe, where other programs read them.
+// Print writes aligned columns with headings if the output is a terminal, and tab-separated
+// rows without headings for other programs if it is not.
 func (table *Table) Print(out io.Writer, terminal bool) error {
 	if !terminal {
 		for _, row := range table.Rows {
--- a/dogwoodctl/dogwoodcommand/wait.go
+++ b/dogwoodctl/dogwoodcommand/wait.go
@@ -10,19 +10,20 @@
 	"dogwoodmux.example/core/dogwoodadminapi"
 )
 
-// DefaultWait is how long a change's verb waits until it is in force everywhere. A change
-// is in force in 3 s; the rest is for the status calls.
+// DefaultWait is how long a subcommand waits by default until its change is in force on
+// every daemon. A change is in force within 3 s; the rest allows for the status calls.
 const DefaultWait = 5 * time.Second
 
-// pollEvery is how often the status is asked meanwhile.
-const pollEvery = 200 * time.Millisecond
+// pollInterval is the time between two status calls while waiting.
+const pollInterval = 200 * time.Millisecond
 
-// StatusReader asks for the status.
+// StatusReader reads the status of the deployment.
 type StatusReader interface {
 	Status(ctx context.Context) (dogwoodadminapi.Status, error)
 }
 
-// ReportAccepted says what became of a change and waits until every daemon has it in force.
+// ReportAccepted prints the result of an accepted change and waits until it is in force on
+// every daemon. It does not wait if the change is not stored yet or wait is 0.
 func ReportAccepted(ctx context.Context, client StatusReader, accepted dogwoodadminapi.Accepted, wait time.Duration, out io.Writer) error {
 	if !accepted.Kept {
 		_, err := fmt.Fprintln(out, "in force, not yet kept: the platform's store does not answer. It is written when the store is back; see \"dogwoodctl status\".")
@@ -45,9 +46,10 @@
 	return err
 }
 
-// waitForAll returns the daemons that did not have the version in force in time.
+// waitForAll waits until the version is in force on every daemon and returns the daemons on
+// which it was not in time.
 func waitForAll(ctx context.Context, client StatusReader, version uint64, wait time.Duration) ([]string, error) {
-	waiting, cancel := context.WithTimeout(ctx, wait)
+	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
 		status, err := client.Status(ctx)
@@ -59,9 +61,9 @@
 			return nil, nil
 		}
 		select {
-		case <-waiting.Done():
+		case <-waitCtx.Done():
 			return behind, ctx.Err()
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/dogwoodctl/dogwoodconviction/convictions.go
+++ b/dogwoodctl/dogwoodconviction/convictions.go
@@ -1,5 +1,5 @@
-// Package dogwoodconviction has the verbs on requests that are refused because they
-// killed endpoints.
+// Package dogwoodconviction holds the subcommand that lists and lifts convictions. A convicted
+// request is refused because it crashed endpoints.
 package dogwoodconviction
 
 import (
@@ -14,15 +14,16 @@
 	"dogwoodmux.example/dogwoodctl/dogwoodfactory"
 )
 
-// Options are what convictions works with.
+// Options holds the flags and dependencies of convictions.
 type Options struct {
 	Factory *dogwoodfactory.Factory
-	// Lift is the digest whose conviction is to end; empty lists all.
+	// Lift is the digest of the conviction to lift. If it is empty, all convictions are listed.
 	Lift string
 	JSON bool
 }
 
-// NewConvictions makes the verb. run replaces its work in tests; nil means the work itself.
+// NewConvictions returns the subcommand that lists and lifts convictions. run replaces its
+// implementation in tests; nil means the real one.
 func NewConvictions(factory *dogwoodfactory.Factory, run func(context.Context, *Options) error) *dogwoodsubcommand.Command {
 	options := &Options{Factory: factory}
 	if run == nil {
--- a/dogwoodctl/dogwoodexplain/conclusion.go
+++ b/dogwoodctl/dogwoodexplain/conclusion.go
@@ -9,8 +9,9 @@
 	"dogwoodmux.example/core/dogwoodlog"
 )
 
-// outcomes gives, for the last word on a request, the sentence that explains it. The
-// first whose parts stand in the line's message and error holds.
+// outcomes maps the last log line of a request to the sentence that explains it. The
+// sentence is that of the first entry whose message equals the line's and whose contains
+// occurs in the line's error or why field.
 var outcomes = []struct {
 	message, contains, sentence string
 }{
@@ -34,8 +35,8 @@
 	{dogwoodlog.Answered, "", "It was answered."},
 }
 
-// conclusion says in a sentence or two what became of the request.
-func conclusion(lines []line) string {
+// describeOutcome describes the outcome of the request in a few sentences.
+func describeOutcome(lines []line) string {
 	last := lines[len(lines)-1]
 	text := last.text("error") + " " + last.text("why")
 	sentence := "It was still under way at the end of these logs, or its last lines were dropped."
@@ -45,7 +46,7 @@
 			break
 		}
 	}
-	if status, known := last.fields["status"].(float64); known && last.text("@message") == dogwoodlog.Answered && status >= http.StatusBadRequest {
+	if status, ok := last.fields["status"].(float64); ok && last.text("@message") == dogwoodlog.Answered && status >= http.StatusBadRequest {
 		sentence = fmt.Sprintf("It failed: the endpoint itself answered %d, which was passed on.", int(status))
 	}
 	var tries []string
@@ -65,31 +66,33 @@
 	if closed, _ := last.fields["closed"].(bool); closed {
 		sentence += " The daemon closed its connection."
 	}
-	return sentence + slowness(lines, last)
+	return sentence + describeSlowness(lines, last)
 }
 
 const (
-	// lateBy is how many times its prediction a first event may take before it is named.
-	lateBy = 1.5
-	// mostWritten is how long after its first event an answer may go on before that is named.
-	mostWritten = 2 * time.Second
+	// lateFactor is the ratio of actual to predicted time to the first event above which the
+	// first event is reported as slow.
+	lateFactor = 1.5
+	// maxWaitAndWrite is the time for waiting and writing above which it is reported. That time
+	// is the total time less the time from sending to the first event.
+	maxWaitAndWrite = 2 * time.Second
 )
 
-// slowness says what took the time of a stream whose first event or whose writing was slow;
-// nothing if neither was.
-func slowness(lines []line, last line) string {
+// describeSlowness describes why a request was slow: its first event was late, or waiting and
+// writing took long. It returns an empty string if neither is the case.
+func describeSlowness(lines []line, last line) string {
 	var text string
 	for _, each := range lines {
 		if each.text("@message") != dogwoodlog.FirstEvent {
 			continue
 		}
 		predicted, seen := each.duration("predicted"), each.duration("seen")
-		if predicted > 0 && float64(seen) > lateBy*float64(predicted) {
+		if predicted > 0 && float64(seen) > lateFactor*float64(predicted) {
 			text += fmt.Sprintf(" Its first event came %s after it was sent to %s, predicted were %s: other prompts were read ahead of it, or the engine was slow.",
-				readable(seen), each.text("endpoint"), readable(predicted))
+				formatDuration(seen), each.text("endpoint"), formatDuration(predicted))
 		}
-		if written := last.duration("taken") - seen; last.text("@message") == dogwoodlog.Answered && written > mostWritten {
-			text += fmt.Sprintf(" Waiting for a place and writing after the first event took %s together.", readable(written))
+		if waitAndWrite := last.duration("taken") - seen; last.text("@message") == dogwoodlog.Answered && waitAndWrite > maxWaitAndWrite {
+			text += fmt.Sprintf(" Waiting for a place and writing after the first event took %s together.", formatDuration(waitAndWrite))
 		}
 	}
 	return text
--- a/dogwoodctl/dogwoodexplain/explain.go
+++ b/dogwoodctl/dogwoodexplain/explain.go
@@ -1,5 +1,5 @@
-// Package dogwoodexplain has the verb that tells what became of one request, from the logs
-// of all daemons.
+// Package dogwoodexplain holds the subcommand that explains the outcome of one request from
+// the logs of all daemons.
 package dogwoodexplain
 
 import (
@@ -20,16 +20,17 @@
 	"dogwoodmux.example/dogwoodctl/dogwoodfactory"
 )
 
-// Options are what explain works with.
+// Options holds the arguments and dependencies of explain.
 type Options struct {
 	Factory *dogwoodfactory.Factory
 	ID      string
 	Files   []string
-	// Open opens a log file; tests give their own.
+	// Open opens a log file. Tests replace it.
 	Open func(name string) (io.ReadCloser, error)
 }
 
-// NewExplain makes the verb. run replaces its work in tests; nil means the work itself.
+// NewExplain returns the subcommand that explains the outcome of one request. run replaces
+// its implementation in tests; nil means the real one.
 func NewExplain(factory *dogwoodfactory.Factory, run func(context.Context, *Options) error) *dogwoodsubcommand.Command {
 	options := &Options{Factory: factory, Open: func(name string) (io.ReadCloser, error) { return os.Open(name) }}
 	if run == nil {
@@ -44,7 +45,7 @@
 		Examples: []string{"dogwoodctl explain 9c41d07be2a35f68 entry-1.log entry-2.log"},
 		SetFlags: func(*flag.FlagSet) {},
 		Run: func(ctx context.Context, arguments []string) error {
-			if len(arguments) < 2 { //nolint:mnd // an id and a file
+			if len(arguments) < 2 { //nolint:mnd // an ID and a file
 				return dogwoodsubcommand.NewUsageError("give a request's ID and at least one log file")
 			}
 			options.ID, options.Files = arguments[0], arguments[1:]
@@ -54,7 +55,7 @@
 	})
 }
 
-// line is one log line about the request.
+// line is a log line about the request.
 type line struct {
 	file   string
 	fields map[string]any
@@ -68,17 +69,17 @@
 	return fmt.Sprint(value)
 }
 
-// duration returns a field in which the daemons log a duration, 0 if it is not there.
+// duration returns the duration in a field, or 0 if the field is missing or not a number.
 func (line *line) duration(field string) time.Duration {
-	nanoseconds, _ := line.fields[field].(float64) // another type is no duration
+	nanoseconds, _ := line.fields[field].(float64)
 	return time.Duration(nanoseconds)
 }
 
-// durations are the fields that hold durations, which the daemons log in nanoseconds.
-var durations = []string{"predicted", "seen", "waited", "queued", "taken", "limit", "age", "cold", "after"}
+// durationFields are the fields that hold durations, which the daemons log in nanoseconds.
+var durationFields = []string{"predicted", "seen", "waited", "queued", "taken", "limit", "age", "cold", "after"}
 
-// readable writes a duration to three digits or so.
-func readable(duration time.Duration) string {
+// formatDuration rounds a duration to a few significant digits.
+func formatDuration(duration time.Duration) string {
 	if duration >= time.Second {
 		return duration.Round(10 * time.Millisecond).String()
 	}
@@ -87,11 +88,11 @@
 
 var errNoLines = errors.New("no line of the files names this request: it reached none of these daemons, or their lines were dropped")
 
-// Run prints the lines and the sentence.
+// Run prints the log lines of the request and a description of its outcome.
 func Run(_ context.Context, options *Options) error {
 	var lines []line
 	for _, name := range options.Files {
-		found, err := read(options, name)
+		found, err := readLines(options, name)
 		if err != nil {
 			return fmt.Errorf("reading %s: %w", name, err)
 		}
@@ -100,8 +101,8 @@
 	if len(lines) == 0 {
 		return errNoLines
 	}
-	slices.SortStableFunc(lines, func(one, other line) int {
-		return strings.Compare(one.text("@timestamp"), other.text("@timestamp"))
+	slices.SortStableFunc(lines, func(a, b line) int {
+		return strings.Compare(a.text("@timestamp"), b.text("@timestamp"))
 	})
 	table := dogwoodcommand.Table{Headings: []string{"TIME", "FILE", "PART", "WHAT", "DETAIL"}}
 	for _, each := range lines {
@@ -111,26 +112,26 @@
 	if err := table.Print(streams.Out, streams.Terminal); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(streams.Out, "\n%s\n", conclusion(lines))
+	_, err := fmt.Fprintf(streams.Out, "\n%s\n", describeOutcome(lines))
 	return err
 }
 
-func read(options *Options, name string) ([]line, error) {
+func readLines(options *Options, name string) ([]line, error) {
 	file, err := options.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was only read
 	var lines []line
 	scanner := bufio.NewScanner(file)
-	scanner.Buffer(nil, longestLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		at := strings.IndexByte(scanner.Text(), '{')
-		if at < 0 || !strings.Contains(scanner.Text(), options.ID) {
+		start := strings.IndexByte(scanner.Text(), '{')
+		if start < 0 || !strings.Contains(scanner.Text(), options.ID) {
 			continue
 		}
 		var fields map[string]any
-		if json.Unmarshal([]byte(scanner.Text()[at:]), &fields) != nil || fields["request"] != options.ID {
+		if json.Unmarshal([]byte(scanner.Text()[start:]), &fields) != nil || fields["request"] != options.ID {
 			continue
 		}
 		lines = append(lines, line{file: name, fields: fields})
@@ -138,8 +139,8 @@
 	return lines, scanner.Err()
 }
 
-// longestLine bounds a line of a log.
-const longestLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
 func details(fields map[string]any) string {
 	var names []string
@@ -152,8 +153,8 @@
 	var text strings.Builder
 	for _, name := range names {
 		value := fields[name]
-		if nanoseconds, isNumber := value.(float64); isNumber && slices.Contains(durations, name) {
-			value = readable(time.Duration(nanoseconds))
+		if nanoseconds, isNumber := value.(float64); isNumber && slices.Contains(durationFields, name) {
+			value = formatDuration(time.Duration(nanoseconds))
 		}
 		fmt.Fprintf(&text, "%s=%v ", name, value)
 	}
--- a/dogwoodctl/dogwoodfactory/factory.go
+++ b/dogwoodctl/dogwoodfactory/factory.go
@@ -1,5 +1,5 @@
-// Package dogwoodfactory holds what every command is made with: the streams, the client
-// and the environment. Tests make one with buffers and a stand-in server.
+// Package dogwoodfactory provides the dependencies of dogwoodctl's subcommands: the streams,
+// the client and the environment. Tests use buffers and a fake server instead.
 package dogwoodfactory
 
 import (
@@ -17,33 +17,34 @@
 	"dogwoodmux.example/core/dogwoodadminapi"
 )
 
-// The environment variables that stand in for the flags of the same meaning.
+// The environment variables that are used if the corresponding flag is not set.
 const (
 	EnvironmentAddresses = "DOGWOOD_ADMIN_ADDRESSES"
 	EnvironmentKey       = "DOGWOOD_ADMIN_KEY"
 )
 
-// Streams are where a command reads and writes.
+// Streams are the input and output of a subcommand.
 type Streams struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
-	// Terminal is true when Out is one: tables then have headings and aligned columns.
+	// Terminal reports whether Out is a terminal. Tables then have headings and aligned columns.
 	Terminal bool
 }
 
-// Factory makes what commands need.
+// Factory holds the dependencies of the subcommands.
 type Factory struct {
 	Streams Streams
 	// Addresses are the administration addresses of some daemons, separated by commas.
 	Addresses string
-	// Key is the administration key; KeyFile goes before it.
+	// Key is the administration key. If KeyFile is set, the key is read from that file instead.
 	Key     string
 	KeyFile string
-	// Author is written beside each change.
+	// Author is recorded with each change.
 	Author    string
 	Transport http.RoundTripper
-	// NewID makes the ID under which the log keeps a change once.
+	// NewID generates the ID of a change. The change log stores a change with a given ID only
+	// once, which makes the request idempotent.
 	NewID func() string
 }
 
--- a/dogwoodctl/dogwoodoperating/doc.go
+++ b/dogwoodctl/dogwoodoperating/doc.go
@@ -1,3 +1,3 @@
-// Package dogwoodoperating proves the operators' pages: its scripts run every command that
-// docs/OPERATING.md and docs/operating show, against a whole local site. It holds tests only.
+// Package dogwoodoperating tests the operators' pages: its scripts run every command shown in
+// docs/OPERATING.md and docs/operating against a complete local site. It contains only tests.
 package dogwoodoperating
--- a/dogwoodctl/dogwoodoperating/pages_test.go
+++ b/dogwoodctl/dogwoodoperating/pages_test.go
@@ -7,20 +7,20 @@
 	"testing"
 )
 
-// TestEveryCommandOfThePagesIsRun finds the commands that the operators' pages show and
-// wants each of them in a script, word for word.
-func TestEveryCommandOfThePagesIsRun(t *testing.T) {
+// TestScriptsRunEveryDocumentedCommand checks that each command shown in the operators' pages
+// occurs in a script, word for word.
+func TestScriptsRunEveryDocumentedCommand(t *testing.T) {
 	scripts, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(scripts) == 0 {
 		t.Fatalf("got %d scripts, %v", len(scripts), err)
 	}
-	var run strings.Builder
+	var scriptText strings.Builder
 	for _, script := range scripts {
 		content, err := os.ReadFile(script)
 		if err != nil {
 			t.Fatal(err)
 		}
-		run.Write(content)
+		scriptText.Write(content)
 	}
 	pages, err := filepath.Glob("../../docs/operating/*.md")
 	if err != nil {
@@ -31,17 +31,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, command := range commands(string(content)) {
-			if !strings.Contains(run.String(), command+"\n") {
+		for _, command := range documentedCommands(string(content)) {
+			if !strings.Contains(scriptText.String(), command+"\n") {
 				t.Errorf("%s shows %q, which no script runs", filepath.Base(page), command)
 			}
 		}
 	}
 }
 
-// commands returns the dogwoodctl lines of a page's code blocks. What follows a ">" is
-// the shell's: the scripts copy the output instead.
-func commands(page string) []string {
+// documentedCommands returns the dogwoodctl commands in the code blocks of a page, without
+// output redirections: the scripts copy the output instead.
+func documentedCommands(page string) []string {
 	var found []string
 	for line := range strings.Lines(page) {
 		if !strings.HasPrefix(line, "    ") {
--- a/dogwoodctl/dogwoodoperating/site_test.go
+++ b/dogwoodctl/dogwoodoperating/site_test.go
@@ -22,13 +22,13 @@
 	"dogwoodmux.example/dogwoodlocal/dogwoodsite"
 )
 
-// waitBound bounds every wait for a condition. It is no measure: a run that needs a
-// fraction of it and one that needs most of it have the same verdict.
-const waitBound = time.Minute
+// waitTimeout bounds every wait for a condition. How much of it a wait uses does not affect
+// the test's result.
+const waitTimeout = time.Minute
 
 type siteKey struct{}
 
-// TestScripts runs each script against a site of its own.
+// TestScripts runs each script against a separate local site.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
@@ -67,7 +67,7 @@
 }
 
 // runCtl runs dogwoodctl in this process. Arguments that name files of the script are
-// taken from its folder.
+// resolved relative to the script's directory.
 func runCtl(script *testscript.TestScript, arguments []string) (code int, out, err string) {
 	site := siteOf(script)
 	var addresses []string
@@ -84,7 +84,7 @@
 		NewID:     uuid.NewString,
 	}
 	for i, argument := range arguments {
-		if file := script.MkAbs(argument); strings.Contains(argument, ".") && fileOrNew(file, argument) {
+		if file := script.MkAbs(argument); strings.Contains(argument, ".") && isScriptFile(file, argument) {
 			arguments[i] = file
 		}
 	}
@@ -92,13 +92,14 @@
 	return code, outBuffer.String(), errBuffer.String()
 }
 
-// fileOrNew tells whether the argument is a file of the script or names one to be written.
-func fileOrNew(file, argument string) bool {
+// isScriptFile reports whether the argument is an existing file of the script or an HTML file
+// to be written.
+func isScriptFile(file, argument string) bool {
 	_, err := os.Stat(file)
 	return err == nil || strings.HasSuffix(argument, ".html")
 }
 
-// ctl is "dogwoodctl ARGUMENTS…": it must succeed, or fail after "!".
+// ctl implements "dogwoodctl ARGUMENTS…". The command must succeed, or fail if negated by "!".
 func ctl(script *testscript.TestScript, negated bool, arguments []string) {
 	code, out, err := runCtl(script, arguments)
 	write(script, out, err)
@@ -107,7 +108,7 @@
 	}
 }
 
-// exits is "exits CODE dogwoodctl ARGUMENTS…".
+// exits implements "exits CODE dogwoodctl ARGUMENTS…". The command must end with that exit code.
 func exits(script *testscript.TestScript, _ bool, arguments []string) {
 	want, err := strconv.Atoi(arguments[0])
 	script.Check(err)
@@ -118,11 +119,12 @@
 	}
 }
 
-// eventually is "eventually PATTERN dogwoodctl ARGUMENTS…" or "eventually PATTERN call
-// ARGUMENTS…": it runs the command until its output matches, or no longer does after "!".
+// eventually implements "eventually PATTERN dogwoodctl ARGUMENTS…" and "eventually PATTERN call
+// ARGUMENTS…". It repeats the command until its output matches, or no longer matches if negated
+// by "!".
 func eventually(script *testscript.TestScript, negated bool, arguments []string) {
 	pattern := regexp.MustCompile(arguments[0])
-	deadline := time.Now().Add(waitBound)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		out, errOut := runOnce(script, arguments[1], append([]string(nil), arguments[2:]...))
 		if pattern.MatchString(out+errOut) != negated {
@@ -130,7 +132,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			script.Fatalf("still after %s:\n%s%s", waitBound, out, errOut)
+			script.Fatalf("still after %s:\n%s%s", waitTimeout, out, errOut)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -149,19 +151,20 @@
 	_, _ = io.WriteString(script.Stderr(), err)
 }
 
-// store is "store down" or "store up".
+// store implements "store down" and "store up".
 func store(script *testscript.TestScript, _ bool, arguments []string) {
 	siteOf(script).Platform.Down(arguments[0] == "down")
 }
 
-// engine is "engine kills-on MARKER", for all engines.
+// engine implements "engine kills-on MARKER": every engine crashes on a prompt that contains
+// the marker.
 func engine(script *testscript.TestScript, _ bool, arguments []string) {
 	for _, each := range siteOf(script).Engines {
 		each.KillOn(arguments[1])
 	}
 }
 
-// daemon is "daemon kill|stop|restart NAME".
+// daemon implements "daemon kill|stop|restart NAME".
 func daemon(script *testscript.TestScript, _ bool, arguments []string) {
 	for _, each := range siteOf(script).Daemons() {
 		if string(each.VM) != arguments[1] {
@@ -180,15 +183,16 @@
 	script.Fatalf("no daemon %s", arguments[1])
 }
 
-// call is "call METHOD PATH CUSTOMER KEY BODY": it prints the status and the answer's body.
-// A KEY of "-" is none. Every daemon that lives is tried until one answers.
+// call implements "call METHOD PATH CUSTOMER KEY BODY". It sends a request to the first daemon
+// that is alive and prints the status and the body of the response. KEY is the idempotency key,
+// or "-" for none. CUSTOMER is ignored: the request has the key of the site's first customer.
 func call(script *testscript.TestScript, _ bool, arguments []string) {
 	write(script, runCall(script, arguments), "")
 }
 
 func runCall(script *testscript.TestScript, arguments []string) string {
 	site := siteOf(script)
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitBound}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: waitTimeout}
 	for _, each := range site.Daemons() {
 		if !each.Alive() {
 			continue
@@ -206,17 +210,17 @@
 		script.Check(response.Body.Close())
 		return fmt.Sprintf("%d %s\n", response.StatusCode, body)
 	}
-	script.Fatalf("no daemon lives")
+	script.Fatalf("no daemon is alive")
 	return ""
 }
 
-// digest sets DIGEST to the first conviction's.
+// digest implements "digest": it sets DIGEST to the digest of the first conviction.
 func digest(script *testscript.TestScript, _ bool, _ []string) {
 	_, out, _ := runCtl(script, []string{"convictions"})
 	script.Setenv("DIGEST", regexp.MustCompile("[0-9a-f]{64}").FindString(out))
 }
 
-// replace is "replace OLD NEW FILE".
+// replace implements "replace OLD NEW FILE": it replaces the first occurrence.
 func replace(script *testscript.TestScript, _ bool, arguments []string) {
 	file := script.MkAbs(arguments[2])
 	content, err := os.ReadFile(file)
--- a/dogwoodctl/dogwoodplace/bringback.go
+++ b/dogwoodctl/dogwoodplace/bringback.go
@@ -11,7 +11,8 @@
 	"dogwoodmux.example/dogwoodctl/dogwoodfactory"
 )
 
-// NewBringBack makes the verb. run replaces its work in tests; nil means the work itself.
+// NewBringBack returns the subcommand that brings a data centre or a VM back into service.
+// run replaces its implementation in tests; nil means the real one.
 func NewBringBack(factory *dogwoodfactory.Factory, run func(context.Context, *MoveOptions) error) *dogwoodsubcommand.Command {
 	options := &MoveOptions{Factory: factory}
 	if run == nil {
@@ -26,7 +27,7 @@
 		Examples: []string{"dogwoodctl bringback datacentre oita-c"},
 		SetFlags: func(flags *flag.FlagSet) { options.setWait(flags) },
 		Run: func(ctx context.Context, arguments []string) error {
-			if err := options.setPlace(arguments); err != nil {
+			if err := options.setTarget(arguments); err != nil {
 				return err
 			}
 			return run(ctx, options)
--- a/dogwoodctl/dogwoodplace/move.go
+++ b/dogwoodctl/dogwoodplace/move.go
@@ -1,4 +1,5 @@
-// Package dogwoodplace has the verbs that take a data centre or a VM out and bring it back.
+// Package dogwoodplace holds the subcommands that take a data centre or a VM out of service
+// and bring it back.
 package dogwoodplace
 
 import (
@@ -14,7 +15,8 @@
 	"dogwoodmux.example/dogwoodctl/dogwoodfactory"
 )
 
-// MoveOptions are what takeout and bringback work with.
+// MoveOptions holds the arguments, flags and dependencies of takeout and bringback. Exactly
+// one of DataCentre and VM is set.
 type MoveOptions struct {
 	Factory    *dogwoodfactory.Factory
 	DataCentre dogwoodfleet.DataCentre
@@ -23,8 +25,8 @@
 	Wait       time.Duration
 }
 
-// setPlace reads the two words that name a place.
-func (options *MoveOptions) setPlace(arguments []string) error {
+// setTarget sets the data centre or the VM from the positional arguments.
+func (options *MoveOptions) setTarget(arguments []string) error {
 	if len(arguments) != 2 {
 		return dogwoodsubcommand.NewUsageError("give \"datacentre NAME\" or \"vm NAME\"")
 	}
@@ -44,7 +46,7 @@
 	flags.DurationVar(&options.Wait, "wait", dogwoodcommand.DefaultWait, "how long to wait until it is in force everywhere")
 }
 
-// submitter is the client's method for one of the two verbs.
+// submitter is the client method that sends the request of a subcommand.
 type submitter func(client *dogwoodadminapi.Client, ctx context.Context, move dogwoodadminapi.Move) (dogwoodadminapi.Accepted, error)
 
 func (options *MoveOptions) submit(ctx context.Context, submit submitter) error {
--- a/dogwoodctl/dogwoodplace/takeout.go
+++ b/dogwoodctl/dogwoodplace/takeout.go
@@ -11,7 +11,8 @@
 	"dogwoodmux.example/dogwoodctl/dogwoodfactory"
 )
 
-// NewTakeOut makes the verb. run replaces its work in tests; nil means the work itself.
+// NewTakeOut returns the subcommand that takes a data centre or a VM out of service. run
+// replaces its implementation in tests; nil means the real one.
 func NewTakeOut(factory *dogwoodfactory.Factory, run func(context.Context, *MoveOptions) error) *dogwoodsubcommand.Command {
 	options := &MoveOptions{Factory: factory}
 	if run == nil {
@@ -34,7 +35,7 @@
 			options.setWait(flags)
 		},
 		Run: func(ctx context.Context, arguments []string) error {
-			if err := options.setPlace(arguments); err != nil {
+			if err := options.setTarget(arguments); err != nil {
 				return err
 			}
 			return run(ctx, options)
--- a/dogwoodctl/dogwoodroot/root.go
+++ b/dogwoodctl/dogwoodroot/root.go
@@ -1,4 +1,4 @@
-// Package dogwoodroot puts the verbs together and runs the one that was asked for.
+// Package dogwoodroot registers the subcommands of dogwoodctl and runs the requested one.
 package dogwoodroot
 
 import (
@@ -21,7 +21,7 @@
 
 const program = "dogwoodctl"
 
-// Run parses the arguments, runs the verb and returns the process's exit code.
+// Run parses the arguments, runs the subcommand and returns the process's exit code.
 func Run(ctx context.Context, factory *dogwoodfactory.Factory, arguments []string) int {
 	flags := flag.NewFlagSet(program, flag.ContinueOnError)
 	flags.SetOutput(factory.Streams.Err)
@@ -45,27 +45,27 @@
 	commander.Register(commander.HelpCommand(), "")
 	commander.Register(commander.FlagsCommand(), "")
 	commander.Register(dogwoodsubcommand.NewVersion(program, factory.Streams.Out, factory.Streams.Err), "")
-	for _, verb := range []subcommands.Command{
+	for _, command := range []subcommands.Command{
 		dogwoodtext.NewShow(factory, nil),
 		dogwoodtext.NewDiff(factory, nil),
 		dogwoodtext.NewApply(factory, nil),
 	} {
-		commander.Register(verb, "the text")
+		commander.Register(command, "the text")
 	}
-	for _, verb := range []subcommands.Command{
+	for _, command := range []subcommands.Command{
 		dogwoodplace.NewTakeOut(factory, nil),
 		dogwoodplace.NewBringBack(factory, nil),
 	} {
-		commander.Register(verb, "places")
+		commander.Register(command, "places")
 	}
-	for _, verb := range []subcommands.Command{
+	for _, command := range []subcommands.Command{
 		dogwoodstatus.NewStatus(factory, nil),
 		dogwoodstatus.NewEntry(factory, nil),
 		dogwoodburnview.NewBurn(factory, nil),
 		dogwoodconviction.NewConvictions(factory, nil),
 		dogwoodexplain.NewExplain(factory, nil),
 	} {
-		commander.Register(verb, "watching")
+		commander.Register(command, "watching")
 	}
 	return commander
 }
--- a/dogwoodctl/dogwoodroot/root_test.go
+++ b/dogwoodctl/dogwoodroot/root_test.go
@@ -19,7 +19,7 @@
 	"dogwoodmux.example/dogwoodctl/dogwoodfactory"
 )
 
-const text = `{
+const operatorsText = `{
 	"Services": [{
 		"Name": "desk", "Kind": "PlainService", "Deadline": "5s", "MaxDeadline": "1m",
 		"ColdLimit": 1, "WarmLimit": 8
@@ -28,13 +28,14 @@
 }
 `
 
-// daemon answers the administration API from memory. A nil handler refuses the connection.
-type daemon struct {
+// fakeDaemon is a transport that sends the requests to a handler and records their bodies.
+// With a nil handler the connection is refused.
+type fakeDaemon struct {
 	handler http.Handler
 	bodies  []string
 }
 
-func (daemon *daemon) RoundTrip(request *http.Request) (*http.Response, error) {
+func (daemon *fakeDaemon) RoundTrip(request *http.Request) (*http.Response, error) {
 	if daemon.handler == nil {
 		return nil, errors.New("connection refused")
 	}
@@ -49,7 +50,7 @@
 	return recorder.Result(), nil
 }
 
-func answer(t *testing.T, routes map[string]any) http.Handler {
+func newHandler(t *testing.T, routes map[string]any) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if got, want := request.Header.Get("Authorization"), "Bearer secret"; got != want {
 			t.Errorf("got authorization %q, want %q", got, want)
@@ -76,11 +77,11 @@
 	out, err string
 }
 
-func run(t *testing.T, daemon *daemon, terminal bool, arguments ...string) result {
+func runCommand(t *testing.T, daemon *fakeDaemon, terminal bool, arguments ...string) result {
 	t.Helper()
 	var out, err bytes.Buffer
 	factory := &dogwoodfactory.Factory{
-		Streams:   dogwoodfactory.Streams{In: strings.NewReader(text), Out: &out, Err: &err, Terminal: terminal},
+		Streams:   dogwoodfactory.Streams{In: strings.NewReader(operatorsText), Out: &out, Err: &err, Terminal: terminal},
 		Addresses: "10.0.0.1:1, 10.0.0.2:1",
 		Key:       "secret",
 		Author:    "tester",
@@ -91,7 +92,7 @@
 	return result{code: dogwoodcommand.Code(code), out: out.String(), err: err.String()}
 }
 
-func current() dogwoodadminapi.Status {
+func currentStatus() dogwoodadminapi.Status {
 	const version = 7
 	return dogwoodadminapi.Status{
 		Version: version, TextVersion: version, StoreReachable: true,
@@ -100,9 +101,9 @@
 	}
 }
 
-func TestVerbs(t *testing.T) {
-	late := current()
-	late.Daemons[0].Version = 6
+func TestSubcommands(t *testing.T) {
+	lagging := currentStatus()
+	lagging.Daemons[0].Version = 6
 	tests := []struct {
 		name      string
 		arguments []string
@@ -112,11 +113,11 @@
 		wantOut   string
 		wantErr   string
 	}{
-		{"no verb", nil, nil, false, dogwoodcommand.ExitUsage, "", "Usage"},
-		{"unknown verb", []string{"remove"}, nil, false, dogwoodcommand.ExitUsage, "", "Usage"},
+		{"no subcommand", nil, nil, false, dogwoodcommand.ExitUsage, "", "Usage"},
+		{"unknown subcommand", []string{"remove"}, nil, false, dogwoodcommand.ExitUsage, "", "Usage"},
 		{"unknown flag", []string{"status", "-colour"}, nil, false, dogwoodcommand.ExitUsage, "", "colour"},
 		{
-			"show marks the version",
+			"show prints the version line",
 			[]string{"show"},
 			map[string]any{"GET /admin/v1/text": dogwoodadminapi.Text{Version: 7, Source: "{}"}},
 			false, dogwoodcommand.ExitOK, "// BasedOn: 7\n{}", "",
@@ -126,13 +127,13 @@
 			[]string{"apply", "-based-on", "6", "-"},
 			map[string]any{
 				"POST /admin/v1/text":  dogwoodadminapi.Accepted{Version: 7, Kept: true},
-				"GET /admin/v1/status": current(),
+				"GET /admin/v1/status": currentStatus(),
 			},
 			false, dogwoodcommand.ExitOK, "accepted as version 7\nin force on every daemon\n", "",
 		},
-		{"apply without a base", []string{"apply", "-"}, nil, false, dogwoodcommand.ExitUsage, "", "does not say which version"},
+		{"apply without a base version", []string{"apply", "-"}, nil, false, dogwoodcommand.ExitUsage, "", "does not say which version"},
 		{
-			"apply that crosses another",
+			"apply conflicts with another change",
 			[]string{"apply", "-based-on", "6", "-"},
 			map[string]any{"POST /admin/v1/text": dogwoodadminapi.Conflict{
 				Problem: dogwoodproblem.New(http.StatusConflict, dogwoodadminapi.KindConflict, "another text came first"),
@@ -141,11 +142,11 @@
 			false, dogwoodcommand.ExitConflict, "", "version 8 is in force",
 		},
 		{
-			"daemon that lags",
+			"apply with a lagging daemon",
 			[]string{"apply", "-based-on", "6", "-wait", "1s", "-"},
 			map[string]any{
 				"POST /admin/v1/text":  dogwoodadminapi.Accepted{Version: 7, Kept: true},
-				"GET /admin/v1/status": late,
+				"GET /admin/v1/status": lagging,
 			},
 			false, dogwoodcommand.ExitNotEverywhere, "accepted as version 7", "not yet in force on: entry-1",
 		},
@@ -169,25 +170,25 @@
 			false, dogwoodcommand.ExitUnavailable, "", "the store does not answer",
 		},
 		{
-			"status for a terminal",
+			"status on a terminal",
 			[]string{"status"},
-			map[string]any{"GET /admin/v1/status": current()},
+			map[string]any{"GET /admin/v1/status": currentStatus()},
 			true, dogwoodcommand.ExitOK, "DAEMON   DATA CENTRE", "",
 		},
 		{
-			"status for a pipe",
+			"status to a pipe",
 			[]string{"status"},
-			map[string]any{"GET /admin/v1/status": current()},
+			map[string]any{"GET /admin/v1/status": currentStatus()},
 			false, dogwoodcommand.ExitOK, "desk\t3\t2\n", "",
 		},
 		{
-			"diff of the same text",
+			"diff of equal texts",
 			[]string{"diff", "-"},
-			map[string]any{"GET /admin/v1/text": dogwoodadminapi.Text{Version: 7, Source: text}},
+			map[string]any{"GET /admin/v1/text": dogwoodadminapi.Text{Version: 7, Source: operatorsText}},
 			false, dogwoodcommand.ExitOK, "", "",
 		},
 		{
-			"diff of another text",
+			"diff of different texts",
 			[]string{"diff", "-"},
 			map[string]any{"GET /admin/v1/text": dogwoodadminapi.Text{Version: 7, Source: "{}\n"}},
 			false, dogwoodcommand.ExitDifferent, "-{}", "the texts differ",
@@ -196,7 +197,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				got := run(t, &daemon{handler: answer(t, test.routes)}, test.terminal, test.arguments...)
+				got := runCommand(t, &fakeDaemon{handler: newHandler(t, test.routes)}, test.terminal, test.arguments...)
 				if got.code != test.wantCode {
 					t.Errorf("got code %d, want %d; %s", got.code, test.wantCode, got.err)
 				}
@@ -212,7 +213,7 @@
 }
 
 func TestNoDaemonAnswers(t *testing.T) {
-	got := run(t, &daemon{}, false, "status")
+	got := runCommand(t, &fakeDaemon{}, false, "status")
 	if got.code != dogwoodcommand.ExitUnavailable {
 		t.Errorf("got code %d, want %d", got.code, dogwoodcommand.ExitUnavailable)
 	}
@@ -221,44 +222,44 @@
 	}
 }
 
-// An operator shows the text, edits it and applies it twice in a row. Without the first
-// line being set anew the second apply would be a conflict with the operator's own first.
-func TestApplySetsTheBaseForTheNextEdit(t *testing.T) {
+// An operator shows the text and then edits and applies it twice. If apply did not write the
+// new version to the first line of the file, the second apply would conflict with the first.
+func TestApplyUpdatesBaseForNextEdit(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "text.jsonc")
-	if err := os.WriteFile(file, []byte("// BasedOn: 6\n"+text), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte("// BasedOn: 6\n"+operatorsText), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	daemon := &daemon{handler: answer(t, map[string]any{
+	daemon := &fakeDaemon{handler: newHandler(t, map[string]any{
 		"POST /admin/v1/text":  dogwoodadminapi.Accepted{Version: 7, Kept: true},
-		"GET /admin/v1/status": current(),
+		"GET /admin/v1/status": currentStatus(),
 	})}
-	if got := run(t, daemon, false, "apply", file); got.code != dogwoodcommand.ExitOK {
+	if got := runCommand(t, daemon, false, "apply", file); got.code != dogwoodcommand.ExitOK {
 		t.Fatalf("got code %d: %s", got.code, got.err)
 	}
 	var sent dogwoodadminapi.Apply
 	if err := json.Unmarshal([]byte(daemon.bodies[0]), &sent); err != nil {
 		t.Fatal(err)
 	}
-	want := dogwoodadminapi.Apply{ID: "id-1", BasedOn: 6, Author: "tester", Source: text}
+	want := dogwoodadminapi.Apply{ID: "id-1", BasedOn: 6, Author: "tester", Source: operatorsText}
 	if sent != want {
 		t.Errorf("got %+v, want %+v", sent, want)
 	}
-	left, err := os.ReadFile(file)
+	written, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, want := string(left), "// BasedOn: 7\n"+text; got != want {
+	if got, want := string(written), "// BasedOn: 7\n"+operatorsText; got != want {
 		t.Errorf("got file %q, want %q", got, want)
 	}
 }
 
-func TestApplyNamesFaultsWithTheirPlace(t *testing.T) {
+func TestApplyReportsPositionOfFaults(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "text.jsonc")
-	broken := strings.Replace(text, `"ColdLimit": 1`, `"ColdLimt": 1`, 1)
-	if err := os.WriteFile(file, []byte(broken), 0o600); err != nil {
+	faulty := strings.Replace(operatorsText, `"ColdLimit": 1`, `"ColdLimt": 1`, 1)
+	if err := os.WriteFile(file, []byte(faulty), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	got := run(t, &daemon{}, false, "apply", "-based-on", "0", file)
+	got := runCommand(t, &fakeDaemon{}, false, "apply", "-based-on", "0", file)
 	if got.code != dogwoodcommand.ExitInvalid {
 		t.Errorf("got code %d, want %d", got.code, dogwoodcommand.ExitInvalid)
 	}
--- a/dogwoodctl/dogwoodstatus/entry.go
+++ b/dogwoodctl/dogwoodstatus/entry.go
@@ -11,14 +11,15 @@
 	"dogwoodmux.example/dogwoodctl/dogwoodfactory"
 )
 
-// EntryOptions are what entry works with.
+// EntryOptions holds the flags and dependencies of entry.
 type EntryOptions struct {
 	Factory    *dogwoodfactory.Factory
 	DataCentre string
 	JSON       bool
 }
 
-// NewEntry makes the verb. run replaces its work in tests; nil means the work itself.
+// NewEntry returns the subcommand that shows the addresses that are returned to callers.
+// run replaces its implementation in tests; nil means the real one.
 func NewEntry(factory *dogwoodfactory.Factory, run func(context.Context, *EntryOptions) error) *dogwoodsubcommand.Command {
 	options := &EntryOptions{Factory: factory}
 	if run == nil {
--- a/dogwoodctl/dogwoodstatus/status.go
+++ b/dogwoodctl/dogwoodstatus/status.go
@@ -1,4 +1,5 @@
-// Package dogwoodstatus has the verbs that show the deployment: status and entry.
+// Package dogwoodstatus holds the subcommands that show the state of the deployment: status
+// and entry.
 package dogwoodstatus
 
 import (
@@ -16,13 +17,14 @@
 	"dogwoodmux.example/dogwoodctl/dogwoodfactory"
 )
 
-// StatusOptions are what status works with.
+// StatusOptions holds the flags and dependencies of status.
 type StatusOptions struct {
 	Factory *dogwoodfactory.Factory
 	JSON    bool
 }
 
-// NewStatus makes the verb. run replaces its work in tests; nil means the work itself.
+// NewStatus returns the subcommand that shows the daemons, the services and what is taken
+// out. run replaces its implementation in tests; nil means the real one.
 func NewStatus(factory *dogwoodfactory.Factory, run func(context.Context, *StatusOptions) error) *dogwoodsubcommand.Command {
 	options := &StatusOptions{Factory: factory}
 	if run == nil {
--- a/dogwoodctl/dogwoodtext/apply.go
+++ b/dogwoodctl/dogwoodtext/apply.go
@@ -16,20 +16,23 @@
 	"dogwoodmux.example/dogwoodctl/dogwoodfactory"
 )
 
-// ApplyOptions are what apply works with.
+// ApplyOptions holds the arguments, flags and dependencies of apply.
 type ApplyOptions struct {
 	Factory *dogwoodfactory.Factory
 	File    string
-	// BasedOn is the version edited; below 0 it is read from the file's first line.
+	// BasedOn is the version that the text was edited from. If it is negative, the version is
+	// read from the first line of the file.
 	BasedOn int64
 	Check   bool
 	Wait    time.Duration
 }
 
-// filePermissions are of a text that apply writes back; it holds digests, no secrets.
+// filePermissions is the mode of the file that apply writes back. The text holds digests of
+// keys, no secrets.
 const filePermissions = 0o600
 
-// NewApply makes the verb. run replaces its work in tests; nil means the work itself.
+// NewApply returns the subcommand that puts an edited text in force. run replaces its
+// implementation in tests; nil means the real one.
 func NewApply(factory *dogwoodfactory.Factory, run func(context.Context, *ApplyOptions) error) *dogwoodsubcommand.Command {
 	options := &ApplyOptions{Factory: factory}
 	if run == nil {
@@ -55,7 +58,7 @@
 			flags.DurationVar(&options.Wait, "wait", dogwoodcommand.DefaultWait, "how long to wait until it is in force everywhere")
 		},
 		Run: func(ctx context.Context, arguments []string) error {
-			file, err := oneFile(arguments)
+			file, err := fileArgument(arguments)
 			if err != nil {
 				return err
 			}
@@ -74,7 +77,7 @@
 	if err := checkLocally(options.File, source); err != nil {
 		return err
 	}
-	basedOn, text, marked, err := options.base(source)
+	basedOn, text, marked, err := options.baseVersion(source)
 	if err != nil {
 		return err
 	}
@@ -90,7 +93,7 @@
 		CheckOnly: options.Check,
 	})
 	if err != nil {
-		return explain(options.File, err)
+		return describeError(options.File, err)
 	}
 	if options.Check {
 		_, err := fmt.Fprintln(options.Factory.Streams.Out, "the text is right")
@@ -104,9 +107,10 @@
 	return dogwoodcommand.ReportAccepted(ctx, client, accepted, options.Wait, options.Factory.Streams.Out)
 }
 
-// base finds the version that the text was edited from. Guessing the one in force instead
-// would silently undo what another operator has applied since the edit began.
-func (options *ApplyOptions) base(source []byte) (basedOn uint64, text []byte, marked bool, err error) {
+// baseVersion returns the version that the text was edited from, and the text without the
+// comment line. It does not default to the version in force: that would silently undo what
+// another operator has applied since the edit began.
+func (options *ApplyOptions) baseVersion(source []byte) (basedOn uint64, text []byte, marked bool, err error) {
 	version, text, marked := splitMarker(source)
 	if options.BasedOn >= 0 {
 		return uint64(options.BasedOn), text, marked, nil
@@ -117,21 +121,21 @@
 	return version, text, true, nil
 }
 
-// explain makes an operator's message of a daemon's answer.
-func explain(file string, err error) error {
+// describeError converts a daemon's error response into an error with a message for operators.
+func describeError(file string, err error) error {
 	var conflict *dogwoodadminapi.Conflict
 	var invalid *dogwoodadminapi.Invalid
 	switch {
 	case errors.As(err, &conflict):
-		return &dogwoodcommand.CodedError{Code: dogwoodcommand.ExitConflict, Err: conflictLines(conflict)}
+		return &dogwoodcommand.CodedError{Code: dogwoodcommand.ExitConflict, Err: conflictError(conflict)}
 	case errors.As(err, &invalid):
-		return &dogwoodcommand.CodedError{Code: dogwoodcommand.ExitInvalid, Err: problemLines(file, invalid.Problems)}
+		return &dogwoodcommand.CodedError{Code: dogwoodcommand.ExitInvalid, Err: problemsError(file, invalid.Problems)}
 	default:
 		return err
 	}
 }
 
-func conflictLines(conflict *dogwoodadminapi.Conflict) error {
+func conflictError(conflict *dogwoodadminapi.Conflict) error {
 	lines := []string{fmt.Sprintf("%s; version %d is in force. What came in between:", conflict.Detail, conflict.Current)}
 	for _, change := range conflict.Changes {
 		lines = append(lines, fmt.Sprintf("  %d  %s  %s  %s", change.Version, change.At.Format(time.RFC3339), change.Kind, change.Author))
--- a/dogwoodctl/dogwoodtext/basedon.go
+++ b/dogwoodctl/dogwoodtext/basedon.go
@@ -1,4 +1,4 @@
-// Package dogwoodtext has the verbs on the operators' text: apply, diff and show.
+// Package dogwoodtext holds the subcommands for the operators' text: apply, diff and show.
 package dogwoodtext
 
 import (
@@ -7,20 +7,21 @@
 	"strconv"
 )
 
-// marker starts the comment line that show writes first and apply reads. With it a text
-// carries the version that it was edited from, so that a crossed edit is noticed without
-// the operator having to remember a number.
+// marker is the prefix of the comment line that show writes at the top and apply reads. The
+// line holds the version that the text was edited from, so that apply detects a conflicting
+// edit without the operator having to remember the version.
 const marker = "// BasedOn: "
 
-// withMarker puts the comment line before a text.
+// withMarker returns the text with the comment line prepended.
 func withMarker(version uint64, source []byte) []byte {
 	return append(fmt.Appendf(nil, "%s%d\n", marker, version), source...)
 }
 
-// splitMarker takes the comment line off. found is false where there is none.
+// splitMarker separates the version in the comment line from the text. found is false if
+// there is no valid comment line.
 func splitMarker(source []byte) (version uint64, text []byte, found bool) {
-	rest, marked := bytes.CutPrefix(source, []byte(marker))
-	if !marked {
+	rest, hasPrefix := bytes.CutPrefix(source, []byte(marker))
+	if !hasPrefix {
 		return 0, source, false
 	}
 	line, text, _ := bytes.Cut(rest, []byte("\n"))
--- a/dogwoodctl/dogwoodtext/diff.go
+++ b/dogwoodctl/dogwoodtext/diff.go
@@ -13,13 +13,14 @@
 	"dogwoodmux.example/dogwoodctl/dogwoodfactory"
 )
 
-// DiffOptions are what diff works with.
+// DiffOptions holds the arguments and dependencies of diff.
 type DiffOptions struct {
 	Factory *dogwoodfactory.Factory
 	File    string
 }
 
-// NewDiff makes the verb. run replaces its work in tests; nil means the work itself.
+// NewDiff returns the subcommand that compares a file with the text in force. run replaces
+// its implementation in tests; nil means the real one.
 func NewDiff(factory *dogwoodfactory.Factory, run func(context.Context, *DiffOptions) error) *dogwoodsubcommand.Command {
 	options := &DiffOptions{Factory: factory}
 	if run == nil {
@@ -32,7 +33,7 @@
 		Help:      fmt.Sprintf("Prints what apply would change. The exit code is %d if the texts differ.", dogwoodcommand.ExitDifferent),
 		Examples:  []string{"dogwoodctl diff text.jsonc"},
 		Run: func(ctx context.Context, arguments []string) error {
-			file, err := oneFile(arguments)
+			file, err := fileArgument(arguments)
 			if err != nil {
 				return err
 			}
@@ -57,11 +58,11 @@
 		return err
 	}
 	_, edited, _ := splitMarker(source)
-	found := diff.Diff(fmt.Sprintf("version %d in force", text.Version), []byte(text.Source), options.File, edited)
-	if len(found) == 0 {
+	difference := diff.Diff(fmt.Sprintf("version %d in force", text.Version), []byte(text.Source), options.File, edited)
+	if len(difference) == 0 {
 		return nil
 	}
-	if _, err := options.Factory.Streams.Out.Write(found); err != nil {
+	if _, err := options.Factory.Streams.Out.Write(difference); err != nil {
 		return err
 	}
 	return &dogwoodcommand.CodedError{Code: dogwoodcommand.ExitDifferent, Err: errors.New("the texts differ")}
--- a/dogwoodctl/dogwoodtext/read.go
+++ b/dogwoodctl/dogwoodtext/read.go
@@ -13,7 +13,7 @@
 	"dogwoodmux.example/dogwoodctl/dogwoodcommand"
 )
 
-// standardInput is the file name that means the standard input.
+// standardInput is the file name that stands for the standard input.
 const standardInput = "-"
 
 func readSource(file string, in io.Reader) ([]byte, error) {
@@ -27,24 +27,25 @@
 	return source, nil
 }
 
-func oneFile(arguments []string) (string, error) {
+func fileArgument(arguments []string) (string, error) {
 	if len(arguments) != 1 {
 		return "", dogwoodsubcommand.NewUsageError("give one file, or - for the standard input")
 	}
 	return arguments[0], nil
 }
 
-// checkLocally finds faults before a daemon is asked, and names them as compilers do.
+// checkLocally checks the text before it is sent to a daemon. It reports faults in the format
+// of compilers, file:line:column.
 func checkLocally(file string, source []byte) error {
 	_, err := dogwoodsettings.ParseText(source)
 	var problems *dogwoodsettings.Problems
 	if !errors.As(err, &problems) {
 		return err
 	}
-	return &dogwoodcommand.CodedError{Code: dogwoodcommand.ExitInvalid, Err: problemLines(file, problems.List)}
+	return &dogwoodcommand.CodedError{Code: dogwoodcommand.ExitInvalid, Err: problemsError(file, problems.List)}
 }
 
-func problemLines(file string, problems []dogwoodsettings.Problem) error {
+func problemsError(file string, problems []dogwoodsettings.Problem) error {
 	lines := make([]string, len(problems))
 	for i, problem := range problems {
 		lines[i] = fmt.Sprintf("%s:%s", file, problem)
--- a/dogwoodctl/dogwoodtext/show.go
+++ b/dogwoodctl/dogwoodtext/show.go
@@ -10,13 +10,14 @@
 	"dogwoodmux.example/dogwoodctl/dogwoodfactory"
 )
 
-// ShowOptions are what show works with.
+// ShowOptions holds the flags and dependencies of show.
 type ShowOptions struct {
 	Factory *dogwoodfactory.Factory
 	JSON    bool
 }
 
-// NewShow makes the verb. run replaces its work in tests; nil means the work itself.
+// NewShow returns the subcommand that prints the text in force. run replaces its
+// implementation in tests; nil means the real one.
 func NewShow(factory *dogwoodfactory.Factory, run func(context.Context, *ShowOptions) error) *dogwoodsubcommand.Command {
 	options := &ShowOptions{Factory: factory}
 	if run == nil {
--- a/dogwoodctl/main.go
+++ b/dogwoodctl/main.go
@@ -1,5 +1,6 @@
-// Command dogwoodctl is the operators' command line: it edits the text, takes places out
-// and brings them back, and shows what the daemons do.
+// Command dogwoodctl is the operators' command line tool. It shows and changes the operators'
+// text, takes data centres and VMs out of service, brings them back and shows the state of the
+// daemons.
 package main
 
 import (
--- a/dogwoodmuxd/dogwoodcheck/check.go
+++ b/dogwoodmuxd/dogwoodcheck/check.go
@@ -1,5 +1,5 @@
-// Package dogwoodcheck is the verb that checks a settings file or an operators' text
-// without starting anything.
+// Package dogwoodcheck holds the subcommand that checks a settings file or an operators' text
+// without starting the daemon.
 package dogwoodcheck
 
 import (
@@ -12,14 +12,15 @@
 	"dogwoodmux.example/dogwoodmuxd/dogwoodfactory"
 )
 
-// Options are what check works with.
+// Options holds the flags and dependencies of check.
 type Options struct {
 	Factory  *dogwoodfactory.Factory
 	Settings string
 	Text     string
 }
 
-// New makes the verb. run replaces its work in tests; nil means the work itself.
+// New returns the check subcommand. run replaces its implementation in tests; nil means the
+// real one.
 func New(factory *dogwoodfactory.Factory, run func(context.Context, *Options) error) *dogwoodsubcommand.Command {
 	options := &Options{Factory: factory}
 	if run == nil {
@@ -47,7 +48,7 @@
 	})
 }
 
-// Run checks the files and returns the first one's faults.
+// Run checks the files in order and returns the faults of the first file that has any.
 func Run(_ context.Context, options *Options) error {
 	return dogwoodsubcommand.CheckFiles(options.Factory.Out, options.Factory.ReadFile, []dogwoodsubcommand.FileCheck{
 		{Name: options.Settings, Check: func(source []byte) error {
--- a/dogwoodmuxd/dogwoodfactory/factory.go
+++ b/dogwoodmuxd/dogwoodfactory/factory.go
@@ -1,5 +1,5 @@
-// Package dogwoodfactory holds what every command of the daemon's program is made with:
-// the streams, the signals and the way to start a daemon. Tests make one of their own.
+// Package dogwoodfactory provides the dependencies of dogwoodmuxd's subcommands: the streams,
+// the signals and the function that starts a daemon. Tests replace them.
 package dogwoodfactory
 
 import (
@@ -14,12 +14,12 @@
 	"dogwoodmux.example/core/dogwooddaemon"
 )
 
-// Factory makes what commands need.
+// Factory holds the dependencies of the subcommands.
 type Factory struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
-	// Signals brings the signals that ask the process to end.
+	// Signals receives the signals that request termination.
 	Signals <-chan os.Signal
 	// Start starts a daemon.
 	Start func(ctx context.Context, options dogwooddaemon.Options) (Daemon, error)
@@ -27,23 +27,24 @@
 	ReadFile func(name string) ([]byte, error)
 }
 
-// Daemon is a running daemon as the commands use it.
+// Daemon is the part of a running daemon that the subcommands use.
 type Daemon interface {
-	// Wait returns when the daemon has failed or the context has ended.
+	// Wait blocks until the daemon fails or the context ends.
 	Wait(ctx context.Context)
-	// Stop shuts down gracefully for as long as the context allows.
+	// Stop shuts the daemon down gracefully. When the context ends, it stops waiting for
+	// running requests.
 	Stop(ctx context.Context) error
-	// Kill ends at once.
+	// Kill ends the daemon at once.
 	Kill()
 }
 
-// signalsKept is room for the two signals that matter: the first shuts down, the second
-// ends at once.
-const signalsKept = 2
+// signalBuffer is the capacity for the two signals that have an effect: the first starts a
+// graceful shutdown, the second ends the daemon at once.
+const signalBuffer = 2
 
-// New returns the factory of a real process and the function that ends its signals.
+// New returns the factory of a real process and a function that stops the delivery of signals.
 func New() (*Factory, func()) {
-	signals := make(chan os.Signal, signalsKept)
+	signals := make(chan os.Signal, signalBuffer)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	factory := &Factory{
 		In: os.Stdin, Out: os.Stdout, Err: os.Stderr,
@@ -56,7 +57,7 @@
 	return factory, func() { signal.Stop(signals) }
 }
 
-// Logger returns a logger to the error stream. An empty level is "info".
+// Logger returns a logger that writes to the error stream. An empty level means "info".
 func (factory *Factory) Logger(level string) hclog.Logger {
 	if level == "" {
 		level = "info"
--- a/dogwoodmuxd/dogwoodroot/root.go
+++ b/dogwoodmuxd/dogwoodroot/root.go
@@ -1,4 +1,4 @@
-// Package dogwoodroot puts the verbs together and runs the one that was asked for.
+// Package dogwoodroot registers the subcommands of dogwoodmuxd and runs the requested one.
 package dogwoodroot
 
 import (
@@ -16,7 +16,7 @@
 
 const program = "dogwoodmuxd"
 
-// Run parses the arguments, runs the verb and returns the process's exit code.
+// Run parses the arguments, runs the subcommand and returns the process's exit code.
 func Run(factory *dogwoodfactory.Factory, arguments []string) int {
 	flags := flag.NewFlagSet(program, flag.ContinueOnError)
 	flags.SetOutput(factory.Err)
--- a/dogwoodmuxd/dogwoodroot/root_test.go
+++ b/dogwoodmuxd/dogwoodroot/root_test.go
@@ -17,7 +17,7 @@
 	"AdminKey": {"Value": "a"}, "PeerKey": {"Value": "p"},
 }`
 
-func TestVerbs(t *testing.T) {
+func TestSubcommands(t *testing.T) {
 	files := map[string]string{
 		"entry-1.jsonc": goodSettings,
 		"wrong.jsonc":   strings.Replace(goodSettings, `"VM"`, `"VN"`, 1),
--- a/dogwoodmuxd/dogwoodserve/serve.go
+++ b/dogwoodmuxd/dogwoodserve/serve.go
@@ -1,4 +1,4 @@
-// Package dogwoodserve is the verb that runs a daemon.
+// Package dogwoodserve holds the subcommand that runs a daemon.
 package dogwoodserve
 
 import (
@@ -16,19 +16,20 @@
 	"dogwoodmux.example/dogwoodmuxd/dogwoodfactory"
 )
 
-// defaultGrace is the longest that a graceful shutdown takes: the longest deadline that a
-// text may allow, so that no running request is cut, and what it takes to leave the lists. A
-// daemon whose requests have ended exits at once.
+// defaultGrace bounds a graceful shutdown. It is the longest deadline that an operators' text
+// may allow, so that no running request is cut, plus the time to remove the daemon from the
+// lists of daemons. A daemon exits as soon as its requests have ended.
 const defaultGrace = dogwoodsettings.LongestDeadline + time.Minute
 
-// Options are what serve works with.
+// Options holds the flags and dependencies of serve.
 type Options struct {
 	Factory  *dogwoodfactory.Factory
 	Settings string
 	Grace    time.Duration
 }
 
-// New makes the verb. run replaces its work in tests; nil means the work itself.
+// New returns the serve subcommand. run replaces its implementation in tests; nil means the
+// real one.
 func New(factory *dogwoodfactory.Factory, run func(context.Context, *Options) error) *dogwoodsubcommand.Command {
 	options := &Options{Factory: factory}
 	if run == nil {
@@ -57,7 +58,7 @@
 	})
 }
 
-// Run serves until a signal, the daemon's failure or the end of the context.
+// Run runs the daemon until a signal arrives, the daemon fails or the context ends.
 func Run(ctx context.Context, options *Options) error {
 	source, err := options.Factory.ReadFile(options.Settings)
 	if err != nil {
@@ -73,17 +74,18 @@
 	if err != nil {
 		return fmt.Errorf("starting: %w", err)
 	}
-	waiting, stop := context.WithCancel(ctx)
+	waitCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	return untilSignal(waiting, stop, daemon, options)
+	return runUntilSignal(waitCtx, stop, daemon, options)
 }
 
-// errCut tells a supervisor that this was no graceful end.
-var errCut = errors.New("ended at once by a second signal; requests that ran were cut")
+// errForcedStop makes the process exit with a failure, so that a supervisor sees that the
+// shutdown was not graceful.
+var errForcedStop = errors.New("ended at once by a second signal; requests that ran were cut")
 
-// untilSignal waits for the first signal or the daemon's own end, then shuts down; the
-// second signal ends the shutdown.
-func untilSignal(ctx context.Context, cancel context.CancelFunc, daemon dogwoodfactory.Daemon, options *Options) error {
+// runUntilSignal waits for a signal, the daemon's failure or the end of the context, then shuts
+// the daemon down gracefully. A second signal ends the daemon at once.
+func runUntilSignal(ctx context.Context, cancel context.CancelFunc, daemon dogwoodfactory.Daemon, options *Options) error {
 	ended := make(chan struct{})
 	var waiter sync.WaitGroup
 	waiter.Go(func() {
@@ -106,6 +108,6 @@
 	case <-options.Factory.Signals:
 		stop()
 		daemon.Kill()
-		return errors.Join(errCut, <-stopped)
+		return errors.Join(errForcedStop, <-stopped)
 	}
 }
--- a/dogwoodmuxd/dogwoodserve/serve_test.go
+++ b/dogwoodmuxd/dogwoodserve/serve_test.go
@@ -24,7 +24,7 @@
 	"AdminKey": {"Value": "admin"}, "PeerKey": {"Value": "peer"},
 }`
 
-// fakeDaemon takes a minute to stop unless it is killed.
+// fakeDaemon needs one minute for a graceful shutdown unless it is killed.
 type fakeDaemon struct {
 	failed chan struct{}
 	killed chan struct{}
@@ -63,7 +63,7 @@
 		wantErr  error
 	}{
 		{name: "the first signal shuts down gracefully", signals: 1, grace: time.Hour, wantTook: time.Minute},
-		{name: "the second signal ends at once", signals: 2, grace: time.Hour, wantTook: time.Second, wantErr: errCut},
+		{name: "the second signal ends at once", signals: 2, grace: time.Hour, wantTook: time.Second, wantErr: errForcedStop},
 		{name: "a daemon that fails is shut down", fails: true, grace: time.Hour, wantTook: time.Minute},
 		{name: "the grace bounds the shutdown", signals: 1, grace: 5 * time.Second, wantTook: 5 * time.Second, wantErr: context.DeadlineExceeded},
 	}
@@ -89,12 +89,12 @@
 						close(daemon.failed)
 					}
 				})
-				begun := time.Now()
+				started := time.Now()
 				err := Run(t.Context(), &Options{Factory: factory, Settings: "daemon.json", Grace: test.grace})
 				if !errors.Is(err, test.wantErr) {
 					t.Errorf("got %v, want %v", err, test.wantErr)
 				}
-				if got := time.Since(begun); got != test.wantTook {
+				if got := time.Since(started); got != test.wantTook {
 					t.Errorf("ended after %v, want %v", got, test.wantTook)
 				}
 				group.Wait()
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestServeRefusesFaultySettings(t *testing.T) {
+func TestServeRejectsInvalidSettings(t *testing.T) {
 	factory := &dogwoodfactory.Factory{ReadFile: func(string) ([]byte, error) {
 		return []byte(strings.Replace(goodSettings, `"VM"`, `"WM"`, 1)), nil
 	}}
--- a/dogwoodmuxd/main.go
+++ b/dogwoodmuxd/main.go
@@ -1,4 +1,4 @@
-// Command dogwoodmuxd is the daemon: one on each entry VM, all equal.
+// Command dogwoodmuxd runs the daemon. Each entry VM runs one; all daemons are peers.
 package main
 
 import (
@@ -13,7 +13,7 @@
 }
 
 func run() int {
-	factory, end := dogwoodfactory.New()
-	defer end()
+	factory, stop := dogwoodfactory.New()
+	defer stop()
 	return dogwoodroot.Run(factory, os.Args[1:])
 }
