--- a/core/dogwoodburnreport/report_test.go
+++ b/core/dogwoodburnreport/report_test.go
@@ -92,6 +92,8 @@
 	}
 }
 
+// A report made before any request has no lines and no series. Every format must still be written
+// without an error.
 func TestEmptyReportIsWritten(t *testing.T) {
 	report := &dogwoodburn.Report{At: reportTime}
 	for _, test := range []struct {
--- a/core/dogwooddaemon/admin.go
+++ b/core/dogwooddaemon/admin.go
@@ -160,16 +160,16 @@
 	return dogwoodadminapi.Entry{Addresses: drawn.Addresses, KeepSeconds: drawn.KeepSeconds}
 }
 
-// convictions lists the requests that the local owner refuses as crashing.
+// convictions lists the requests that the local owner rejects because they crashed endpoints.
 type convictions struct {
 	owner *dogwoodowner.Owner
 }
 
-// Convictions returns the requests that are refused because endpoints died running them.
+// Convictions returns the convictions of the local owner with their digests in hexadecimal.
 func (convictions convictions) Convictions() []dogwoodadminapi.Conviction {
-	known := convictions.owner.Convictions()
-	listed := make([]dogwoodadminapi.Conviction, len(known))
-	for i, conviction := range known {
+	current := convictions.owner.Convictions()
+	listed := make([]dogwoodadminapi.Conviction, len(current))
+	for i, conviction := range current {
 		listed[i] = dogwoodadminapi.Conviction{Digest: hex.EncodeToString(conviction.Digest[:]), Expires: conviction.Until}
 	}
 	return listed
--- a/core/dogwooddaemon/changes.go
+++ b/core/dogwooddaemon/changes.go
@@ -56,7 +56,8 @@
 	return emptyText
 }
 
-// ready reports whether this daemon has the latest version known to the store and its peers.
+// ready reports whether this daemon has caught up with the latest version at the store and its
+// peers since its start.
 func (changes *changes) ready() bool {
 	select {
 	case <-changes.duty.Ready():
--- a/core/dogwooddaemon/daemon.go
+++ b/core/dogwooddaemon/daemon.go
@@ -106,7 +106,7 @@
 	return daemon.environment.instance
 }
 
-// Wait blocks until a duty fails, the daemon stops or the context ends.
+// Wait blocks until a background task fails, the daemon stops or the context ends.
 func (daemon *Daemon) Wait(ctx context.Context) {
 	daemon.kernel.Wait(ctx)
 }
--- a/core/dogwooddaemon/engine.go
+++ b/core/dogwooddaemon/engine.go
@@ -83,9 +83,9 @@
 }
 
 // Do sends a call to a plain service.
-func (services dispatchServices) Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, order dogwooddispatch.ServiceOrder) (*dogwooddispatch.ServiceAnswer, error) {
+func (services dispatchServices) Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, call dogwooddispatch.ServiceOrder) (*dogwooddispatch.ServiceAnswer, error) {
 	response, err := services.client.Do(ctx, endpoint, dogwoodservice.Order{ //nolint:bodyclose // the dispatcher closes it
-		ID: order.ID, Method: order.Method, Target: order.Target, Header: order.Header, Body: order.Body,
+		ID: call.ID, Method: call.Method, Target: call.Target, Header: call.Header, Body: call.Body,
 	})
 	if err == nil {
 		return &dogwooddispatch.ServiceAnswer{Status: response.StatusCode, Header: response.Header, Body: response.Body}, nil
--- a/core/dogwooddaemon/members.go
+++ b/core/dogwooddaemon/members.go
@@ -41,7 +41,7 @@
 		return nil, needs.Err
 	}
 	settings, logger := environment.settings, kernel.Named(pluginMembers)
-	known := dogwoodmember.New(dogwoodmember.Options{
+	memberList := dogwoodmember.New(dogwoodmember.Options{
 		Self: dogwoodmember.Member{
 			VM: settings.VM, Instance: environment.instance, Place: environment.place,
 			Serve: settings.Serve, Peer: settings.Peer, Admin: settings.Admin, Started: time.Now(),
@@ -49,13 +49,13 @@
 		Neighbours: neighbours{},
 		Logger:     logger,
 	})
-	duty := dogwoodmembership.New(dogwoodmembership.Options{Members: known, Caller: peer, List: platform, Logger: logger})
+	duty := dogwoodmembership.New(dogwoodmembership.Options{Members: memberList, Caller: peer, List: platform, Logger: logger})
 	if err := peer.server.Register(dogwoodmembership.Name, duty.Receiver()); err != nil {
 		return nil, Error.Wrap(err)
 	}
 	environment.leaveHooks.add(duty.Leave)
 	kernel.Go("membership", duty.Run)
-	return &dogwoodkernel.Made[members]{Value: members{Members: known, alive: &atomic.Pointer[aliveCache]{}}}, nil
+	return &dogwoodkernel.Made[members]{Value: members{Members: memberList, alive: &atomic.Pointer[aliveCache]{}}}, nil
 }
 
 // neighbours selects a daemon's neighbours: all daemons while there are few, else some of them.
@@ -68,23 +68,23 @@
 
 // Alive lists the live daemons, including this one.
 func (members members) Alive() []dogwooddispatch.Member {
-	known := members.Members.Alive()
-	if cached := members.alive.Load(); cached != nil && len(cached.source) == len(known) && &cached.source[0] == &known[0] {
+	source := members.Members.Alive()
+	if cached := members.alive.Load(); cached != nil && len(cached.source) == len(source) && &cached.source[0] == &source[0] {
 		return cached.members
 	}
-	alive := make([]dogwooddispatch.Member, len(known))
-	for i, member := range known {
+	alive := make([]dogwooddispatch.Member, len(source))
+	for i, member := range source {
 		alive[i] = dogwooddispatch.Member{Instance: member.Instance, Place: member.Place, Peer: member.Peer, Leaving: member.Leaving}
 	}
-	members.alive.Store(&aliveCache{source: known, members: alive})
+	members.alive.Store(&aliveCache{source: source, members: alive})
 	return alive
 }
 
 // Entries lists the daemons whose addresses callers may be given.
 func (members members) Entries() []dogwoodentry.Member {
-	known := members.Members.Alive()
-	entries := make([]dogwoodentry.Member, len(known))
-	for i, member := range known {
+	alive := members.Members.Alive()
+	entries := make([]dogwoodentry.Member, len(alive))
+	for i, member := range alive {
 		entries[i] = dogwoodentry.Member{Serve: member.Serve, Place: member.Place, Leaving: !members.InService(member)}
 	}
 	return entries
--- a/core/dogwooddaemon/metrics_test.go
+++ b/core/dogwooddaemon/metrics_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// Every metric that a daemon exports must be described in docs/METRICS.md.
 func TestMetricsPageNamesAllVariables(t *testing.T) {
 	page, err := os.ReadFile("../../docs/METRICS.md")
 	if err != nil {
--- a/core/dogwooddaemon/serve.go
+++ b/core/dogwooddaemon/serve.go
@@ -50,7 +50,7 @@
 	}}, nil
 }
 
-// serveHTTP starts a duty that runs a server until the kernel stops.
+// serveHTTP starts a background task that runs a server until the kernel stops.
 func serveHTTP(kernel *dogwoodkernel.Kernel, name string, server *http.Server, listener net.Listener) {
 	kernel.Go(name, func(ctx context.Context) error { return serveUntil(ctx, server, listener) })
 }
--- a/core/dogwooddaemon/suspects.go
+++ b/core/dogwooddaemon/suspects.go
@@ -12,7 +12,7 @@
 // maxConcurrentNotices bounds the concurrent calls that send notices to other owners.
 const maxConcurrentNotices = 64
 
-// suspectPeers exchanges trials and notices of suspects with the other owners.
+// suspectPeers exchanges permit requests and notices of suspects with the other owners.
 type suspectPeers struct {
 	ownership *ownership
 	members   members
@@ -20,7 +20,8 @@
 	self      dogwoodfleet.InstanceID
 }
 
-// Trial sends a trial to the digest's home, which may be this daemon, and returns the answer.
+// Trial sends a permit request to the digest's home, the daemon that grants the permits to
+// run the suspect, and returns the answer. The home may be this daemon.
 func (peers *suspectPeers) Trial(ctx context.Context, trial dogwoodsuspect.Trial) (dogwoodsuspect.TrialAnswer, error) {
 	alive := peers.members.Alive()
 	instances := make([]dogwoodfleet.InstanceID, len(alive))
--- a/core/dogwoodfleet/fleet.go
+++ b/core/dogwoodfleet/fleet.go
@@ -40,7 +40,8 @@
 // RequestID identifies an attempt, or a single try of it, within the system. It is unique.
 type RequestID string
 
-// NewRequestID returns the holder's ID with this number.
+// NewRequestID returns the ID of a request from the daemon that holds it and a number that is
+// unique at that daemon.
 func NewRequestID(holder InstanceID, number uint64) RequestID {
 	return RequestID(fmt.Sprintf("%s-%d", holder, number))
 }
@@ -97,8 +98,8 @@
 	Place    Place
 	Address  netip.AddrPort
 	Instance InstanceID // empty until the endpoint has reported it
-	// InForce is false if operators took its place out or its VM is leaving. The endpoint then
-	// gets no new requests.
+	// InForce is false if operators took its data centre or its VM out, or if the VM or the
+	// endpoint is leaving. The endpoint then gets no new requests.
 	InForce bool
 	// MemoryTokens is the capacity of the engine's KV memory in tokens; 0 if unknown and for
 	// plain servers.
--- a/core/dogwoodfleet/run.go
+++ b/core/dogwoodfleet/run.go
@@ -11,7 +11,7 @@
 	RunUnknown RunState = "Unknown"
 )
 
-// Reason is why a request was refused or failed. Package dogwoodcaller maps it to an HTTP status.
+// Reason is why a request was rejected or failed. Package dogwoodcaller maps it to an HTTP status.
 type Reason string
 
 // The reasons.
@@ -26,7 +26,7 @@
 	ReasonStore         Reason = "Store"         // the platform's table service is unreachable
 	ReasonEndpointDied  Reason = "EndpointDied"  // the endpoint died or the connection to it broke
 	ReasonEndpointError Reason = "EndpointError" // the endpoint answered with an error
-	ReasonCancelled     Reason = "Cancelled"     // the caller left
+	ReasonCancelled     Reason = "Cancelled"     // the caller disconnected
 	ReasonShutdown      Reason = "Shutdown"      // this daemon is shutting down
 	ReasonInternal      Reason = "Internal"
 	ReasonBadRequest    Reason = "BadRequest" // the request is malformed
--- a/core/dogwoodkernel/kernel.go
+++ b/core/dogwoodkernel/kernel.go
@@ -1,8 +1,8 @@
 // Package dogwoodkernel starts and stops the parts of a process. A plug-in registers itself
 // by name in its init function, as database drivers do; a program imports the plug-ins that
 // it uses. The kernel starts plug-ins in the order of their dependencies, gives each a
-// context and a named logger, runs their duties (background functions) in one group and
-// stops the parts in reverse order. Duties exchange values over the rings of dogwoodring.
+// context and a named logger, runs their background tasks in one group and stops the parts
+// in reverse order. Background tasks exchange values over the rings of dogwoodring.
 package dogwoodkernel
 
 import (
@@ -21,8 +21,8 @@
 
 // Part is one started plug-in.
 type Part interface {
-	// Stop stops the part. The duties keep running until all parts are stopped. The context
-	// limits how long a graceful stop may take.
+	// Stop stops the part. The background tasks keep running until all parts are stopped. The
+	// context limits how long a graceful stop may take.
 	Stop(ctx context.Context) error
 }
 
@@ -31,7 +31,7 @@
 	Name string
 	// Needs are the names of the plug-ins that must be started first.
 	Needs []string
-	// Start creates the part and starts its duties with kernel.Go. It must not block.
+	// Start creates the part and starts its background tasks with kernel.Go. It must not block.
 	Start func(ctx context.Context, kernel *Kernel) (Part, error)
 }
 
@@ -59,21 +59,21 @@
 	Settings any
 
 	group      *errgroup.Group
-	dutyCtx    context.Context //nolint:containedctx // the lifetime of the kernel's own group, not of a call
+	taskCtx    context.Context //nolint:containedctx // the lifetime of the kernel's own group, not of a call
 	cancel     context.CancelFunc
 	parts      map[string]Part
 	startOrder []string
 }
 
-// New returns a kernel. Its duties' context ends when ctx does.
+// New returns a kernel. The context of its background tasks ends when ctx does.
 func New(ctx context.Context, logger hclog.Logger, settings any) *Kernel {
 	runCtx, cancel := context.WithCancel(ctx)
-	group, dutyCtx := errgroup.WithContext(runCtx)
+	group, taskCtx := errgroup.WithContext(runCtx)
 	return &Kernel{
 		Logger:   logger,
 		Settings: settings,
 		group:    group,
-		dutyCtx:  dutyCtx,
+		taskCtx:  taskCtx,
 		cancel:   cancel,
 		parts:    map[string]Part{},
 	}
@@ -84,11 +84,12 @@
 	return kernel.Logger.Named(name)
 }
 
-// Go runs a duty in the kernel's group. If it returns an error, the context of all duties ends.
-func (kernel *Kernel) Go(name string, duty func(ctx context.Context) error) {
+// Go runs a background task in the kernel's group. If it returns an error, the context of all
+// background tasks ends.
+func (kernel *Kernel) Go(name string, task func(ctx context.Context) error) {
 	kernel.group.Go(func() error {
-		err := duty(kernel.dutyCtx)
-		if err == nil || kernel.dutyCtx.Err() != nil {
+		err := task(kernel.taskCtx)
+		if err == nil || kernel.taskCtx.Err() != nil {
 			return nil
 		}
 		return Error.Wrap(fmt.Errorf("duty %s: %w", name, err))
@@ -146,16 +147,18 @@
 	return nil
 }
 
-// Wait blocks until a duty fails, the kernel stops, or the kernel's context or ctx ends.
+// Wait blocks until a background task fails, the kernel stops, or the kernel's context or ctx
+// ends.
 func (kernel *Kernel) Wait(ctx context.Context) {
 	select {
-	case <-kernel.dutyCtx.Done():
+	case <-kernel.taskCtx.Done():
 	case <-ctx.Done():
 	}
 }
 
-// Stop stops the parts in reverse order of their start, then ends the context of the duties
-// and waits for them. It returns the errors of the parts and of the first duty that failed.
+// Stop stops the parts in reverse order of their start, then ends the context of the
+// background tasks and waits for them. It returns the errors of the parts and of the first
+// background task that failed.
 func (kernel *Kernel) Stop(ctx context.Context) error {
 	var stopErrs errs.Group
 	for _, name := range slices.Backward(kernel.startOrder) {
--- a/core/dogwoodkernel/kernel_test.go
+++ b/core/dogwoodkernel/kernel_test.go
@@ -53,12 +53,12 @@
 	}
 }
 
-func TestFailedDutyStopsKernel(t *testing.T) {
+func TestFailedBackgroundTaskStopsKernel(t *testing.T) {
 	kernel := New(t.Context(), hclog.NewNullLogger(), nil)
-	errDuty := errors.New("broken")
-	kernel.Go("breaks", func(context.Context) error { return errDuty })
+	errTask := errors.New("broken")
+	kernel.Go("breaks", func(context.Context) error { return errTask })
 	kernel.Wait(t.Context())
-	if got := kernel.Stop(t.Context()); !errors.Is(got, errDuty) {
-		t.Errorf("got %v, want %v", got, errDuty)
+	if got := kernel.Stop(t.Context()); !errors.Is(got, errTask) {
+		t.Errorf("got %v, want %v", got, errTask)
 	}
 }
--- a/core/dogwoodkernel/sleep.go
+++ b/core/dogwoodkernel/sleep.go
@@ -24,7 +24,7 @@
 	return mean/2 + rand.N(mean)
 }
 
-// Backoff is an exponential backoff with jitter, so that writers in conflict retry at
+// Backoff is an exponential backoff with jitter, so that callers that fail together retry at
 // different times.
 type Backoff struct {
 	// First is the mean of the first wait, and Longest is the largest mean of any wait.
--- a/core/dogwoodlog/messages.go
+++ b/core/dogwoodlog/messages.go
@@ -10,7 +10,7 @@
 	Placed = "Placed."
 	// FirstEvent means that the first event of a stream arrived.
 	FirstEvent = "First event."
-	// Silent means that an endpoint sent nothing for longer than a stream may be silent.
+	// Silent means that an endpoint sent nothing for longer than a stream's silence limit.
 	Silent = "An endpoint is silent."
 	// TryingAgain means that another try follows.
 	TryingAgain = "Trying again."
@@ -18,7 +18,7 @@
 	NoFurtherTry = "No further try."
 	// Answered means that the whole answer was sent to the caller.
 	Answered = "Answered."
-	// NotAnswered means that the request was refused or failed, its answer was cut, or the
-	// caller left.
+	// NotAnswered means that the request was rejected or failed, its answer was cut, or the
+	// caller disconnected.
 	NotAnswered = "Not answered."
 )
--- a/core/dogwoodlog/writer.go
+++ b/core/dogwoodlog/writer.go
@@ -1,10 +1,10 @@
 // Package dogwoodlog writes log lines without blocking the goroutines that log.
 //
 // If requests wrote to the log directly, a reader that stops would block all of them. Here,
-// lines go into a bounded ring, and a separate duty writes them. While the ring is at least
-// half full, the ordinary lines of most requests are left out, so that the lines of refusals
-// and failures are kept; while it is full, all lines are dropped. Both are counted, and the
-// counts are written after the next line.
+// lines go into a bounded ring, and a separate goroutine writes them. While the ring is at
+// least half full, the ordinary lines of most requests are left out, so that the lines of
+// rejected and failed requests are kept; while it is full, all lines are dropped. Both are
+// counted, and the counts are written after the next line.
 package dogwoodlog
 
 import (
--- a/core/dogwoodproblem/problem.go
+++ b/core/dogwoodproblem/problem.go
@@ -1,6 +1,6 @@
 // Package dogwoodproblem defines the body of the system's HTTP error responses: the problem
-// details of RFC 9457, extended by whether the request was run, why it was refused and the
-// request's ID.
+// details of RFC 9457, extended by whether the request was run, why it was rejected or failed,
+// and the request's ID.
 package dogwoodproblem
 
 import (
@@ -92,7 +92,7 @@
 		header.Set("Retry-After", RetryAfterSeconds(problem.RetryAfter))
 	}
 	writer.WriteHeader(problem.Status)
-	_, _ = writer.Write(encoded) // if the caller has left, there is nobody to report the error to
+	_, _ = writer.Write(encoded) // the caller may have disconnected
 }
 
 // RetryAfterSeconds formats a wait for the Retry-After header: whole seconds, rounded up, at
--- a/core/dogwoodring/ring.go
+++ b/core/dogwoodring/ring.go
@@ -1,4 +1,4 @@
-// Package dogwoodring provides bounded queues between duties.
+// Package dogwoodring provides bounded queues between goroutines.
 package dogwoodring
 
 import (
@@ -27,7 +27,7 @@
 // ringsFull counts, by the ring's name, the values that were rejected, dropped or delayed.
 var ringsFull = expvar.NewMap("RingsFull")
 
-// Ring is a bounded queue between two duties. Without a bound, a burst that is faster than the
+// Ring is a bounded queue between goroutines. Without a bound, a burst that is faster than the
 // reader would grow the queue until the process runs out of memory. A full ring rejects new
 // values, drops the oldest or blocks the writer, as set in New, and counts this in RingsFull.
 type Ring[T any] struct {
--- a/core/edge/dogwoodcaller/caller_test.go
+++ b/core/edge/dogwoodcaller/caller_test.go
@@ -91,7 +91,9 @@
 
 const promptBody = `{"model":"model","messages":[{"role":"user","content":"hello"}]}`
 
-func TestRefusalsBeforeDispatch(t *testing.T) {
+// Guards against a request that is dispatched although the daemon must reject it, and against a
+// rejection that does not state that the request was not run.
+func TestRejectionsBeforeDispatch(t *testing.T) {
 	tests := []struct {
 		name                 string
 		method, target, body string
@@ -135,6 +137,8 @@
 	}
 }
 
+// Guards against an API key or a header of the caller's connection that is forwarded to the
+// endpoint, and against an answer that reaches the caller changed.
 func TestPlainCallIsForwarded(t *testing.T) {
 	fake := &fakeDispatcher{answer: &dogwooddispatch.WholeAnswer{
 		Status: http.StatusCreated, Header: http.Header{"X-Answer": {"1"}, "Connection": {"X-Hop"}, "X-Hop": {"1"}}, Body: []byte("held"), Stored: true,
@@ -159,6 +163,7 @@
 	}
 }
 
+// Guards against a call with side effects that counts as repeatable and is therefore run twice.
 func TestRepeatable(t *testing.T) {
 	tests := []struct {
 		method, path string
@@ -195,7 +200,7 @@
 	}
 }
 
-func TestRefusalCarriesRetryAfter(t *testing.T) {
+func TestRejectionCarriesRetryAfter(t *testing.T) {
 	fake := &fakeDispatcher{err: &dogwooddispatch.Failure{Reason: dogwoodfleet.ReasonShare, Run: dogwoodfleet.NotRun, RetryAfter: 1500 * time.Millisecond}}
 	recorder := send(newTestEdge(fake), "POST", "/v1/chat/completions", promptBody)
 	if got, want := recorder.Header().Get("Retry-After"), "2"; recorder.Code != http.StatusTooManyRequests || got != want {
--- a/core/edge/dogwoodengine/connection.go
+++ b/core/edge/dogwoodengine/connection.go
@@ -27,7 +27,7 @@
 	EventProgress = "progress"
 )
 
-// frame is one event of an engine's stream.
+// frame is one event as received over a connection, before Stream.accept checks it.
 type frame struct {
 	id    string
 	index int
--- a/core/edge/dogwoodengine/errors.go
+++ b/core/edge/dogwoodengine/errors.go
@@ -62,7 +62,7 @@
 	return fmt.Sprintf("engine has %d tokens free", memory.FreeTokens)
 }
 
-// Unknown means that an engine does not know the request or reservation.
+// Unknown means that an engine has no record of the request or reservation.
 type Unknown struct{ Instance dogwoodfleet.InstanceID }
 
 func (unknown *Unknown) Error() string {
--- a/core/edge/dogwoodengine/gang.go
+++ b/core/edge/dogwoodengine/gang.go
@@ -97,7 +97,7 @@
 		var noMemory *NoMemory
 		if errors.As(err, &noMemory) {
 			// This engine reserved nothing. The shares of the others are released now and not in
-			// the background, since the next round reserves under the same ID.
+			// the background, since the retry reserves under the same ID.
 			gang.releaseOnce(ctx, gang.members[:index])
 			return err
 		}
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// releaseOnce releases the members' reservations without retries. If a release is lost, the
-// next round renews the reservation or its lease expires.
+// releaseOnce releases the members' reservations once, even if that fails. If a release is lost,
+// the next call of reserveAll renews the reservation, or its lease expires.
 func (gang *gangReservation) releaseOnce(ctx context.Context, members []dogwoodfleet.Endpoint) {
 	for _, member := range members {
 		if err := gang.client.Release(ctx, member, gang.id); err != nil {
--- a/core/edge/dogwoodengine/run.go
+++ b/core/edge/dogwoodengine/run.go
@@ -96,10 +96,10 @@
 	return nil, client.confirmNotStarted(ctx, stream, unknown.Instance, cause)
 }
 
-// confirmNotStarted cancels a request that the engine does not know, so that the engine
+// confirmNotStarted cancels a request of which the engine has no record, so that the engine
 // process refuses its ID from then on. Without the cancel, bytes still in transit could start
-// the request after its caller was told "not run". The error is *NotStarted if the engine
-// confirms that the request did not begin, else *Broken.
+// the request after its caller was sent the answer "not run". The error is *NotStarted if the
+// engine confirms that the request did not begin, else *Broken.
 func (client *Client) confirmNotStarted(ctx context.Context, stream *Stream, instance dogwoodfleet.InstanceID, cause error) error {
 	defer stream.Close()
 	cancelled, err := client.cancelOnce(ctx, stream.endpoint, stream.run.ID)
@@ -108,8 +108,8 @@
 	}
 	stream.ended = true
 	// The request may have run on an earlier process at that address, which has died since.
-	// Only the process that the owner knew before the start can confirm that it did not.
-	if known := stream.endpoint.Instance; known == "" || known != instance {
+	// Only the process that the owner had recorded before the start can confirm that it did not.
+	if recorded := stream.endpoint.Instance; recorded == "" || recorded != instance {
 		return stream.brokenError(cause)
 	}
 	return &NotStarted{Endpoint: stream.endpoint.ID, Cause: cause}
--- a/core/edge/dogwoodengine/start_test.go
+++ b/core/edge/dogwoodengine/start_test.go
@@ -54,22 +54,23 @@
 }
 
 // If a request that ran is reported as not run, its caller sends it again and it runs twice. The
-// client may return NotStarted only if the engine process that was known before the start confirms
+// client may return NotStarted only if the engine process that was recorded before the start confirms
 // it, and the transport must not resend the request.
 func TestStartOnBrokenConnection(t *testing.T) {
 	tests := []struct {
 		name   string
 		engine *breakingEngine
-		known  dogwoodfleet.InstanceID
-		want   any // a pointer to the type of the error, nil for a stream
+		// recorded is the engine process that the owner had recorded before the start.
+		recorded dogwoodfleet.InstanceID
+		want     any // a pointer to the type of the error, nil for a stream
 	}{
-		{name: "the engine did not begin", engine: &breakingEngine{instance: "i1"}, known: "i1", want: new(*NotStarted)},
-		{name: "the engine began", engine: &breakingEngine{instance: "i1", begun: true}, known: "i1", want: new(*Broken)},
-		{name: "another process responds", engine: &breakingEngine{instance: "i2"}, known: "i1", want: new(*Broken)},
-		{name: "the process was unknown", engine: &breakingEngine{instance: "i1"}, known: "", want: new(*Broken)},
-		{name: "the engine has the stream", engine: &breakingEngine{instance: "i1", listsRequest: true}, known: "i1"},
-		{name: "refused with not-run header", engine: &breakingEngine{instance: "i1", status: 503, header: HeaderNotRun}, known: "i1", want: new(*NotStarted)},
-		{name: "refused without not-run header", engine: &breakingEngine{instance: "i1", status: 503}, known: "i1", want: new(*Answered)},
+		{name: "the engine did not begin", engine: &breakingEngine{instance: "i1"}, recorded: "i1", want: new(*NotStarted)},
+		{name: "the engine began", engine: &breakingEngine{instance: "i1", begun: true}, recorded: "i1", want: new(*Broken)},
+		{name: "another process responds", engine: &breakingEngine{instance: "i2"}, recorded: "i1", want: new(*Broken)},
+		{name: "no process was recorded", engine: &breakingEngine{instance: "i1"}, recorded: "", want: new(*Broken)},
+		{name: "the engine has the stream", engine: &breakingEngine{instance: "i1", listsRequest: true}, recorded: "i1"},
+		{name: "refused with not-run header", engine: &breakingEngine{instance: "i1", status: 503, header: HeaderNotRun}, recorded: "i1", want: new(*NotStarted)},
+		{name: "refused without not-run header", engine: &breakingEngine{instance: "i1", status: 503}, recorded: "i1", want: new(*Answered)},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -77,7 +78,7 @@
 			defer server.Close()
 			client := New(Options{Silence: 10 * time.Second})
 			defer client.Close(t.Context())
-			endpoint := dogwoodfleet.Endpoint{ID: "engine", Instance: test.known, Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
+			endpoint := dogwoodfleet.Endpoint{ID: "engine", Instance: test.recorded, Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
 			stream, err := client.Start(t.Context(), endpoint, Run{ID: "r1", Path: PathChat, Body: []byte(`{}`)})
 			if stream != nil {
 				defer stream.Close()
@@ -105,8 +106,8 @@
 	defer client.Close(t.Context())
 	endpoint := dogwoodfleet.Endpoint{ID: "engine", Address: netip.MustParseAddrPort("127.0.0.1:1")}
 	_, err := client.Start(t.Context(), endpoint, Run{ID: "r1", Path: PathChat, Body: []byte(`{}`)})
-	var started *NotStarted
-	if !errors.As(err, &started) {
+	var notStarted *NotStarted
+	if !errors.As(err, &notStarted) {
 		t.Errorf("got %v, want NotStarted", err)
 	}
 }
--- a/core/edge/dogwoodengine/stream.go
+++ b/core/edge/dogwoodengine/stream.go
@@ -160,7 +160,7 @@
 
 // reconnect opens a new connection and resumes the stream at the next event. An engine that
 // responds is not considered silent, however long its prefill takes. The error is *Unknown if the
-// engine does not know the request.
+// engine has no record of the request.
 func (stream *Stream) reconnect(ctx context.Context, cause error) error {
 	stream.disconnect()
 	deadline := time.Now().Add(reconnectTimeoutFactor * stream.client.silence)
@@ -177,7 +177,7 @@
 			return unknown
 		}
 		// A refused connection means that no process listens there: the one that ran the request
-		// is dead, and a new one would not know the request.
+		// is dead, and a new one would have no record of the request.
 		if errors.Is(err, syscall.ECONNREFUSED) || ctx.Err() != nil || !time.Now().Before(deadline) {
 			return Error.New("%v, then %w", cause, err)
 		}
--- a/core/edge/dogwoodpeer/client.go
+++ b/core/edge/dogwoodpeer/client.go
@@ -74,8 +74,8 @@
 func (client *Client) Call(ctx context.Context, peer netip.AddrPort, method string, args, reply any) error {
 	calls.Add(method, 1)
 	err := client.call(ctx, peer, method, args, reply)
-	// That the peer closed an idle connection is detected only by the next call. No byte of
-	// that call was sent, so calling once more on a new connection can't run it twice.
+	// If the peer closes an idle connection, only the next call detects it. No byte of that
+	// call was sent, so a second call on a new connection can't run the method twice.
 	if errors.Is(err, rpc.ErrShutdown) && ctx.Err() == nil {
 		err = client.call(ctx, peer, method, args, reply)
 	}
--- a/core/edge/dogwoodpeer/peer_test.go
+++ b/core/edge/dogwoodpeer/peer_test.go
@@ -120,6 +120,8 @@
 	})
 }
 
+// Guards against a new connection for every call, and against an error of a method that is reported
+// as an unreachable peer.
 func TestCallsShareOneConnection(t *testing.T) {
 	runWithClient(t, "secret", func(ctx context.Context, client *Client, _ *testReceiver, network *pipeNetwork) {
 		for number := range 3 {
@@ -142,6 +144,7 @@
 	})
 }
 
+// A client with another key must not get a method run, and its call must be reported as not sent.
 func TestClientWithWrongKeyIsRejected(t *testing.T) {
 	runWithClient(t, "guess", func(ctx context.Context, client *Client, receiver *testReceiver, _ *pipeNetwork) {
 		var reply int
--- a/core/edge/dogwoodplatform/client.go
+++ b/core/edge/dogwoodplatform/client.go
@@ -2,9 +2,9 @@
 // describes: tables, objects, the VM list and the weight store.
 //
 // Calls are never retried by the client: after a lost answer, a hidden retry of a write would
-// conflict with the first write. Each service has a circuit breaker that admits one probe.
-// Without it, every claim during an outage would wait for its timeout and claims would pile
-// up; with it, they are rejected at once.
+// conflict with the first write. Each service has a circuit breaker that, while it is open,
+// admits one probe at a time. Without it, every claim of an idempotency key during an outage
+// would wait for its timeout and claims would pile up; with it, they are rejected at once.
 package dogwoodplatform
 
 import (
--- a/core/edge/dogwoodservice/service.go
+++ b/core/edge/dogwoodservice/service.go
@@ -2,10 +2,10 @@
 // and distinguishes a call that certainly was not sent from one that may have run.
 //
 // Every call opens a new connection. When a reused connection turns out to be broken,
-// net/http's Transport resends the request, with an Idempotency-Key header even a POST, and
-// a reservation would be made twice. On a new connection it never resends. A new connection
-// also can't be one that has fallen silent. It costs a round trip, about a millisecond inside
-// a region.
+// net/http's Transport resends the request, even a POST if it has an Idempotency-Key header,
+// and the call could run twice, for example make two bookings. On a new connection it never
+// resends. A kept connection may also have fallen silent. A new connection costs a round trip,
+// about a millisecond inside a region.
 package dogwoodservice
 
 import (
@@ -112,21 +112,21 @@
 
 // Do sends a call. The error is *NotSentError or *BrokenError. The caller must close the
 // response body, which is readable until the context ends. Do does not follow redirects.
-func (client *Client) Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, order Order) (*http.Response, error) {
+func (client *Client) Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, call Order) (*http.Response, error) {
 	var connected atomic.Bool
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	request, err := http.NewRequestWithContext(traced, order.Method, "http://"+endpoint.Address.String()+order.Target, bytes.NewReader(order.Body))
+	request, err := http.NewRequestWithContext(traced, call.Method, "http://"+endpoint.Address.String()+call.Target, bytes.NewReader(call.Body))
 	if err != nil {
 		return nil, Error.Wrap(&NotSentError{Endpoint: endpoint.ID, Err: err})
 	}
-	request.Header = EndToEnd(order.Header)
-	request.Header.Set(HeaderRequestID, string(order.ID))
+	request.Header = EndToEnd(call.Header)
+	request.Header.Set(HeaderRequestID, string(call.ID))
 	if _, given := request.Header["User-Agent"]; !given {
 		request.Header["User-Agent"] = nil // keeps net/http from adding its default
 	}
-	if len(order.Body) == 0 {
+	if len(call.Body) == 0 {
 		request.Body = http.NoBody
 	}
 	response, err := client.transport.RoundTrip(request)
--- a/core/edge/dogwoodservice/service_test.go
+++ b/core/edge/dogwoodservice/service_test.go
@@ -57,7 +57,7 @@
 
 // The server runs a call and the connection breaks before the response. net/http's Transport
 // resends a call with an Idempotency-Key if it reused the connection, so that the call runs twice
-// and makes two reservations. The client must not resend it, with or without a body.
+// and, for example, makes two bookings. The client must not resend it, with or without a body.
 func TestBrokenCallIsNotResent(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -131,6 +131,8 @@
 
 var endpoint = dogwoodfleet.Endpoint{ID: "server-1", Address: netip.MustParseAddrPort("10.0.0.1:80")}
 
+// If no connection could be made, the call certainly did not run. The client must report that, so
+// that the call can be sent to another endpoint.
 func TestFailedConnectionIsNotSent(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: errors.New("refused")}
 	client := New(func(context.Context, string, string) (net.Conn, error) { return nil, refused })
