--- a/dogwoodlocal/dogwoodenginestandin/answer.go
+++ b/dogwoodlocal/dogwoodenginestandin/answer.go
@@ -6,16 +6,17 @@
 	"strings"
 )
 
-// An answer consists of tokens "TAG:0 TAG:1 TAG:2 " and so on. The tag is the request's
-// X-Load-Id header, else what stands in its prompt between "load-id=" and a space, else the
-// engine's request id. So a hole, a repeat and another request's text all show.
+// tagMarker precedes the tag in a prompt. An answer consists of the tokens "TAG:0 TAG:1 TAG:2 "
+// and so on, so that a gap, a repetition or another request's text can be detected. The tag is
+// the request's X-Load-Id header, else the text between "load-id=" and the next space in its
+// prompt, else the engine's request ID.
 const tagMarker = "load-id="
 
 func answerToken(tag string, index int) string {
 	return tag + ":" + strconv.Itoa(index) + " "
 }
 
-// tagOf returns the tag that an answer to the prompt has, "" if the prompt names none.
+// tagOf returns the tag in the prompt, or "" if there is none.
 func tagOf(prompt []byte) string {
 	_, after, found := bytes.Cut(prompt, []byte(tagMarker))
 	if !found {
@@ -28,8 +29,8 @@
 	return string(after[:end])
 }
 
-// CheckAnswer returns an error unless the content is the whole answer, of that many tokens,
-// to the request with that tag.
+// CheckAnswer returns an error unless the content is the complete answer, of the given number
+// of tokens, to the request with the given tag.
 func CheckAnswer(content, tag string, tokens int) error {
 	rest := content
 	for index := range tokens {
--- a/dogwoodlocal/dogwoodenginestandin/batch.go
+++ b/dogwoodlocal/dogwoodenginestandin/batch.go
@@ -10,43 +10,44 @@
 	"dogwoodmux.example/core/edge/dogwoodengine"
 )
 
-// work steps the batch while there is something to compute, else it sleeps.
-func (engine *Engine) work(ctx context.Context) {
+// runBatch steps the batch while there is something to compute, and otherwise waits for a signal.
+func (engine *Engine) runBatch(ctx context.Context) {
 	for {
-		var next <-chan time.Time
+		var nextTick <-chan time.Time
 		if engine.step(ctx) {
-			next = time.After(tick)
+			nextTick = time.After(tick)
 		}
 		select {
 		case <-ctx.Done():
 			return
 		case <-engine.wake:
-		case <-next:
+		case <-nextTick:
 		}
 	}
 }
 
-// step computes what the time since the last step allows. It returns false when idle.
+// step computes as much as the time since the last step allows. It returns false when there
+// is nothing left to compute.
 func (engine *Engine) step(ctx context.Context) bool {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	now := time.Now()
-	passed := min(now.Sub(engine.life.stepped), 20*tick).Seconds()
-	if engine.life.idle {
+	passed := min(now.Sub(engine.process.lastStep), 20*tick).Seconds()
+	if engine.process.idle {
 		passed = 0
 	}
-	engine.life.stepped = now
-	if !engine.life.alive {
+	engine.process.lastStep = now
+	if !engine.process.alive {
 		return false
 	}
-	engine.clean(now)
+	engine.removeExpired(now)
 	engine.admit(now)
-	if engine.collapses(now) {
+	if engine.overloadedWhileCold(now) {
 		engine.crash(ctx)
 		return false
 	}
-	slow := engine.faults.slow
-	if now.Before(engine.life.coldUntil) {
+	slow := engine.faults.slowdown
+	if now.Before(engine.process.coldUntil) {
 		slow *= coldSlowdown
 	}
 	batch := engine.batch()
@@ -55,28 +56,28 @@
 		return false
 	}
 	engine.decode(batch, passed*engine.options.DecodeTokensPerSecond/slow, now)
-	engine.life.idle = !engine.busy()
-	return !engine.life.idle
+	engine.process.idle = !engine.hasWork()
+	return !engine.process.idle
 }
 
-// busy tells whether a step could change anything; the mutex is held.
-func (engine *Engine) busy() bool {
-	for _, sequence := range engine.life.sequences {
-		if !sequence.over() {
+// hasWork returns whether a request has not ended yet; the mutex must be held.
+func (engine *Engine) hasWork() bool {
+	for _, sequence := range engine.process.sequences {
+		if !sequence.ended() {
 			return true
 		}
 	}
 	return false
 }
 
-// batch returns what is being computed, the highest priority first; the mutex is held.
+// batch returns the requests being computed, highest priority first; the mutex must be held.
 func (engine *Engine) batch() []*sequence {
-	return engine.sorted((*sequence).computing)
+	return engine.sequencesByPriority((*sequence).computing)
 }
 
-func (engine *Engine) sorted(include func(*sequence) bool) []*sequence {
+func (engine *Engine) sequencesByPriority(include func(*sequence) bool) []*sequence {
 	var chosen []*sequence
-	for _, sequence := range engine.life.sequences {
+	for _, sequence := range engine.process.sequences {
 		if include(sequence) {
 			chosen = append(chosen, sequence)
 		}
@@ -87,132 +88,136 @@
 	return chosen
 }
 
-// clean drops what is over its budget or was finished long ago; the mutex is held.
-func (engine *Engine) clean(now time.Time) {
-	for id, sequence := range engine.life.sequences {
+// removeExpired ends requests that exceeded their budget, and drops expired reservations,
+// ended requests and cancellations. The mutex must be held.
+func (engine *Engine) removeExpired(now time.Time) {
+	for id, sequence := range engine.process.sequences {
 		switch {
-		case sequence.over() && now.Sub(sequence.endedAt) > retain:
-			delete(engine.life.sequences, id)
-		case !sequence.over() && !sequence.dropAt.IsZero() && now.After(sequence.dropAt):
+		case sequence.ended() && now.Sub(sequence.endedAt) > endedTTL:
+			delete(engine.process.sequences, id)
+		case !sequence.ended() && !sequence.deadline.IsZero() && now.After(sequence.deadline):
 			sequence.end(dogwoodengine.PhaseFailed, "budget_exceeded", now)
 		}
 	}
-	for id, at := range engine.life.cancelled {
+	for id, at := range engine.process.cancelled {
 		if now.Sub(at) > time.Minute {
-			delete(engine.life.cancelled, id)
+			delete(engine.process.cancelled, id)
 		}
 	}
-	engine.expire(now)
+	engine.expireReservations(now)
 }
 
-// admit moves waiting requests into the batch; a short one passes a long one that does
-// not fit yet. The mutex is held.
+// admit moves waiting requests into the batch. A request that does not fit yet does not
+// block those behind it. The mutex must be held.
 func (engine *Engine) admit(now time.Time) {
 	running := len(engine.batch())
-	waiting := engine.sorted(func(sequence *sequence) bool { return sequence.phase == dogwoodengine.PhaseWaiting })
+	waiting := engine.sequencesByPriority(func(sequence *sequence) bool { return sequence.phase == dogwoodengine.PhaseWaiting })
 	for _, sequence := range waiting {
 		if running >= engine.options.MaxBatch {
 			return
 		}
-		if !engine.seat(sequence) {
+		if !engine.allocate(sequence) {
 			continue
 		}
 		running++
-		hit := min(engine.life.cache.hit(sequence.blocks)*blockTokens, sequence.prompt)
-		sequence.prefilled = float64(hit)
+		cached := min(engine.process.cache.cachedPrefix(sequence.blocks)*blockTokens, sequence.promptTokens)
+		sequence.prefilled = float64(cached)
 		sequence.phase = dogwoodengine.PhasePrefill
-		sequence.publish()
-		engine.counts.ran(sequence.id, sequence.tag, now)
+		sequence.notifyReaders()
+		engine.counts.recordRun(sequence.id, sequence.tag, now)
 	}
 }
 
-// seat gives a request its memory; the mutex is held.
-func (engine *Engine) seat(sequence *sequence) bool {
-	need := sequence.prompt + sequence.most
-	if len(sequence.others) > 0 {
-		need = sequence.share
-	}
-	if reserved, found := engine.life.reservations[sequence.id]; found {
+// allocate allocates a request's memory and returns false if it does not fit; the mutex must
+// be held.
+func (engine *Engine) allocate(sequence *sequence) bool {
+	need := sequence.promptTokens + sequence.maxTokens
+	if len(sequence.helpers) > 0 {
+		need = sequence.tokensPerMember
+	}
+	if reserved, found := engine.process.reservations[sequence.id]; found {
 		need = max(need, reserved.tokens)
-		if !engine.take(need - reserved.tokens) {
+		if !engine.makeRoom(need - reserved.tokens) {
 			return false
 		}
 		engine.useReservation(sequence.id)
-	} else if !engine.take(need) {
+	} else if !engine.makeRoom(need) {
 		return false
 	}
-	sequence.held = need
+	sequence.heldTokens = need
 	return true
 }
 
-// collapses tells whether a cold engine falls over; the mutex is held.
-func (engine *Engine) collapses(now time.Time) bool {
-	return now.Before(engine.life.coldUntil) && len(engine.batch()) > collapse*engine.options.ColdLimit
+// overloadedWhileCold returns whether the engine is cold and runs so many requests that it
+// crashes; the mutex must be held.
+func (engine *Engine) overloadedWhileCold(now time.Time) bool {
+	return now.Before(engine.process.coldUntil) && len(engine.batch()) > coldCrashFactor*engine.options.ColdLimit
 }
 
-// countOverrun counts an arrival that a cold engine does not bear. What ran already when a
-// warm engine turned cold is no overrun: nobody sent it to a cold engine. An arrival before
-// any answer could tell that the engine is cold is counted apart. The mutex is held.
+// countOverrun counts a request that arrives at a cold engine and exceeds its limit. Requests
+// that were already running when a warm engine turned cold are not counted, because they were
+// sent to a warm engine. Arrivals before the engine could report that it is cold are counted
+// separately. The mutex must be held.
 func (engine *Engine) countOverrun(now time.Time) {
-	if !now.Before(engine.life.coldUntil) {
+	if !now.Before(engine.process.coldUntil) {
 		return
 	}
 	unfinished := 0
-	for _, sequence := range engine.life.sequences {
-		if !sequence.over() {
+	for _, sequence := range engine.process.sequences {
+		if !sequence.ended() {
 			unfinished++
 		}
 	}
 	switch {
 	case unfinished <= engine.options.ColdLimit:
-	case engine.life.coldTold:
+	case engine.process.coldReported:
 		engine.counts.coldOverruns++
 	default:
-		engine.counts.untoldColdOverruns++
+		engine.counts.unreportedColdOverruns++
 	}
 }
 
-// prefill spends tokens on the batch's prompts. It returns false when a prompt kills the
-// engine. The mutex is held.
+// prefill spends tokens on the batch's prompts. It returns false when a prompt crashes the
+// engine. The mutex must be held.
 func (engine *Engine) prefill(ctx context.Context, batch []*sequence, tokens float64, now time.Time) bool {
 	for _, sequence := range batch {
 		if sequence.phase != dogwoodengine.PhasePrefill {
 			continue
 		}
-		spent := min(tokens, float64(sequence.prompt)-sequence.prefilled)
+		spent := min(tokens, float64(sequence.promptTokens)-sequence.prefilled)
 		sequence.prefilled += spent
 		tokens -= spent
-		engine.passOn(ctx, sequence, now)
-		if sequence.prefilled < float64(sequence.prompt) {
+		engine.exportToHelpers(ctx, sequence, now)
+		if sequence.prefilled < float64(sequence.promptTokens) {
 			continue
 		}
-		if sequence.kills {
+		if sequence.crashesEngine {
 			return false
 		}
 		sequence.phase = dogwoodengine.PhaseDecode
 		sequence.produced = 1
-		sequence.write()
+		sequence.writeChunk()
 	}
 	return true
 }
 
-// decode produces tokens for each stream; the mutex is held.
+// decode produces tokens for each stream; the mutex must be held.
 func (engine *Engine) decode(batch []*sequence, tokens float64, now time.Time) {
 	for _, sequence := range batch {
 		if sequence.phase != dogwoodengine.PhaseDecode {
 			continue
 		}
 		sequence.produced += tokens
-		sequence.write()
-		if sequence.written < sequence.most {
+		sequence.writeChunk()
+		if sequence.written < sequence.maxTokens {
 			continue
 		}
 		sequence.finish()
 		sequence.end(dogwoodengine.PhaseDone, "", now)
-		engine.remember(sequence.blocks)
+		engine.cacheBlocks(sequence.blocks)
 	}
 }
 
 func (engine *Engine) find(id dogwoodfleet.RequestID) *sequence {
-	return engine.life.sequences[id]
+	return engine.process.sequences[id]
 }
--- a/dogwoodlocal/dogwoodenginestandin/client_test.go
+++ b/dogwoodlocal/dogwoodenginestandin/client_test.go
@@ -19,7 +19,7 @@
 	"dogwoodmux.example/dogwoodlocal/dogwoodnetwork"
 )
 
-// bench is engines and a client on a network in memory.
+// bench holds engines and a client on an in-memory network.
 type bench struct {
 	t       *testing.T
 	network *dogwoodnetwork.Memory
@@ -27,7 +27,8 @@
 	engines []*dogwoodenginestandin.Engine
 }
 
-// inBubble runs a test on paused time with engines, and waits for all they started.
+// inBubble runs a test in a synctest bubble with a number of engines, and waits until the
+// engines have ended.
 func inBubble(t *testing.T, engines int, options dogwoodenginestandin.Options, test func(t *testing.T, bench *bench)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -76,8 +77,8 @@
 	return all
 }
 
-// order is a request with a prompt of so many tokens that asks for an answer of so many.
-func order(id dogwoodfleet.RequestID, prompt, answer int) dogwoodengine.Run {
+// newRun returns a request with a prompt and an answer of the given numbers of tokens.
+func newRun(id dogwoodfleet.RequestID, prompt, answer int) dogwoodengine.Run {
 	text := "load-id=" + string(id) + " "
 	text += strings.Repeat("x", max(4*prompt-len(text), 0))
 	body := fmt.Sprintf(`{"model":"m","messages":[{"role":"user","content":%q}],"max_tokens":%d}`, text, answer)
@@ -91,7 +92,7 @@
 	}
 }
 
-// drain reads a stream to its end.
+// drain reads a stream until it ends.
 func (bench *bench) drain(stream *dogwoodengine.Stream) ([]dogwoodengine.Event, error) {
 	var events []dogwoodengine.Event
 	for {
@@ -106,7 +107,7 @@
 	}
 }
 
-// checkWhole fails the test unless the events are the whole answer.
+// checkWhole fails the test unless the events make up the complete answer.
 func (bench *bench) checkWhole(events []dogwoodengine.Event, id dogwoodfleet.RequestID, tokens int) {
 	bench.t.Helper()
 	whole, err := dogwoodengine.Assemble(dogwoodengine.PathChat, events)
@@ -126,7 +127,7 @@
 
 func TestWholeAnswer(t *testing.T) {
 	inBubble(t, 1, dogwoodenginestandin.Options{}, func(t *testing.T, bench *bench) {
-		stream, err := bench.client.Start(t.Context(), bench.endpoint(0), order("r1", 1000, 64))
+		stream, err := bench.client.Start(t.Context(), bench.endpoint(0), newRun("r1", 1000, 64))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -142,9 +143,10 @@
 	})
 }
 
-// A dealer's draft stops in the middle for good, though the engine computes on: something
-// between has lost track of the connection. The connection falls silent after some events,
-// and while a long prompt prefills. The client must notice, ask on a new connection and go on.
+// A device on the network path loses the state of a connection: the connection stays open and
+// silent, and the engine keeps running the request. The client must detect this while the
+// request prefills, while it decodes and after its last token, and resume the stream on a new
+// connection.
 func TestSilentConnections(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -158,7 +160,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			inBubble(t, 1, dogwoodenginestandin.Options{ColdFor: time.Nanosecond, PrefillTokensPerSecond: 50_000}, func(t *testing.T, bench *bench) {
-				stream, err := bench.client.Start(t.Context(), bench.endpoint(0), order("r1", test.prompt, 200))
+				stream, err := bench.client.Start(t.Context(), bench.endpoint(0), newRun("r1", test.prompt, 200))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -177,11 +179,11 @@
 	}
 }
 
-// A review of 300,000 tokens prefills for six seconds. A client that took that for silence
-// would give the engine up, and the review would never be answered.
-func TestLongPrefillIsNoSilence(t *testing.T) {
+// A prompt of 300,000 tokens prefills for half a minute. If the client mistook that for a silent
+// engine, it would abandon the request, and no such prompt would ever be answered.
+func TestLongPrefillIsNotSilence(t *testing.T) {
 	inBubble(t, 1, dogwoodenginestandin.Options{ColdFor: time.Nanosecond, PrefillTokensPerSecond: 10_000}, func(t *testing.T, bench *bench) {
-		stream, err := bench.client.Start(t.Context(), bench.endpoint(0), order("r1", 300_000, 10))
+		stream, err := bench.client.Start(t.Context(), bench.endpoint(0), newRun("r1", 300_000, 10))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -198,7 +200,7 @@
 	t.Run("before the start", func(t *testing.T) {
 		inBubble(t, 1, dogwoodenginestandin.Options{}, func(t *testing.T, bench *bench) {
 			bench.engines[0].Die()
-			_, err := bench.client.Start(t.Context(), bench.endpoint(0), order("r1", 100, 10))
+			_, err := bench.client.Start(t.Context(), bench.endpoint(0), newRun("r1", 100, 10))
 			var notStarted *dogwoodengine.NotStarted
 			if !errors.As(err, &notStarted) {
 				t.Errorf("got %v, want NotStarted", err)
@@ -208,7 +210,7 @@
 	for _, revived := range []bool{false, true} {
 		t.Run(fmt.Sprintf("while it runs, revived %v", revived), func(t *testing.T) {
 			inBubble(t, 1, dogwoodenginestandin.Options{}, func(t *testing.T, bench *bench) {
-				stream, err := bench.client.Start(t.Context(), bench.endpoint(0), order("r1", 100, 1000))
+				stream, err := bench.client.Start(t.Context(), bench.endpoint(0), newRun("r1", 100, 1000))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -231,11 +233,11 @@
 	}
 }
 
-// A caller leaves in the middle of its answer, and the connection over which the cancel
-// goes breaks too. Unless the cancel is tried again the engine would hold the memory on.
-func TestCancelComesThrough(t *testing.T) {
+// A caller disconnects in the middle of its answer, and the connection that carries the cancel
+// can break too. Unless the client retries the cancel, the engine keeps holding the memory.
+func TestCancelReleasesMemory(t *testing.T) {
 	inBubble(t, 1, dogwoodenginestandin.Options{}, func(t *testing.T, bench *bench) {
-		stream, err := bench.client.Start(t.Context(), bench.endpoint(0), order("r1", 10_000, 100_000))
+		stream, err := bench.client.Start(t.Context(), bench.endpoint(0), newRun("r1", 10_000, 100_000))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -252,7 +254,7 @@
 
 func TestBudgetEndsTheRequest(t *testing.T) {
 	inBubble(t, 1, dogwoodenginestandin.Options{}, func(t *testing.T, bench *bench) {
-		late := order("r1", 1000, 100_000)
+		late := newRun("r1", 1000, 100_000)
 		late.Budget = 3 * time.Second
 		stream, err := bench.client.Start(t.Context(), bench.endpoint(0), late)
 		if err != nil {
@@ -270,16 +272,16 @@
 	})
 }
 
-// An auction review of a million tokens exceeds twice one engine's memory. Two of them arrive
-// at once at different entries and want the same four engines. Unless each takes all of its
-// engines or none, both would hold two and wait for the other's for ever.
+// Two prompts of a million tokens, each more than twice one engine's memory, arrive at the same
+// time and need the same four engines. Unless each reserves either all of its engines or none,
+// each can hold two and wait for the other's: a deadlock.
 func TestTwoGangsOnTheSameEngines(t *testing.T) {
 	inBubble(t, 4, dogwoodenginestandin.Options{ColdFor: time.Nanosecond}, func(t *testing.T, bench *bench) {
 		results := make(chan error, 2)
 		var callers sync.WaitGroup
 		for index := range 2 {
 			id := dogwoodfleet.RequestID(fmt.Sprintf("gang-%d", index))
-			run := order(id, 1_000_000, 20)
+			run := newRun(id, 1_000_000, 20)
 			run.Gang = bench.endpoints()
 			callers.Go(func() {
 				stream, err := bench.client.Start(t.Context(), run.Gang[index], run)
@@ -310,11 +312,11 @@
 	})
 }
 
-// One engine of a gang dies while the review runs. The caller must hear of it soon, and the
-// other engines must have their memory back at once, not when the deadline passes.
+// One engine of a gang dies while the request runs. The caller must get the error soon, and the
+// other engines must release their memory at once, not only when the deadline passes.
 func TestGangMemberDies(t *testing.T) {
 	inBubble(t, 4, dogwoodenginestandin.Options{ColdFor: time.Nanosecond}, func(t *testing.T, bench *bench) {
-		run := order("gang", 1_000_000, 10_000)
+		run := newRun("gang", 1_000_000, 10_000)
 		run.Gang = bench.endpoints()
 		stream, err := bench.client.Start(t.Context(), run.Gang[0], run)
 		if err != nil {
@@ -328,7 +330,7 @@
 			t.Errorf("got %v, want Broken", err)
 		}
 		if got := time.Since(begun); got > 10*time.Second {
-			t.Errorf("got %v until the loss showed, want at most 10s", got)
+			t.Errorf("got %v until the loss was reported, want at most 10s", got)
 		}
 		stream.Close()
 		bench.client.Close(t.Context())
--- a/dogwoodlocal/dogwoodenginestandin/engine.go
+++ b/dogwoodlocal/dogwoodenginestandin/engine.go
@@ -1,7 +1,8 @@
-// Package dogwoodenginestandin is a small stand-in for a model engine: it follows
-// docs/ENGINE.md, spends time by a token's worth of arithmetic in place of computing, and
-// fails on command. It is no simulator of an accelerator: prefill is one rate shared by the
-// prompts in the batch, the highest priority first; decode is a rate for each stream.
+// Package dogwoodenginestandin is a small stand-in for a model engine. It follows
+// docs/ENGINE.md, derives the time that a request takes from its number of tokens instead of
+// computing anything, and has faults that can be switched on. It does not simulate an
+// accelerator: prefill is one rate shared by the prompts in the batch, highest priority first;
+// decode is a rate for each stream.
 package dogwoodenginestandin
 
 import (
@@ -23,7 +24,7 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("engine stand-in")
 
-// The defaults let a run of 40 s show everything: a prompt of 1000 tokens takes 2.5 ms to
+// With these defaults a run of 40 s covers all behavior: a prompt of 1000 tokens takes 2.5 ms to
 // prefill, one of a million 2.5 s, and an answer of 64 tokens a third of a second.
 const (
 	defaultMemoryTokens = 400_000
@@ -37,21 +38,22 @@
 )
 
 const (
-	// tick is the time between steps of the batch, as long as a decode step of an engine.
+	// tick is the time between steps of the batch, the duration of a decode step of an engine.
 	tick = 5 * time.Millisecond
-	// keepAlive is how often a stream without news sends a progress event.
-	keepAlive = 500 * time.Millisecond
-	// loadLag is how old a load report is at least.
-	loadLag = time.Second
-	// retain is how long a finished stream can still be resumed.
-	retain = 20 * time.Second
+	// progressInterval is how often a stream without new chunks sends a progress event.
+	progressInterval = 500 * time.Millisecond
+	// minLoadAge is the minimum age of a load report.
+	minLoadAge = time.Second
+	// endedTTL is how long a stream can be resumed after it ended.
+	endedTTL = 20 * time.Second
 	// coldSlowdown is how much slower a cold engine works.
 	coldSlowdown = 4
-	// collapse is how many times its cold limit a cold engine may run before it falls over.
-	collapse = 3
+	// coldCrashFactor is the multiple of its cold limit above which a cold engine crashes.
+	coldCrashFactor = 3
 )
 
-// Options describe an engine. Zero values are the defaults above.
+// Options are the settings of an engine. Zero values of numbers and durations mean the defaults
+// above.
 type Options struct {
 	ID                     dogwoodfleet.EndpointID
 	Model                  dogwoodfleet.Model
@@ -61,58 +63,59 @@
 	PrefillTokensPerSecond float64
 	DecodeTokensPerSecond  float64
 	MaxBatch               int
-	// ColdLimit is how many requests at once the engine bears for ColdFor after a start.
+	// ColdLimit is how many concurrent requests the engine can take for ColdFor after a start.
 	ColdLimit int
 	ColdFor   time.Duration
-	// LoadFor is how long an ordered model takes to load.
+	// LoadFor is how long the engine takes to load a model that it was ordered to load.
 	LoadFor time.Duration
-	// RestartAfter is how long a crash by a request or by overload keeps the engine down.
+	// RestartAfter is how long the engine is down after a crash that a request or overload caused.
 	RestartAfter time.Duration
-	// ChecksFencing is true if orders with an old fencing number are refused.
+	// ChecksFencing makes the engine refuse orders with an old fencing number.
 	ChecksFencing bool
-	// Listener is where it serves; nil means a free port of the loopback address.
+	// Listener is the listener to serve on; nil means a free port of the loopback address.
 	Listener net.Listener
-	// Dial is how it reaches other engines; nil means TCP.
+	// Dial connects to other engines; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Engine is a running stand-in. Its methods are safe for concurrent use.
+// Engine is a started stand-in. Its methods are safe for concurrent use.
 type Engine struct {
-	options Options
-	host    *dogwoodnetwork.Host
-	client  *dogwoodengine.Client
-	duties  sync.WaitGroup
-	wake    chan struct{}
-	ended   chan struct{}
-
-	mutex  sync.Mutex
-	life   life
-	faults faults
-	counts counts
+	options    Options
+	host       *dogwoodnetwork.Host
+	client     *dogwoodengine.Client
+	background sync.WaitGroup
+	wake       chan struct{}
+	ended      chan struct{}
+
+	mutex   sync.Mutex
+	process processState
+	faults  faults
+	counts  counts
 }
 
-// life is what an engine process knows and loses when it dies.
-type life struct {
+// processState is the state of an engine process, which a crash loses.
+type processState struct {
 	instance  dogwoodfleet.InstanceID
 	alive     bool
 	leaving   bool
 	coldUntil time.Time
-	// coldTold is whether the cold engine gave a sign of it: an answer, or the death before.
-	coldTold     bool
+	// coldReported is true if callers could learn that the engine is cold, from an answer or
+	// because it restarted.
+	coldReported bool
 	sequences    map[dogwoodfleet.RequestID]*sequence
 	cancelled    map[dogwoodfleet.RequestID]time.Time
 	reservations map[dogwoodfleet.RequestID]*reservation
 	cache        *cache
-	holds        dogwoodengine.Holding
+	holding      dogwoodengine.Holding
 	loading      *dogwoodengine.Holding
 	loadedAt     time.Time
 	fence        uint64
-	lagging      laggedLoad
-	stepped      time.Time
+	delayedLoad  delayedLoad
+	lastStep     time.Time
 	idle         bool
 }
 
-// Start starts an engine that ends with the context.
+// Start starts an engine that runs until the context ends.
 func Start(ctx context.Context, options Options) (*Engine, error) {
 	options.fillIn()
 	if options.Listener == nil {
@@ -128,21 +131,21 @@
 		wake:    make(chan struct{}, 1),
 		ended:   make(chan struct{}),
 		counts:  newCounts(),
-		faults:  faults{slow: 1},
+		faults:  faults{slowdown: 1},
 	}
-	engine.born()
+	engine.startProcess()
 	host, err := dogwoodnetwork.Serve(options.Listener, engine.routes())
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	engine.host = host
-	engine.duties.Go(func() { engine.work(ctx) })
+	engine.background.Go(func() { engine.runBatch(ctx) })
 	context.AfterFunc(ctx, func() {
 		engine.mutex.Lock()
-		engine.perish()
+		engine.endProcess()
 		engine.mutex.Unlock()
 		engine.host.Close()
-		engine.duties.Wait()
+		engine.background.Wait()
 		close(engine.ended)
 	})
 	return engine, nil
@@ -159,67 +162,69 @@
 	setDefault(&options.RestartAfter, defaultRestartAfter)
 }
 
-func setDefault[T int | float64 | time.Duration](value *T, standard T) {
+func setDefault[T int | float64 | time.Duration](value *T, defaultValue T) {
 	if *value == 0 {
-		*value = standard
+		*value = defaultValue
 	}
 }
 
-// Address returns where the engine serves.
+// Address returns the address at which the engine serves.
 func (engine *Engine) Address() netip.AddrPort {
 	return engine.host.Address()
 }
 
-// ID returns the engine's name.
+// ID returns the engine's endpoint ID.
 func (engine *Engine) ID() dogwoodfleet.EndpointID {
 	return engine.options.ID
 }
 
-// Wait returns when the engine has ended after its context.
+// Wait waits until the engine has ended, which it does once its context ends.
 func (engine *Engine) Wait() {
 	<-engine.ended
 }
 
-// born gives the engine a new life; the mutex is held or the engine not yet shared.
-func (engine *Engine) born() {
+// startProcess replaces the process state as a start does. The mutex must be held, unless the
+// engine is not shared yet.
+func (engine *Engine) startProcess() {
 	now := time.Now()
-	engine.life = life{
+	engine.process = processState{
 		instance:     dogwoodfleet.InstanceID(uuid.NewString()),
 		alive:        true,
 		coldUntil:    now.Add(engine.options.ColdFor),
-		coldTold:     true,
+		coldReported: true,
 		sequences:    map[dogwoodfleet.RequestID]*sequence{},
 		cancelled:    map[dogwoodfleet.RequestID]time.Time{},
 		reservations: map[dogwoodfleet.RequestID]*reservation{},
 		cache:        newCache(),
-		holds: dogwoodengine.Holding{
+		holding: dogwoodengine.Holding{
 			Model:    engine.options.Model,
 			Version:  engine.options.Version,
 			Adapters: engine.options.Adapters,
 			Role:     dogwoodengine.RoleBoth,
 		},
-		stepped: now,
+		lastStep: now,
 	}
 }
 
-// perish drops all that a dead process loses; the mutex is held.
-func (engine *Engine) perish() {
-	engine.life.alive = false
-	for _, sequence := range engine.life.sequences {
-		sequence.publish()
+// endProcess marks the process as dead, drops its requests and reservations, and notifies the
+// readers. The mutex must be held.
+func (engine *Engine) endProcess() {
+	engine.process.alive = false
+	for _, sequence := range engine.process.sequences {
+		sequence.notifyReaders()
 	}
-	engine.life.sequences = map[dogwoodfleet.RequestID]*sequence{}
-	engine.life.reservations = map[dogwoodfleet.RequestID]*reservation{}
+	engine.process.sequences = map[dogwoodfleet.RequestID]*sequence{}
+	engine.process.reservations = map[dogwoodfleet.RequestID]*reservation{}
 }
 
-func (engine *Engine) stir() {
+func (engine *Engine) signalWork() {
 	select {
 	case engine.wake <- struct{}{}:
 	default:
 	}
 }
 
-// routes is the engine protocol.
+// routes returns the handler of the engine protocol.
 func (engine *Engine) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+dogwoodengine.PathChat, engine.run)
--- a/dogwoodlocal/dogwoodenginestandin/faults.go
+++ b/dogwoodlocal/dogwoodenginestandin/faults.go
@@ -8,25 +8,25 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// faults are the troubles switched on; they outlive a restart.
+// faults are the faults that are switched on; a restart does not reset them.
 type faults struct {
-	slow  float64
-	kills []string
+	slowdown     float64
+	crashMarkers []string
 	// dead is true between Die and Revive.
 	dead bool
 }
 
-// Die ends the engine as a crash does: connections break and all memory is lost. It stays
+// Die stops the engine as a crash does: connections break and all memory is lost. It stays
 // down until Revive.
 func (engine *Engine) Die() {
 	engine.mutex.Lock()
 	engine.faults.dead = true
-	engine.perish()
+	engine.endProcess()
 	engine.mutex.Unlock()
 	engine.host.Down()
 }
 
-// Revive starts a dead engine again at the same address, cold and with a new instance id.
+// Revive restarts an engine after Die, at the same address, cold and with a new instance ID.
 // It returns when the engine listens.
 func (engine *Engine) Revive(ctx context.Context) error {
 	engine.mutex.Lock()
@@ -38,8 +38,8 @@
 func (engine *Engine) restart(ctx context.Context) error {
 	engine.mutex.Lock()
 	dead := engine.faults.dead
-	if !engine.life.alive && !dead {
-		engine.born()
+	if !engine.process.alive && !dead {
+		engine.startProcess()
 	}
 	engine.mutex.Unlock()
 	if dead {
@@ -48,42 +48,42 @@
 	return Error.Wrap(engine.host.Up(ctx))
 }
 
-// crash ends the engine for RestartAfter; the mutex is held.
+// crash stops the engine and restarts it after RestartAfter; the mutex must be held.
 func (engine *Engine) crash(ctx context.Context) {
 	engine.counts.crashes++
-	engine.perish()
-	engine.duties.Go(func() {
+	engine.endProcess()
+	engine.background.Go(func() {
 		engine.host.Down()
 		restart := time.NewTimer(engine.options.RestartAfter)
 		defer restart.Stop()
 		select {
 		case <-restart.C:
-			// It fails only when the engine's context ends before its port is free.
+			// restart fails only if the engine's context ends before its port is free.
 			_ = engine.restart(ctx)
 		case <-ctx.Done():
 		}
 	})
 }
 
-// Leave makes the engine say that it is leaving, or no longer. It goes on with its work.
+// Leave sets whether the engine reports that it is leaving. It keeps running its requests.
 func (engine *Engine) Leave(leaving bool) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.life.leaving = leaving
+	engine.process.leaving = leaving
 }
 
-// TurnCold makes a warm engine cold without a restart: its cache is lost and it bears as
-// little as after a start.
+// TurnCold makes a warm engine cold without a restart: its cache is lost, and its cold limit
+// applies as after a start.
 func (engine *Engine) TurnCold() {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.life.coldUntil = time.Now().Add(engine.options.ColdFor)
-	engine.life.coldTold = false
-	engine.life.cache.clear()
+	engine.process.coldUntil = time.Now().Add(engine.options.ColdFor)
+	engine.process.coldReported = false
+	engine.process.cache.clear()
 }
 
-// Silence makes the connections now open fall silent for good while new ones work;
-// Silence(false) closes the silent ones.
+// Silence makes the open connections permanently silent while new ones work; Silence(false)
+// closes the silent ones.
 func (engine *Engine) Silence(on bool) {
 	engine.host.Silence(on)
 }
@@ -92,19 +92,19 @@
 func (engine *Engine) Slow(factor float64) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.faults.slow = factor
+	engine.faults.slowdown = factor
 }
 
 // KillOn makes a prompt that contains the marker crash the engine at its first token.
 func (engine *Engine) KillOn(marker string) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.faults.kills = append(engine.faults.kills, marker)
+	engine.faults.crashMarkers = append(engine.faults.crashMarkers, marker)
 }
 
-// kills tells whether a prompt crashes the engine; the mutex is held.
-func (engine *Engine) kills(prompt []byte) bool {
-	for _, marker := range engine.faults.kills {
+// crashesOn returns whether a prompt crashes the engine; the mutex must be held.
+func (engine *Engine) crashesOn(prompt []byte) bool {
+	for _, marker := range engine.faults.crashMarkers {
 		if bytes.Contains(prompt, []byte(marker)) {
 			return true
 		}
@@ -112,100 +112,100 @@
 	return false
 }
 
-// RanRecord is one request that the engine began.
+// RanRecord records that the engine began a request.
 type RanRecord struct {
 	RequestID dogwoodfleet.RequestID
-	// Tag is the request's load id, or what else its answer consists of.
+	// Tag is the tag of the request's answer, its load ID if it has one.
 	Tag string
 	At  time.Time
 }
 
-// counts outlive the engine's deaths.
+// counts are counters that restarts don't reset.
 type counts struct {
-	runs               []RanRecord
-	byRequest          map[dogwoodfleet.RequestID]int
-	byTag              map[string]int
-	coldOverruns       int
-	untoldColdOverruns int
-	crashes            int
-	orders             int
-	lastNewWork        time.Time
+	runs                   []RanRecord
+	byRequest              map[dogwoodfleet.RequestID]int
+	byTag                  map[string]int
+	coldOverruns           int
+	unreportedColdOverruns int
+	crashes                int
+	orders                 int
+	lastNewWork            time.Time
 }
 
 func newCounts() counts {
 	return counts{byRequest: map[dogwoodfleet.RequestID]int{}, byTag: map[string]int{}}
 }
 
-func (counts *counts) ran(id dogwoodfleet.RequestID, tag string, now time.Time) {
+func (counts *counts) recordRun(id dogwoodfleet.RequestID, tag string, now time.Time) {
 	counts.runs = append(counts.runs, RanRecord{RequestID: id, Tag: tag, At: now})
 	counts.byRequest[id]++
 	counts.byTag[tag]++
 }
 
-// Runs returns how often the engine began a try.
+// Runs returns how often the engine began the request with an ID.
 func (engine *Engine) Runs(id dogwoodfleet.RequestID) int {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return engine.counts.byRequest[id]
 }
 
-// RunsOf returns how often the engine began a caller's request, by its load id.
+// RunsOf returns how often the engine began a caller's request, identified by its tag.
 func (engine *Engine) RunsOf(tag string) int {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return engine.counts.byTag[tag]
 }
 
-// Ran returns what the engine began, in order.
+// Ran returns the requests that the engine began, in order.
 func (engine *Engine) Ran() []RanRecord {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return append([]RanRecord(nil), engine.counts.runs...)
 }
 
-// UntoldColdOverruns returns how often the engine got more than it bears while cold before
-// any answer could tell that it turned cold.
+// UntoldColdOverruns returns how many requests exceeded the engine's cold limit before any
+// answer could report that it is cold.
 func (engine *Engine) UntoldColdOverruns() int {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return engine.counts.untoldColdOverruns
+	return engine.counts.unreportedColdOverruns
 }
 
-// ColdOverruns returns how often the engine got more than it bears while cold, after it had
-// given a sign of that.
+// ColdOverruns returns how many requests exceeded the engine's cold limit after callers could
+// learn that it is cold.
 func (engine *Engine) ColdOverruns() int {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return engine.counts.coldOverruns
 }
 
-// Crashes returns how often a request or overload ended the engine.
+// Crashes returns how often a request or overload crashed the engine.
 func (engine *Engine) Crashes() int {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return engine.counts.crashes
 }
 
-// HeldTokens returns the KV memory held now.
+// HeldTokens returns the KV memory in use, in tokens.
 func (engine *Engine) HeldTokens() int {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.clean(time.Now())
-	return engine.held()
+	engine.removeExpired(time.Now())
+	return engine.heldTokens()
 }
 
-// LastNewWork returns when the latest request arrived; zero if none has.
+// LastNewWork returns when the latest request arrived; zero if none has arrived.
 func (engine *Engine) LastNewWork() time.Time {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return engine.counts.lastNewWork
 }
 
-// Instance returns the id of the engine's present life.
+// Instance returns the ID of the engine's present instance.
 func (engine *Engine) Instance() dogwoodfleet.InstanceID {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return engine.life.instance
+	return engine.process.instance
 }
 
 // Version returns the version of the model that the engine holds.
@@ -213,5 +213,5 @@
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	engine.finishLoading(time.Now())
-	return engine.life.holds.Version
+	return engine.process.holding.Version
 }
--- a/dogwoodlocal/dogwoodenginestandin/gang.go
+++ b/dogwoodlocal/dogwoodenginestandin/gang.go
@@ -10,59 +10,61 @@
 	"dogwoodmux.example/core/edge/dogwoodengine"
 )
 
-// gangCheck is how often the first engine of a gang makes sure of the others.
-const gangCheck = time.Second
+// helperCheckInterval is how often the primary engine of a gang checks that its helpers still
+// have their reservations.
+const helperCheckInterval = time.Second
 
-// parseGang reads the addresses of a gang's other engines.
-func parseGang(header string) ([]netip.AddrPort, error) {
+// parseHelpers parses the addresses of a gang's helpers.
+func parseHelpers(header string) ([]netip.AddrPort, error) {
 	if header == "" {
 		return nil, nil
 	}
-	var others []netip.AddrPort
+	var helpers []netip.AddrPort
 	for _, text := range strings.Split(header, ",") {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, Error.Wrap(err)
 		}
-		others = append(others, address)
+		helpers = append(helpers, address)
 	}
-	return others, nil
+	return helpers, nil
 }
 
-// passOn hands the KV memory beyond the engine's own share to the gang's other engines as
-// the prefill gets there, and checks that they still have their reservations. The mutex is held.
-func (engine *Engine) passOn(ctx context.Context, sequence *sequence, now time.Time) {
-	if len(sequence.others) == 0 {
+// exportToHelpers sends the KV memory beyond the engine's own share to the gang's helpers as
+// the prefill progresses, and checks at intervals that they still have their reservations. The
+// mutex must be held.
+func (engine *Engine) exportToHelpers(ctx context.Context, sequence *sequence, now time.Time) {
+	if len(sequence.helpers) == 0 {
 		return
 	}
-	for sequence.exported < len(sequence.others) {
-		from := (sequence.exported + 1) * sequence.share
-		to := min(from+sequence.share, sequence.prompt)
+	for sequence.exportedHelpers < len(sequence.helpers) {
+		from := (sequence.exportedHelpers + 1) * sequence.tokensPerMember
+		to := min(from+sequence.tokensPerMember, sequence.promptTokens)
 		if int(sequence.prefilled) < to {
 			break
 		}
-		engine.export(ctx, sequence, sequence.others[sequence.exported], dogwoodengine.Import{FromTokens: from, ToTokens: to})
-		sequence.exported++
+		engine.exportAsync(ctx, sequence, sequence.helpers[sequence.exportedHelpers], dogwoodengine.Import{FromTokens: from, ToTokens: to})
+		sequence.exportedHelpers++
 	}
-	if now.Sub(sequence.checked) < gangCheck {
+	if now.Sub(sequence.helpersCheckedAt) < helperCheckInterval {
 		return
 	}
-	sequence.checked = now
-	for _, other := range sequence.others {
-		engine.export(ctx, sequence, other, dogwoodengine.Import{})
+	sequence.helpersCheckedAt = now
+	for _, helper := range sequence.helpers {
+		engine.exportAsync(ctx, sequence, helper, dogwoodengine.Import{})
 	}
 }
 
-// export calls another engine without waiting; a failure ends the request.
-func (engine *Engine) export(ctx context.Context, sequence *sequence, to netip.AddrPort, memory dogwoodengine.Import) {
-	engine.duties.Go(func() {
-		member := dogwoodfleet.Endpoint{ID: dogwoodfleet.EndpointID(to.String()), Address: to}
-		if engine.client.Import(ctx, member, sequence.id, memory) == nil {
+// exportAsync calls a helper in the background; a failure ends the request.
+func (engine *Engine) exportAsync(ctx context.Context, sequence *sequence, address netip.AddrPort, memory dogwoodengine.Import) {
+	engine.background.Go(func() {
+		helper := dogwoodfleet.Endpoint{ID: dogwoodfleet.EndpointID(address.String()), Address: address}
+		if engine.client.Import(ctx, helper, sequence.id, memory) == nil {
 			return
 		}
 		engine.mutex.Lock()
 		defer engine.mutex.Unlock()
-		if engine.find(sequence.id) == sequence && !sequence.over() {
+		if engine.find(sequence.id) == sequence && !sequence.ended() {
 			sequence.end(dogwoodengine.PhaseFailed, dogwoodengine.CodeGangLost, time.Now())
 		}
 	})
--- a/dogwoodlocal/dogwoodenginestandin/handlers.go
+++ b/dogwoodlocal/dogwoodenginestandin/handlers.go
@@ -11,237 +11,239 @@
 	"dogwoodmux.example/core/edge/dogwoodengine"
 )
 
-// header writes who answers; the mutex is held.
-func (engine *Engine) header(writer http.ResponseWriter) {
-	writer.Header().Set(dogwoodengine.HeaderInstance, string(engine.life.instance))
-	if time.Now().Before(engine.life.coldUntil) {
+// writeHeaders sets the headers with the engine's instance and whether it is cold; the mutex
+// must be held.
+func (engine *Engine) writeHeaders(writer http.ResponseWriter) {
+	writer.Header().Set(dogwoodengine.HeaderInstance, string(engine.process.instance))
+	if time.Now().Before(engine.process.coldUntil) {
 		writer.Header().Set(dogwoodengine.HeaderCold, "true")
-		engine.life.coldTold = true
+		engine.process.coldReported = true
 	}
 }
 
-func answer(writer http.ResponseWriter, status int, body any) {
+func writeJSON(writer http.ResponseWriter, status int, body any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(body) // the reader may have left
+	_ = json.NewEncoder(writer).Encode(body) // the caller may have disconnected
 }
 
-func refuseNotRun(writer http.ResponseWriter, status int, detail string) {
+func writeNotRun(writer http.ResponseWriter, status int, detail string) {
 	writer.Header().Set(dogwoodengine.HeaderNotRun, "true")
-	answer(writer, status, dogwoodengine.Refused{Detail: detail})
+	writeJSON(writer, status, dogwoodengine.Refused{Detail: detail})
 }
 
-func readBody[T any](writer http.ResponseWriter, request *http.Request) (T, bool) {
+func decodeBody[T any](writer http.ResponseWriter, request *http.Request) (T, bool) {
 	var body T
 	if err := json.NewDecoder(request.Body).Decode(&body); err != nil {
-		answer(writer, http.StatusBadRequest, dogwoodengine.Refused{Detail: err.Error()})
+		writeJSON(writer, http.StatusBadRequest, dogwoodengine.Refused{Detail: err.Error()})
 		return body, false
 	}
 	return body, true
 }
 
-// list answers with what holds the memory now.
+// list answers with the requests and reservations in the engine.
 func (engine *Engine) list(writer http.ResponseWriter, _ *http.Request) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	now := time.Now()
-	engine.clean(now)
+	engine.removeExpired(now)
 	state := dogwoodengine.State{
-		Instance: engine.life.instance, Leaving: engine.life.leaving, MemoryTokens: engine.options.MemoryTokens,
+		Instance: engine.process.instance, Leaving: engine.process.leaving, MemoryTokens: engine.options.MemoryTokens,
 	}
-	for _, sequence := range engine.sorted(func(*sequence) bool { return true }) {
+	for _, sequence := range engine.sequencesByPriority(func(*sequence) bool { return true }) {
 		state.Running = append(state.Running, dogwoodengine.Running{
 			ID:              sequence.id,
 			Phase:           sequence.phase,
-			HeldTokens:      sequence.held,
+			HeldTokens:      sequence.heldTokens,
 			PrefilledTokens: int(sequence.prefilled),
-			PromptTokens:    sequence.prompt,
+			PromptTokens:    sequence.promptTokens,
 			Events:          len(sequence.chunks),
 			Age:             dogwoodengine.Duration(now.Sub(sequence.arrived)),
 		})
 	}
-	for id, reservation := range engine.life.reservations {
+	for id, reservation := range engine.process.reservations {
 		state.Reservations = append(state.Reservations, dogwoodengine.Reservation{
 			ID:             id,
 			Tokens:         reservation.tokens,
 			Lease:          dogwoodengine.Duration(reservation.expires.Sub(now)),
-			ImportedTokens: reservation.imported,
+			ImportedTokens: reservation.importedTokens,
 		})
 	}
-	engine.header(writer)
-	answer(writer, http.StatusOK, state)
+	engine.writeHeaders(writer)
+	writeJSON(writer, http.StatusOK, state)
 }
 
-// cancel ends a request, and refuses it if it arrives later.
+// cancel ends a request, and makes the engine refuse it if it arrives later.
 func (engine *Engine) cancel(writer http.ResponseWriter, request *http.Request) {
 	id := dogwoodfleet.RequestID(request.PathValue("ID"))
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	now := time.Now()
-	engine.life.cancelled[id] = now
-	delete(engine.life.reservations, id)
-	cancelled := dogwoodengine.Cancelled{Instance: engine.life.instance}
+	engine.process.cancelled[id] = now
+	delete(engine.process.reservations, id)
+	cancelled := dogwoodengine.Cancelled{Instance: engine.process.instance}
 	if sequence := engine.find(id); sequence != nil {
 		cancelled.Begun = sequence.phase != dogwoodengine.PhaseWaiting
-		if !sequence.over() {
+		if !sequence.ended() {
 			sequence.end(dogwoodengine.PhaseFailed, "cancelled", now)
 		}
 	}
-	engine.stir()
-	engine.header(writer)
-	answer(writer, http.StatusOK, cancelled)
+	engine.signalWork()
+	engine.writeHeaders(writer)
+	writeJSON(writer, http.StatusOK, cancelled)
 }
 
-// laggedLoad keeps a report until it is old enough to be given out.
-type laggedLoad struct {
-	given, next dogwoodengine.Load
-	taken       time.Time
+// delayedLoad holds a load report back until it is old enough to be returned.
+type delayedLoad struct {
+	reported, pending dogwoodengine.Load
+	pendingSince      time.Time
 }
 
-// load answers with a report that is a lag old.
+// load answers with a load report that is at least minLoadAge old, except during the first
+// minLoadAge after the first query.
 func (engine *Engine) load(writer http.ResponseWriter, _ *http.Request) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	now := time.Now()
-	lagging := &engine.life.lagging
-	if lagging.taken.IsZero() {
-		lagging.given, lagging.next, lagging.taken = engine.report(now), engine.report(now), now
+	delayedLoad := &engine.process.delayedLoad
+	if delayedLoad.pendingSince.IsZero() {
+		delayedLoad.reported, delayedLoad.pending, delayedLoad.pendingSince = engine.report(now), engine.report(now), now
 	}
-	if now.Sub(lagging.taken) >= loadLag {
-		lagging.given, lagging.next, lagging.taken = lagging.next, engine.report(now), now
+	if now.Sub(delayedLoad.pendingSince) >= minLoadAge {
+		delayedLoad.reported, delayedLoad.pending, delayedLoad.pendingSince = delayedLoad.pending, engine.report(now), now
 	}
-	engine.header(writer)
-	answer(writer, http.StatusOK, lagging.given)
+	engine.writeHeaders(writer)
+	writeJSON(writer, http.StatusOK, delayedLoad.reported)
 }
 
-// report describes the engine now; the mutex is held.
+// report returns the present load; the mutex must be held.
 func (engine *Engine) report(now time.Time) dogwoodengine.Load {
 	engine.finishLoading(now)
 	load := dogwoodengine.Load{
-		Instance:     engine.life.instance,
-		Cold:         now.Before(engine.life.coldUntil),
+		Instance:     engine.process.instance,
+		Cold:         now.Before(engine.process.coldUntil),
 		MemoryTokens: engine.options.MemoryTokens,
-		HeldTokens:   engine.held(),
-		CachedTokens: engine.life.cache.used.Len() * blockTokens,
-		Holds:        engine.life.holds,
-		Loading:      engine.life.loading,
+		HeldTokens:   engine.heldTokens(),
+		CachedTokens: engine.process.cache.recency.Len() * blockTokens,
+		Holds:        engine.process.holding,
+		Loading:      engine.process.loading,
 	}
-	for _, sequence := range engine.life.sequences {
+	for _, sequence := range engine.process.sequences {
 		switch {
 		case sequence.computing():
 			load.Running++
-		case !sequence.over():
+		case !sequence.ended():
 			load.Waiting++
 		}
-		if !sequence.over() {
-			load.QueuedPrefillTokens += sequence.prompt - int(sequence.prefilled)
+		if !sequence.ended() {
+			load.QueuedPrefillTokens += sequence.promptTokens - int(sequence.prefilled)
 		}
 	}
 	return load
 }
 
-// events answers with the published cache events after a number.
+// events answers with the published cache events after a sequence number.
 func (engine *Engine) events(writer http.ResponseWriter, request *http.Request) {
 	after, err := strconv.ParseUint(cmp.Or(request.URL.Query().Get("after"), "0"), 10, 64)
 	if err != nil {
-		answer(writer, http.StatusBadRequest, dogwoodengine.Refused{Detail: err.Error()})
+		writeJSON(writer, http.StatusBadRequest, dogwoodengine.Refused{Detail: err.Error()})
 		return
 	}
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	events := engine.life.cache.after(after, time.Now())
-	events.Instance = engine.life.instance
-	engine.header(writer)
-	answer(writer, http.StatusOK, events)
+	events := engine.process.cache.eventsAfter(after, time.Now())
+	events.Instance = engine.process.instance
+	engine.writeHeaders(writer)
+	writeJSON(writer, http.StatusOK, events)
 }
 
-// reserve sets memory aside, or renews.
+// reserve reserves memory, or renews the reservation if there is one.
 func (engine *Engine) reserve(writer http.ResponseWriter, request *http.Request) {
-	wanted, ok := readBody[dogwoodengine.Reservation](writer, request)
+	wanted, ok := decodeBody[dogwoodengine.Reservation](writer, request)
 	if !ok {
 		return
 	}
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	now := time.Now()
-	engine.clean(now)
-	engine.header(writer)
-	if _, cancelled := engine.life.cancelled[wanted.ID]; cancelled {
-		refuseNotRun(writer, http.StatusConflict, "cancelled")
+	engine.removeExpired(now)
+	engine.writeHeaders(writer)
+	if _, cancelled := engine.process.cancelled[wanted.ID]; cancelled {
+		writeNotRun(writer, http.StatusConflict, "cancelled")
 		return
 	}
-	held, found := engine.life.reservations[wanted.ID]
+	held, found := engine.process.reservations[wanted.ID]
 	if !found {
-		if !engine.take(wanted.Tokens) {
-			free := engine.options.MemoryTokens - engine.held()
-			answer(writer, http.StatusInsufficientStorage, dogwoodengine.Refused{Detail: "no room", FreeTokens: free})
+		if !engine.makeRoom(wanted.Tokens) {
+			free := engine.options.MemoryTokens - engine.heldTokens()
+			writeJSON(writer, http.StatusInsufficientStorage, dogwoodengine.Refused{Detail: "no room", FreeTokens: free})
 			return
 		}
 		held = &reservation{tokens: wanted.Tokens}
-		engine.life.reservations[wanted.ID] = held
+		engine.process.reservations[wanted.ID] = held
 	}
 	held.expires = now.Add(time.Duration(wanted.Lease))
-	answer(writer, http.StatusOK, wanted)
+	writeJSON(writer, http.StatusOK, wanted)
 }
 
-// reserved returns the reservation that a path names, or answers that there is none.
-func (engine *Engine) reserved(writer http.ResponseWriter, request *http.Request) *reservation {
-	held := engine.life.reservations[dogwoodfleet.RequestID(request.PathValue("ID"))]
+// findReservation returns the reservation that the path names, or answers that there is none.
+func (engine *Engine) findReservation(writer http.ResponseWriter, request *http.Request) *reservation {
+	held := engine.process.reservations[dogwoodfleet.RequestID(request.PathValue("ID"))]
 	if held == nil {
-		answer(writer, http.StatusNotFound, dogwoodengine.Refused{Detail: "no reservation"})
+		writeJSON(writer, http.StatusNotFound, dogwoodengine.Refused{Detail: "no reservation"})
 	}
 	return held
 }
 
-// renew lengthens a lease.
+// renew extends the lease of a reservation.
 func (engine *Engine) renew(writer http.ResponseWriter, request *http.Request) {
-	wanted, ok := readBody[dogwoodengine.Reservation](writer, request)
+	wanted, ok := decodeBody[dogwoodengine.Reservation](writer, request)
 	if !ok {
 		return
 	}
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	now := time.Now()
-	engine.clean(now)
-	engine.header(writer)
-	held := engine.reserved(writer, request)
+	engine.removeExpired(now)
+	engine.writeHeaders(writer)
+	held := engine.findReservation(writer, request)
 	if held == nil {
 		return
 	}
 	held.expires = now.Add(time.Duration(wanted.Lease))
-	answer(writer, http.StatusOK, struct{}{})
+	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
 func (engine *Engine) release(writer http.ResponseWriter, request *http.Request) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	delete(engine.life.reservations, dogwoodfleet.RequestID(request.PathValue("ID")))
-	engine.stir()
-	engine.header(writer)
-	answer(writer, http.StatusOK, struct{}{})
+	delete(engine.process.reservations, dogwoodfleet.RequestID(request.PathValue("ID")))
+	engine.signalWork()
+	engine.writeHeaders(writer)
+	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
-// importKV takes KV memory into a reservation.
+// importKV adds KV memory to a reservation.
 func (engine *Engine) importKV(writer http.ResponseWriter, request *http.Request) {
-	memory, ok := readBody[dogwoodengine.Import](writer, request)
+	memory, ok := decodeBody[dogwoodengine.Import](writer, request)
 	if !ok {
 		return
 	}
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.clean(time.Now())
-	engine.header(writer)
-	held := engine.reserved(writer, request)
+	engine.removeExpired(time.Now())
+	engine.writeHeaders(writer)
+	held := engine.findReservation(writer, request)
 	if held == nil {
 		return
 	}
-	held.imported += memory.ToTokens - memory.FromTokens
-	answer(writer, http.StatusOK, struct{}{})
+	held.importedTokens += memory.ToTokens - memory.FromTokens
+	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
-// order takes up a wanted state.
+// order starts to load the wanted model.
 func (engine *Engine) order(writer http.ResponseWriter, request *http.Request) {
-	order, ok := readBody[dogwoodengine.Order](writer, request)
+	order, ok := decodeBody[dogwoodengine.Order](writer, request)
 	if !ok {
 		return
 	}
@@ -249,27 +251,27 @@
 	defer engine.mutex.Unlock()
 	now := time.Now()
 	engine.finishLoading(now)
-	engine.header(writer)
-	if engine.options.ChecksFencing && order.Fence < engine.life.fence {
-		answer(writer, http.StatusConflict, dogwoodengine.Refused{Detail: "old fencing number", Fence: engine.life.fence})
+	engine.writeHeaders(writer)
+	if engine.options.ChecksFencing && order.Fence < engine.process.fence {
+		writeJSON(writer, http.StatusConflict, dogwoodengine.Refused{Detail: "old fencing number", Fence: engine.process.fence})
 		return
 	}
-	engine.life.fence = max(engine.life.fence, order.Fence)
+	engine.process.fence = max(engine.process.fence, order.Fence)
 	engine.counts.orders++
-	engine.life.loading = &order.Wanted
-	engine.life.loadedAt = now.Add(engine.options.LoadFor)
-	answer(writer, http.StatusOK, struct{}{})
+	engine.process.loading = &order.Wanted
+	engine.process.loadedAt = now.Add(engine.options.LoadFor)
+	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
-// finishLoading brings an order about once its load time is over; the mutex is held.
+// finishLoading completes an order once its load time has passed; the mutex must be held.
 func (engine *Engine) finishLoading(now time.Time) {
-	if engine.life.loading == nil || now.Before(engine.life.loadedAt) {
+	if engine.process.loading == nil || now.Before(engine.process.loadedAt) {
 		return
 	}
-	newModel := engine.life.loading.Model != engine.life.holds.Model || engine.life.loading.Version != engine.life.holds.Version
-	engine.life.holds = *engine.life.loading
-	engine.life.loading = nil
+	newModel := engine.process.loading.Model != engine.process.holding.Model || engine.process.loading.Version != engine.process.holding.Version
+	engine.process.holding = *engine.process.loading
+	engine.process.loading = nil
 	if newModel {
-		engine.life.cache.clear()
+		engine.process.cache.clear()
 	}
 }
--- a/dogwoodlocal/dogwoodenginestandin/memory.go
+++ b/dogwoodlocal/dogwoodenginestandin/memory.go
@@ -9,96 +9,97 @@
 )
 
 const (
-	// blockTokens is the length of a cached block.
+	// blockTokens is the number of tokens in a cached block.
 	blockTokens = 256
-	// eventDelay is how late cache events are published.
+	// eventDelay is the time from a change of the cache to its event being published.
 	eventDelay = 500 * time.Millisecond
-	// eventLoss is that one in so many events is lost.
-	eventLoss = 97
-	// eventsKept is how many events can still be asked for.
-	eventsKept = 4096
+	// eventLossInterval is the interval, in events, at which one is lost.
+	eventLossInterval = 97
+	// maxEvents is how many recent events can be queried; up to twice as many are stored.
+	maxEvents = 4096
 )
 
-// reservation is memory set aside for a request.
+// reservation is memory reserved for a request.
 type reservation struct {
-	tokens   int
-	expires  time.Time
-	imported int
+	tokens         int
+	expires        time.Time
+	importedTokens int
 }
 
-// held returns the memory in use; the mutex is held.
-func (engine *Engine) held() int {
+// heldTokens returns the memory in use; the mutex must be held.
+func (engine *Engine) heldTokens() int {
 	held := 0
-	for _, sequence := range engine.life.sequences {
-		held += sequence.held
+	for _, sequence := range engine.process.sequences {
+		held += sequence.heldTokens
 	}
-	for _, reservation := range engine.life.reservations {
+	for _, reservation := range engine.process.reservations {
 		held += reservation.tokens
 	}
 	return held
 }
 
-// take makes room in the cache and says whether the tokens fit; the mutex is held.
-func (engine *Engine) take(tokens int) bool {
-	free := engine.options.MemoryTokens - engine.held()
+// makeRoom evicts cached blocks so that the tokens fit into the memory, and returns false if
+// they can't. The mutex must be held.
+func (engine *Engine) makeRoom(tokens int) bool {
+	free := engine.options.MemoryTokens - engine.heldTokens()
 	if tokens > free {
 		return false
 	}
-	engine.life.cache.shrink((free - tokens) / blockTokens)
+	engine.process.cache.shrink((free - tokens) / blockTokens)
 	return true
 }
 
-// remember puts a finished prompt's blocks into the prefix cache; the mutex is held.
-func (engine *Engine) remember(blocks []uint64) {
-	room := (engine.options.MemoryTokens - engine.held()) / blockTokens
+// cacheBlocks adds a finished prompt's blocks to the prefix cache; the mutex must be held.
+func (engine *Engine) cacheBlocks(blocks []uint64) {
+	capacity := (engine.options.MemoryTokens - engine.heldTokens()) / blockTokens
 	for _, block := range blocks {
-		engine.life.cache.store(block)
+		engine.process.cache.store(block)
 	}
-	engine.life.cache.shrink(room)
+	engine.process.cache.shrink(capacity)
 }
 
-// cache is the prefix cache: blocks in the order of their last use.
+// cache is the prefix cache, which evicts the least recently used block first.
 type cache struct {
-	blocks map[uint64]*list.Element
-	used   *list.List
-	last   uint64
-	events []datedEvent
+	blocks       map[uint64]*list.Element
+	recency      *list.List
+	lastSequence uint64
+	events       []datedEvent
 }
 
 type datedEvent struct {
 	dogwoodengine.CacheEvent
-	at time.Time
+	createdAt time.Time
 }
 
 func newCache() *cache {
-	return &cache{blocks: map[uint64]*list.Element{}, used: list.New()}
+	return &cache{blocks: map[uint64]*list.Element{}, recency: list.New()}
 }
 
-// hit returns how many leading blocks are cached, and marks them used.
-func (cache *cache) hit(blocks []uint64) int {
+// cachedPrefix returns how many leading blocks are cached, and marks them as used.
+func (cache *cache) cachedPrefix(blocks []uint64) int {
 	for index, block := range blocks {
 		element, cached := cache.blocks[block]
 		if !cached {
 			return index
 		}
-		cache.used.MoveToFront(element)
+		cache.recency.MoveToFront(element)
 	}
 	return len(blocks)
 }
 
 func (cache *cache) store(block uint64) {
 	if element, cached := cache.blocks[block]; cached {
-		cache.used.MoveToFront(element)
+		cache.recency.MoveToFront(element)
 		return
 	}
-	cache.blocks[block] = cache.used.PushFront(block)
+	cache.blocks[block] = cache.recency.PushFront(block)
 	cache.publish(dogwoodengine.BlockStored, block)
 }
 
-func (cache *cache) shrink(most int) {
-	for cache.used.Len() > max(most, 0) {
-		oldest := cache.used.Back()
-		block, ok := cache.used.Remove(oldest).(uint64)
+func (cache *cache) shrink(maxBlocks int) {
+	for cache.recency.Len() > max(maxBlocks, 0) {
+		oldest := cache.recency.Back()
+		block, ok := cache.recency.Remove(oldest).(uint64)
 		if !ok {
 			continue // the list holds nothing else
 		}
@@ -109,27 +110,27 @@
 
 func (cache *cache) clear() {
 	cache.blocks = map[uint64]*list.Element{}
-	cache.used.Init()
+	cache.recency.Init()
 	cache.publish(dogwoodengine.CacheCleared, 0)
 }
 
 func (cache *cache) publish(kind dogwoodengine.CacheKind, block uint64) {
-	cache.last++
-	if cache.last%eventLoss == 0 {
+	cache.lastSequence++
+	if cache.lastSequence%eventLossInterval == 0 {
 		return
 	}
-	event := dogwoodengine.CacheEvent{Sequence: cache.last, Kind: kind, Block: block}
-	cache.events = append(cache.events, datedEvent{CacheEvent: event, at: time.Now()})
-	if len(cache.events) > 2*eventsKept {
-		cache.events = append([]datedEvent(nil), cache.events[eventsKept:]...)
+	event := dogwoodengine.CacheEvent{Sequence: cache.lastSequence, Kind: kind, Block: block}
+	cache.events = append(cache.events, datedEvent{CacheEvent: event, createdAt: time.Now()})
+	if len(cache.events) > 2*maxEvents {
+		cache.events = append([]datedEvent(nil), cache.events[maxEvents:]...)
 	}
 }
 
-// after returns the events beyond a sequence number that are old enough to be published.
-func (cache *cache) after(sequence uint64, now time.Time) dogwoodengine.CacheEvents {
+// eventsAfter returns the events after a sequence number that are old enough to be published.
+func (cache *cache) eventsAfter(sequence uint64, now time.Time) dogwoodengine.CacheEvents {
 	var answer dogwoodengine.CacheEvents
 	for _, event := range cache.events {
-		if now.Sub(event.at) < eventDelay {
+		if now.Sub(event.createdAt) < eventDelay {
 			break
 		}
 		answer.Last = event.Sequence
@@ -140,21 +141,22 @@
 	return answer
 }
 
-// expire drops reservations whose lease ran out; the mutex is held.
-func (engine *Engine) expire(now time.Time) {
-	for id, reservation := range engine.life.reservations {
+// expireReservations drops reservations whose lease expired; the mutex must be held.
+func (engine *Engine) expireReservations(now time.Time) {
+	for id, reservation := range engine.process.reservations {
 		if now.After(reservation.expires) {
-			delete(engine.life.reservations, id)
+			delete(engine.process.reservations, id)
 		}
 	}
 }
 
-// useReservation turns what was reserved for a request into what it holds; the mutex is held.
+// useReservation removes a request's reservation and returns its tokens; the mutex must be
+// held.
 func (engine *Engine) useReservation(id dogwoodfleet.RequestID) int {
-	reserved, found := engine.life.reservations[id]
+	reserved, found := engine.process.reservations[id]
 	if !found {
 		return 0
 	}
-	delete(engine.life.reservations, id)
+	delete(engine.process.reservations, id)
 	return reserved.tokens
 }
--- a/dogwoodlocal/dogwoodenginestandin/sequence.go
+++ b/dogwoodlocal/dogwoodenginestandin/sequence.go
@@ -10,44 +10,45 @@
 	"dogwoodmux.example/core/edge/dogwoodengine"
 )
 
-// sequence is one request in the engine.
+// sequence is a request in the engine, from its arrival until its stream can no longer be
+// resumed.
 type sequence struct {
-	id       dogwoodfleet.RequestID
-	tag      string
-	chat     bool
-	model    dogwoodfleet.Model
-	priority int
-	arrived  time.Time
-	dropAt   time.Time // zero without a budget
-	endedAt  time.Time
-	prompt   int
-	most     int
-	blocks   []uint64
-	kills    bool
-	// others are the gang's other engines; share is what each member holds.
-	others   []netip.AddrPort
-	share    int
-	exported int
-	checked  time.Time
+	id            dogwoodfleet.RequestID
+	tag           string
+	chat          bool
+	model         dogwoodfleet.Model
+	priority      int
+	arrived       time.Time
+	deadline      time.Time // when the budget is used up; zero without a budget
+	endedAt       time.Time
+	promptTokens  int
+	maxTokens     int
+	blocks        []uint64
+	crashesEngine bool
+	// helpers are the gang's engines other than this one. Each member holds tokensPerMember.
+	helpers          []netip.AddrPort
+	tokensPerMember  int
+	exportedHelpers  int
+	helpersCheckedAt time.Time
 
-	phase     dogwoodengine.RunPhase
-	held      int
-	prefilled float64
-	produced  float64
-	// chunks are the events so far; the last of a finished stream is "[DONE]".
+	phase      dogwoodengine.RunPhase
+	heldTokens int
+	prefilled  float64
+	produced   float64
+	// chunks are the events so far; the last one of a complete answer is "[DONE]".
 	chunks  []string
 	written int
 	failure string
-	// changed is closed and replaced whenever something is new.
+	// changed is closed and replaced whenever the sequence changes.
 	changed chan struct{}
 }
 
-func (sequence *sequence) publish() {
+func (sequence *sequence) notifyReaders() {
 	close(sequence.changed)
 	sequence.changed = make(chan struct{})
 }
 
-func (sequence *sequence) over() bool {
+func (sequence *sequence) ended() bool {
 	return sequence.phase == dogwoodengine.PhaseDone || sequence.phase == dogwoodengine.PhaseFailed
 }
 
@@ -55,18 +56,18 @@
 	return sequence.phase == dogwoodengine.PhasePrefill || sequence.phase == dogwoodengine.PhaseDecode
 }
 
-// end frees the memory and tells the readers.
+// end releases the memory and notifies the readers.
 func (sequence *sequence) end(phase dogwoodengine.RunPhase, failure string, now time.Time) {
 	sequence.phase = phase
 	sequence.failure = failure
-	sequence.held = 0
+	sequence.heldTokens = 0
 	sequence.endedAt = now
-	sequence.publish()
+	sequence.notifyReaders()
 }
 
-// write adds a chunk with the tokens produced since the last one.
-func (sequence *sequence) write() {
-	upTo := min(int(sequence.produced), sequence.most)
+// writeChunk adds a chunk with the tokens produced since the last one.
+func (sequence *sequence) writeChunk() {
+	upTo := min(int(sequence.produced), sequence.maxTokens)
 	if upTo <= sequence.written {
 		return
 	}
@@ -76,13 +77,13 @@
 	}
 	sequence.written = upTo
 	sequence.chunks = append(sequence.chunks, sequence.chunk(text.String(), ""))
-	sequence.publish()
+	sequence.notifyReaders()
 }
 
-// finish adds the chunks that end a stream.
+// finish adds the chunks that end a complete answer.
 func (sequence *sequence) finish() {
 	usage := fmt.Sprintf(`{"id":%q,"object":%q,"created":0,"model":%q,"choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}}`,
-		sequence.id, sequence.object(), sequence.model, sequence.prompt, sequence.written, sequence.prompt+sequence.written)
+		sequence.id, sequence.object(), sequence.model, sequence.promptTokens, sequence.written, sequence.promptTokens+sequence.written)
 	sequence.chunks = append(sequence.chunks, sequence.chunk("", "stop"), usage, "[DONE]")
 }
 
@@ -93,7 +94,7 @@
 	return "text_completion"
 }
 
-// chunk formats one chunk. It is written by hand because every token makes one.
+// chunk formats one chunk. It doesn't use encoding/json because it is called for every token.
 func (sequence *sequence) chunk(text, finish string) string {
 	reason := "null"
 	if finish != "" {
--- a/dogwoodlocal/dogwoodenginestandin/streaming.go
+++ b/dogwoodlocal/dogwoodenginestandin/streaming.go
@@ -15,23 +15,23 @@
 	"dogwoodmux.example/core/edge/dogwoodengine"
 )
 
-// run takes a request and streams its answer.
+// run queues a request and streams its answer.
 func (engine *Engine) run(writer http.ResponseWriter, request *http.Request) {
-	arrived, err := engine.read(request)
+	added, err := engine.parseRequest(request)
 	if err != nil {
-		refuseNotRun(writer, http.StatusBadRequest, err.Error())
+		writeNotRun(writer, http.StatusBadRequest, err.Error())
 		return
 	}
-	if status, detail := engine.accept(arrived); status != 0 {
-		refuseNotRun(writer, status, detail)
+	if status, detail := engine.enqueue(added); status != 0 {
+		writeNotRun(writer, status, detail)
 		return
 	}
-	engine.stir()
-	engine.stream(writer, request, arrived, 0)
+	engine.signalWork()
+	engine.stream(writer, request, added, 0)
 }
 
-// read makes a sequence of a request.
-func (engine *Engine) read(request *http.Request) (*sequence, error) {
+// parseRequest converts an HTTP request to a sequence.
+func (engine *Engine) parseRequest(request *http.Request) (*sequence, error) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	others, err := parseGang(request.Header.Get(dogwoodengine.HeaderGang))
+	helpers, err := parseHelpers(request.Header.Get(dogwoodengine.HeaderGang))
 	if err != nil {
 		return nil, err
 	}
@@ -57,63 +57,63 @@
 		return nil, Error.New("the request has no %s header", dogwoodengine.HeaderRequestID)
 	}
 	now := time.Now()
-	read := &sequence{
-		id:       id,
-		tag:      cmp.Or(request.Header.Get(dogwoodengine.HeaderLoadID), tagOf(prompt.Text), string(id)),
-		chat:     request.URL.Path == dogwoodengine.PathChat,
-		model:    prompt.Model,
-		priority: priority,
-		arrived:  now,
-		prompt:   max(prompt.Tokens(), 1),
-		most:     prompt.MaxTokens,
-		blocks:   dogwoodprefix.Blocks(prompt.Text, math.MaxInt),
-		others:   others,
-		phase:    dogwoodengine.PhaseWaiting,
-		changed:  make(chan struct{}),
-	}
-	members := len(others) + 1
-	read.share = (read.prompt + read.most + members - 1) / members
+	parsed := &sequence{
+		id:           id,
+		tag:          cmp.Or(request.Header.Get(dogwoodengine.HeaderLoadID), tagOf(prompt.Text), string(id)),
+		chat:         request.URL.Path == dogwoodengine.PathChat,
+		model:        prompt.Model,
+		priority:     priority,
+		arrived:      now,
+		promptTokens: max(prompt.Tokens(), 1),
+		maxTokens:    prompt.MaxTokens,
+		blocks:       dogwoodprefix.Blocks(prompt.Text, math.MaxInt),
+		helpers:      helpers,
+		phase:        dogwoodengine.PhaseWaiting,
+		changed:      make(chan struct{}),
+	}
+	members := len(helpers) + 1
+	parsed.tokensPerMember = (parsed.promptTokens + parsed.maxTokens + members - 1) / members
 	if budget > 0 {
-		read.dropAt = now.Add(budget)
+		parsed.deadline = now.Add(budget)
 	}
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	read.kills = engine.kills(prompt.Text)
-	return read, nil
+	parsed.crashesEngine = engine.crashesOn(prompt.Text)
+	return parsed, nil
 }
 
-// accept queues a request, or returns the status with which it is refused.
-func (engine *Engine) accept(arrived *sequence) (status int, detail string) {
+// enqueue queues a request, or returns the status with which it is refused.
+func (engine *Engine) enqueue(added *sequence) (status int, detail string) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	now := time.Now()
 	engine.finishLoading(now)
 	engine.counts.lastNewWork = now
-	_, cancelled := engine.life.cancelled[arrived.id]
-	holds := engine.life.holds.Model
+	_, cancelled := engine.process.cancelled[added.id]
+	model := engine.process.holding.Model
 	switch {
-	case !engine.life.alive:
+	case !engine.process.alive:
 		return http.StatusServiceUnavailable, "the engine is starting"
-	case cancelled || engine.find(arrived.id) != nil:
+	case cancelled || engine.find(added.id) != nil:
 		return http.StatusConflict, "the request id is cancelled or in use"
-	case holds != "" && arrived.model != "" && holds != arrived.model:
+	case model != "" && added.model != "" && model != added.model:
 		return http.StatusNotFound, "the engine does not hold the model"
-	case arrived.share > engine.options.MemoryTokens:
+	case added.tokensPerMember > engine.options.MemoryTokens:
 		return http.StatusRequestEntityTooLarge, "the prompt is larger than the engine's memory"
 	}
-	engine.life.sequences[arrived.id] = arrived
+	engine.process.sequences[added.id] = added
 	engine.countOverrun(now)
 	return 0, ""
 }
 
-// resume streams a known request from the event after the one named last.
+// resume streams a known request from the event after the one in the Last-Event-Id header.
 func (engine *Engine) resume(writer http.ResponseWriter, request *http.Request) {
 	id := request.PathValue("ID")
 	engine.mutex.Lock()
 	known := engine.find(dogwoodfleet.RequestID(id))
 	if known == nil {
-		engine.header(writer)
-		answer(writer, http.StatusNotFound, dogwoodengine.Refused{Detail: "unknown request"})
+		engine.writeHeaders(writer)
+		writeJSON(writer, http.StatusNotFound, dogwoodengine.Refused{Detail: "unknown request"})
 		engine.mutex.Unlock()
 		return
 	}
@@ -121,37 +121,37 @@
 	last, found := strings.CutPrefix(request.Header.Get(dogwoodengine.HeaderLastEvent), id+"/")
 	from, err := strconv.Atoi(cmp.Or(last, "-1"))
 	if err != nil || (last != "" && !found) {
-		answer(writer, http.StatusBadRequest, dogwoodengine.Refused{Detail: "last event id of another request"})
+		writeJSON(writer, http.StatusBadRequest, dogwoodengine.Refused{Detail: "last event id of another request"})
 		return
 	}
 	engine.stream(writer, request, known, from+1)
 }
 
-// stream writes events from an index on until the request is over or the reader leaves.
-// The request goes on without its reader, so that it can be resumed.
+// stream writes events from an index on until the request ends or the reader disconnects. The
+// request keeps running without a reader, so that its stream can be resumed.
 func (engine *Engine) stream(writer http.ResponseWriter, request *http.Request, known *sequence, from int) {
 	flusher := http.NewResponseController(writer)
 	writer.Header().Set("Content-Type", "text/event-stream")
 	engine.mutex.Lock()
-	engine.header(writer)
+	engine.writeHeaders(writer)
 	engine.mutex.Unlock()
-	alive := time.NewTicker(keepAlive)
-	defer alive.Stop()
+	progressTicker := time.NewTicker(progressInterval)
+	defer progressTicker.Stop()
 	for progress := true; ; {
-		news := engine.news(known, from)
-		if news.lost {
-			// The engine died: the connection breaks off, as net/http does on this panic.
+		update := engine.updateSince(known, from)
+		if update.lost {
+			// The engine crashed: with this panic net/http aborts the connection.
 			panic(http.ErrAbortHandler)
 		}
-		from += len(news.chunks)
-		writeNews(writer, known, news, from, progress)
-		if flusher.Flush() != nil || news.over {
+		from += len(update.chunks)
+		writeUpdate(writer, known, update, from, progress)
+		if flusher.Flush() != nil || update.ended {
 			return
 		}
 		progress = false
 		select {
-		case <-news.changed:
-		case <-alive.C:
+		case <-update.changed:
+		case <-progressTicker.C:
 			progress = true
 		case <-request.Context().Done():
 			return
@@ -159,22 +159,22 @@
 	}
 }
 
-// news is what a reader has not seen yet.
-type news struct {
+// streamUpdate is the part of a stream that a reader has not received yet.
+type streamUpdate struct {
 	lost      bool
-	over      bool
+	ended     bool
 	chunks    []string
 	failure   string
 	prefilled int
 	changed   <-chan struct{}
 }
 
-func (engine *Engine) news(known *sequence, from int) news {
+func (engine *Engine) updateSince(known *sequence, from int) streamUpdate {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return news{
+	return streamUpdate{
 		lost:      engine.find(known.id) != known,
-		over:      known.over(),
+		ended:     known.ended(),
 		chunks:    known.chunks[min(from, len(known.chunks)):],
 		failure:   known.failure,
 		prefilled: int(known.prefilled),
@@ -182,16 +182,16 @@
 	}
 }
 
-// writeNews writes events that end before the index upTo. A failed write shows at the flush.
-func writeNews(writer io.Writer, known *sequence, news news, upTo int, progress bool) {
+// writeUpdate writes the events before the index end. The caller's flush reports failed writes.
+func writeUpdate(writer io.Writer, known *sequence, update streamUpdate, end int, progress bool) {
 	if progress {
-		_, _ = fmt.Fprintf(writer, "event: %s\ndata: {\"PrefilledTokens\":%d,\"PromptTokens\":%d}\n\n", dogwoodengine.EventProgress, news.prefilled, known.prompt)
+		_, _ = fmt.Fprintf(writer, "event: %s\ndata: {\"PrefilledTokens\":%d,\"PromptTokens\":%d}\n\n", dogwoodengine.EventProgress, update.prefilled, known.promptTokens)
 	}
-	first := upTo - len(news.chunks)
-	for offset, chunk := range news.chunks {
+	first := end - len(update.chunks)
+	for offset, chunk := range update.chunks {
 		_, _ = fmt.Fprintf(writer, "id: %s/%d\ndata: %s\n\n", known.id, first+offset, chunk)
 	}
-	if news.failure != "" {
-		_, _ = fmt.Fprintf(writer, "event: %s\ndata: {\"error\":{\"code\":%q,\"message\":%q}}\n\n", dogwoodengine.EventError, news.failure, news.failure)
+	if update.failure != "" {
+		_, _ = fmt.Fprintf(writer, "event: %s\ndata: {\"error\":{\"code\":%q,\"message\":%q}}\n\n", dogwoodengine.EventError, update.failure, update.failure)
 	}
 }
--- a/dogwoodlocal/dogwoodinterleave/change_test.go
+++ b/dogwoodlocal/dogwoodinterleave/change_test.go
@@ -16,7 +16,7 @@
 	"dogwoodmux.example/dogwoodlocal/dogwoodplatformstandin"
 )
 
-// text is a small valid text that differs by its customer's name.
+// text returns a small valid operators' text that contains the given customer.
 func text(name string) []byte {
 	return fmt.Appendf(nil, `{
 		// edited by %s
@@ -25,63 +25,64 @@
 	}`, name, name, 1)
 }
 
-// copyOf is one daemon's log, with the highest version it was seen to have in force.
-type copyOf struct {
+// daemonLog is one daemon's change log, with the highest version observed in force there.
+type daemonLog struct {
 	log     *dogwoodchange.Log
 	highest uint64
 }
 
-// submitted is what an operator was told of a change.
-type submitted struct {
+// submission is a change and the result that its operator got.
+type submission struct {
 	change   dogwoodchange.Change
 	accepted dogwoodchange.Accepted
 	err      error
 }
 
-type changeStory struct {
-	store   *dogwoodplatformstandin.Store
-	random  *locked
-	mutex   sync.Mutex
-	copies  []*copyOf
-	history []submitted
-	old     []dogwoodchange.News
+type changeScenario struct {
+	store      *dogwoodplatformstandin.Store
+	random     *lockedRandom
+	mutex      sync.Mutex
+	logs       []*daemonLog
+	history    []submission
+	oldUpdates []dogwoodchange.News
 }
 
-func (story *changeStory) start() *copyOf {
-	story.mutex.Lock()
-	defer story.mutex.Unlock()
-	started := &copyOf{log: dogwoodchange.New(dogwoodchange.Options{
-		Store: story.store, Objects: story.store,
+func (scenario *changeScenario) start() *daemonLog {
+	scenario.mutex.Lock()
+	defer scenario.mutex.Unlock()
+	started := &daemonLog{log: dogwoodchange.New(dogwoodchange.Options{
+		Store: scenario.store, Objects: scenario.store,
 	})}
-	story.copies = append(story.copies, started)
+	scenario.logs = append(scenario.logs, started)
 	return started
 }
 
-// observe fails if a daemon has gone back.
-func (story *changeStory) observe(t *testing.T, copied *copyOf) dogwoodchange.View {
-	story.mutex.Lock()
-	defer story.mutex.Unlock()
-	view := copied.log.Current()
-	if view.Version < copied.highest {
-		t.Errorf("got version %d in force after %d", view.Version, copied.highest)
+// observe returns a daemon's view, and fails the test if its version decreased.
+func (scenario *changeScenario) observe(t *testing.T, daemonLog *daemonLog) dogwoodchange.View {
+	scenario.mutex.Lock()
+	defer scenario.mutex.Unlock()
+	view := daemonLog.log.Current()
+	if view.Version < daemonLog.highest {
+		t.Errorf("got version %d in force after %d", view.Version, daemonLog.highest)
 	}
-	copied.highest = view.Version
+	daemonLog.highest = view.Version
 	return view
 }
 
-func (story *changeStory) pick() *copyOf {
-	story.mutex.Lock()
-	defer story.mutex.Unlock()
-	return story.copies[story.random.below(len(story.copies))]
+func (scenario *changeScenario) pick() *daemonLog {
+	scenario.mutex.Lock()
+	defer scenario.mutex.Unlock()
+	return scenario.logs[scenario.random.intN(len(scenario.logs))]
 }
 
-// operate is one operator: it looks at a daemon's state, thinks, and submits a change.
-func (story *changeStory) operate(t *testing.T, name string) {
-	copied := story.pick()
-	view := story.observe(t, copied)
-	time.Sleep(story.random.upTo(3 * time.Second))
+// runOperator simulates an operator, who reads a daemon's state and submits a change after a
+// delay.
+func (scenario *changeScenario) runOperator(t *testing.T, name string) {
+	daemonLog := scenario.pick()
+	view := scenario.observe(t, daemonLog)
+	time.Sleep(scenario.random.duration(3 * time.Second))
 	change := dogwoodchange.Change{ID: name, Author: name}
-	switch story.random.below(4) {
+	switch scenario.random.intN(4) {
 	case 0, 1:
 		change.Kind, change.BasedOn, change.Text = dogwoodchange.ApplyText, view.TextVersion, text(name)
 	case 2:
@@ -89,82 +90,82 @@
 	default:
 		change.Kind, change.DataCentre = dogwoodchange.BringBack, "fukuoka-a"
 	}
-	accepted, err := copied.log.Submit(t.Context(), change)
+	accepted, err := daemonLog.log.Submit(t.Context(), change)
 	var unknown *dogwoodchange.Unknown
-	if errors.As(err, &unknown) && story.random.chance(0.5) {
-		// The operator sends it again, as told, through any daemon. That this one changed
-		// nothing leaves the first unknown.
-		again, failed := story.pick().log.Submit(t.Context(), change)
+	if errors.As(err, &unknown) && scenario.random.chance(0.5) {
+		// The operator sends the change again through any daemon, as the error asks for. If
+		// that daemon is unavailable, the outcome of the first submission stays unknown.
+		resent, resendErr := scenario.pick().log.Submit(t.Context(), change)
 		var unavailable *dogwoodchange.Unavailable
-		if !errors.As(failed, &unavailable) {
-			accepted, err = again, failed
+		if !errors.As(resendErr, &unavailable) {
+			accepted, err = resent, resendErr
 		}
 	}
-	story.mutex.Lock()
-	story.history = append(story.history, submitted{change: change, accepted: accepted, err: err})
-	story.mutex.Unlock()
-	story.observe(t, copied)
+	scenario.mutex.Lock()
+	scenario.history = append(scenario.history, submission{change: change, accepted: accepted, err: err})
+	scenario.mutex.Unlock()
+	scenario.observe(t, daemonLog)
 }
 
-// exchange has a daemon hear from another, sometimes what that one knew long ago, and
-// sometimes out of order.
-func (story *changeStory) exchange(t *testing.T) {
-	from, to := story.pick(), story.pick()
-	news := from.log.Since(story.observe(t, to).Version / 2)
-	story.mutex.Lock()
-	story.old = append(story.old, news)
-	if story.random.chance(0.3) {
-		news = story.old[story.random.below(len(story.old))]
+// exchange sends one daemon's changes to another, sometimes an old update, and sometimes an
+// incomplete one in reverse order.
+func (scenario *changeScenario) exchange(t *testing.T) {
+	from, to := scenario.pick(), scenario.pick()
+	update := from.log.Since(scenario.observe(t, to).Version / 2)
+	scenario.mutex.Lock()
+	scenario.oldUpdates = append(scenario.oldUpdates, update)
+	if scenario.random.chance(0.3) {
+		update = scenario.oldUpdates[scenario.random.intN(len(scenario.oldUpdates))]
 	}
-	story.mutex.Unlock()
-	if story.random.chance(0.3) && len(news.Changes) > 1 {
-		news.Changes = slices.Clone(news.Changes)
-		slices.Reverse(news.Changes)
-		news.Changes = news.Changes[:len(news.Changes)-1]
+	scenario.mutex.Unlock()
+	if scenario.random.chance(0.3) && len(update.Changes) > 1 {
+		update.Changes = slices.Clone(update.Changes)
+		slices.Reverse(update.Changes)
+		update.Changes = update.Changes[:len(update.Changes)-1]
 	}
-	to.log.Merge(news)
-	story.observe(t, to)
+	to.log.Merge(update)
+	scenario.observe(t, to)
 }
 
-// replace starts a daemon anew, which learns the log from the store or a peer.
-func (story *changeStory) replace(t *testing.T) {
-	started := story.start()
+// replace starts a new daemon, which reads the log from the store or else from a peer.
+func (scenario *changeScenario) replace(t *testing.T) {
+	started := scenario.start()
 	if started.log.CatchUp(t.Context()) != nil {
-		started.log.Merge(story.pick().log.Since(0))
+		started.log.Merge(scenario.pick().log.Since(0))
 	}
-	story.observe(t, started)
+	scenario.observe(t, started)
 }
 
-// Two operators edit the text at the same moment through different daemons; a third takes
-// a data centre out while the store is down. One edit vanishes without a word, or a daemon
-// that restarted or read an old copy serves by the text of an hour ago.
-func TestChangesKeepOneOrderAndNeverGoBack(t *testing.T) {
+// Operators edit the text at the same time through different daemons, and take a data centre out
+// of service during an outage of the store. No edit may be lost silently, and no daemon may
+// return to an older text after a restart or a stale read.
+func TestChangesStayOrderedAndVersionsNeverDecrease(t *testing.T) {
 	t.Parallel()
 	forSeeds(t, 600, func(t *testing.T, random *rand.Rand) {
-		story := &changeStory{
+		scenario := &changeScenario{
 			store:  dogwoodplatformstandin.NewStore(random.Uint64()),
-			random: &locked{random: random},
+			random: &lockedRandom{random: random},
 		}
-		story.store.SetFaults(someFaults(random))
+		scenario.store.SetFaults(randomFaults(random))
 		for range 3 {
-			story.start()
+			scenario.start()
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		var outage, actors sync.WaitGroup
-		outage.Go(func() { outages(ctx, story.store, story.random) })
+		outage.Go(func() { toggleStore(ctx, scenario.store, scenario.random) })
 		for i := range 10 {
 			actors.Go(func() {
-				time.Sleep(story.random.upTo(30 * time.Second))
-				story.operate(t, fmt.Sprintf("op-%d", i))
+				time.Sleep(scenario.random.duration(30 * time.Second))
+				scenario.runOperator(t, fmt.Sprintf("op-%d", i))
 			})
 		}
 		for i := range 20 {
 			actors.Go(func() {
-				time.Sleep(story.random.upTo(45 * time.Second))
+				time.Sleep(scenario.random.duration(45 * time.Second))
 				if i%7 == 0 {
-					story.replace(t)
+					scenario.replace(t)
 				} else {
-					story.exchange(t)
+					scenario.exchange(t)
 				}
 			})
 		}
@@ -172,79 +173,80 @@
 		cancel()
 		outage.Wait()
 		time.Sleep(10 * time.Second) // late writes arrive
-		story.settle(t)
-		story.judge(t)
+		scenario.converge(t)
+		scenario.checkLog(t)
 	})
 }
 
-// settle ends the faults and lets every daemon learn all.
-func (story *changeStory) settle(t *testing.T) {
-	story.store.SetFaults(dogwoodplatformstandin.Faults{})
+// converge ends the faults and lets every daemon read all changes.
+func (scenario *changeScenario) converge(t *testing.T) {
+	scenario.store.SetFaults(dogwoodplatformstandin.Faults{})
 	for range 2 {
-		for _, copied := range story.copies {
-			if left := copied.log.KeepProvisional(t.Context()); left > 0 {
+		for _, daemonLog := range scenario.logs {
+			if left := daemonLog.log.KeepProvisional(t.Context()); left > 0 {
 				t.Errorf("got %d provisional take-outs left, want 0", left)
 			}
 		}
-		for _, copied := range story.copies {
-			if err := copied.log.CatchUp(t.Context()); err != nil {
+		for _, daemonLog := range scenario.logs {
+			if err := daemonLog.log.CatchUp(t.Context()); err != nil {
 				t.Error(err)
 			}
 		}
 	}
 }
 
-// judge checks the final log against what each operator was told.
-func (story *changeStory) judge(t *testing.T) {
-	first := story.copies[0].log
+// checkLog checks the final log against the results that the operators got.
+func (scenario *changeScenario) checkLog(t *testing.T) {
+	first := scenario.logs[0].log
 	final := first.Current()
 	log := first.Since(0).Changes
-	for _, copied := range story.copies {
-		view := story.observe(t, copied)
+	for _, daemonLog := range scenario.logs {
+		view := scenario.observe(t, daemonLog)
 		same := view.Version == final.Version && view.TextVersion == final.TextVersion &&
 			string(view.Source) == string(final.Source) && slices.Equal(view.OutDataCentres, final.OutDataCentres)
 		if !same {
 			t.Errorf("got views of versions %d and %d that differ at the end", view.Version, final.Version)
 		}
 	}
-	places := map[string][]uint64{}
+	positions := map[string][]uint64{}
 	var textVersion uint64
 	for i, change := range log {
 		if change.Version != uint64(i+1) {
-			t.Errorf("got version %d at place %d", change.Version, i+1)
+			t.Errorf("got version %d at position %d", change.Version, i+1)
 		}
-		places[change.ID] = append(places[change.ID], change.Version)
+		positions[change.ID] = append(positions[change.ID], change.Version)
 		if change.Kind == dogwoodchange.ApplyText {
 			if change.BasedOn != textVersion {
-				t.Errorf("got text %d that overwrites %d unseen, based on %d", change.Version, textVersion, change.BasedOn)
+				t.Errorf("got text %d that overwrites %d without being based on it, but on %d", change.Version, textVersion, change.BasedOn)
 			}
 			textVersion = change.Version
 		}
 	}
-	for _, told := range story.history {
-		story.judgeOne(t, told, places[told.change.ID])
+	for _, submission := range scenario.history {
+		scenario.checkSubmission(t, submission, positions[submission.change.ID])
 	}
 }
 
-func (story *changeStory) judgeOne(t *testing.T, told submitted, places []uint64) {
+func (scenario *changeScenario) checkSubmission(t *testing.T, submission submission, positions []uint64) {
 	var unknown *dogwoodchange.Unknown
 	switch {
-	case told.err == nil && len(places) != 1:
-		t.Errorf("accepted %s: got places %v, want one", told.change.ID, places)
-	case told.err == nil && told.accepted.Kept && places[0] != told.accepted.Version:
-		t.Errorf("accepted %s: got place %d, told %d", told.change.ID, places[0], told.accepted.Version)
-	case told.err != nil && errors.As(told.err, &unknown):
-		if len(places) > 1 {
-			t.Errorf("unknown %s: got places %v, want one at the most", told.change.ID, places)
+	case submission.err == nil && len(positions) != 1:
+		t.Errorf("accepted %s: got positions %v, want one", submission.change.ID, positions)
+	case submission.err == nil && submission.accepted.Kept && positions[0] != submission.accepted.Version:
+		t.Errorf("accepted %s: got position %d, want %d", submission.change.ID, positions[0], submission.accepted.Version)
+	case submission.err != nil && errors.As(submission.err, &unknown):
+		if len(positions) > 1 {
+			t.Errorf("unknown %s: got positions %v, want one at the most", submission.change.ID, positions)
 		}
-	case told.err != nil && len(places) > 0:
-		t.Errorf("refused %s (%v): got places %v, want none", told.change.ID, told.err, places)
+	case submission.err != nil && len(positions) > 0:
+		t.Errorf("refused %s (%v): got positions %v, want none", submission.change.ID, submission.err, positions)
 	}
 }
 
-// A store that was restored from a copy of an hour ago would give the versions of accepted
-// changes to others, and a new daemon would start from the old text.
-func TestRowsThatTheStoreLostAreWrittenAgain(t *testing.T) {
+// A store that was restored from an old backup has lost rows of accepted changes. Unless they
+// are rewritten, their versions are assigned to other changes, and a new daemon starts from the
+// old text.
+func TestRowsLostByStoreAreRewritten(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		before := dogwoodplatformstandin.NewStore(1)
@@ -258,9 +260,9 @@
 			}
 		}
 		restored := dogwoodplatformstandin.NewStore(2)
-		again := dogwoodchange.New(dogwoodchange.Options{Store: restored, Objects: restored})
-		again.Merge(log.Since(0))
-		if err := again.Poll(t.Context()); err != nil {
+		rewriting := dogwoodchange.New(dogwoodchange.Options{Store: restored, Objects: restored})
+		rewriting.Merge(log.Since(0))
+		if err := rewriting.Poll(t.Context()); err != nil {
 			t.Fatal(err)
 		}
 		fresh := dogwoodchange.New(dogwoodchange.Options{Store: restored, Objects: restored})
@@ -273,9 +275,9 @@
 	})
 }
 
-// The second of two data centres is taken out while the first is out: one command and no
-// question would end the service.
-func TestLastPlaceOfAService(t *testing.T) {
+// The second of two data centres is taken out of service while the first is out. Without a check
+// this one command would end the service.
+func TestTakeOutOfLastDataCentreIsRefused(t *testing.T) {
 	t.Parallel()
 	vms := []dogwoodfleet.ListedVM{
 		{Name: "d1", Service: "lot-desk", Place: dogwoodfleet.Place{DataCentre: "fukuoka-a"}, State: dogwoodfleet.Live},
@@ -310,8 +312,8 @@
 	})
 }
 
-// A new daemon joins after ten thousand changes. Reading them all, one row each, would keep
-// it from serving for long and the store busy.
+// A new daemon joins after thousands of changes. If it read them one row at a time, it could not
+// serve for a long time and would load the store.
 func TestNewDaemonStartsFromASnapshot(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -349,10 +351,10 @@
 	})
 }
 
-// A data centre's power fails in ten minutes. The store takes every call and answers none,
-// and another operator's text hangs on it. The take-out must not wait for either, and must
-// be in the log once when the store answers again.
-func TestTakeOutDoesNotWaitForAStoreThatHangs(t *testing.T) {
+// The store accepts every call and answers none, and the submission of a text is waiting for it.
+// The take-out of a data centre that is about to lose power must wait for neither, and must be in
+// the log exactly once after the store answers again.
+func TestTakeOutDoesNotWaitForHangingStore(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		store := dogwoodplatformstandin.NewStore(1)
--- a/dogwoodlocal/dogwoodinterleave/doc.go
+++ b/dogwoodlocal/dogwoodinterleave/doc.go
@@ -1,8 +1,8 @@
 // Package dogwoodinterleave holds the tests that run the state machines of several daemons
-// against one faulty store, in random interleavings on paused time, and check the histories:
-// one order of changes that never goes back, at most one run of a call, no order of a
-// holder whose lease is over.
+// against one faulty store, in random interleavings in synctest bubbles, and check the
+// histories: all daemons agree on the sequence of changes and never return to an earlier
+// version, a call runs at most once, and no holder issues an order after its lease expired.
 //
-// A failing seed is printed; DOGWOOD_SEED runs it alone and DOGWOOD_SEEDS sets how many
-// are run.
+// The tests log the seeds that fail. DOGWOOD_SEED runs a single seed; DOGWOOD_SEEDS sets the
+// number of seeds.
 package dogwoodinterleave
--- a/dogwoodlocal/dogwoodinterleave/harness_test.go
+++ b/dogwoodlocal/dogwoodinterleave/harness_test.go
@@ -13,12 +13,12 @@
 	"dogwoodmux.example/dogwoodlocal/dogwoodplatformstandin"
 )
 
-// shards is how many seeds run side by side.
-const shards = 6
+// seedShards is the number of seeds that run in parallel.
+const seedShards = 6
 
-// forSeeds runs the story once for each seed, each on paused time of its own, and prints
+// forSeeds runs the scenario once for each seed, each in a separate synctest bubble, and logs
 // the seeds that fail.
-func forSeeds(t *testing.T, count int, story func(t *testing.T, random *rand.Rand)) {
+func forSeeds(t *testing.T, count int, scenario func(t *testing.T, random *rand.Rand)) {
 	t.Helper()
 	first := 1
 	if seed, err := strconv.Atoi(os.Getenv("DOGWOOD_SEED")); err == nil {
@@ -26,78 +26,79 @@
 	} else if seeds, err := strconv.Atoi(os.Getenv("DOGWOOD_SEEDS")); err == nil {
 		count = seeds
 	}
-	for shard := range shards {
+	for shard := range seedShards {
 		t.Run("shard"+strconv.Itoa(shard), func(t *testing.T) {
 			t.Parallel()
-			for seed := first + shard; seed < first+count; seed += shards {
-				runSeed(t, seed, story)
+			for seed := first + shard; seed < first+count; seed += seedShards {
+				runSeed(t, seed, scenario)
 			}
 		})
 	}
 }
 
-func runSeed(t *testing.T, seed int, story func(t *testing.T, random *rand.Rand)) {
+func runSeed(t *testing.T, seed int, scenario func(t *testing.T, random *rand.Rand)) {
 	synctest.Test(t, func(t *testing.T) {
 		defer func() {
 			if t.Failed() {
 				t.Logf("run again with DOGWOOD_SEED=%d", seed)
 			}
 		}()
-		story(t, rand.New(rand.NewPCG(uint64(seed), 1)))
+		scenario(t, rand.New(rand.NewPCG(uint64(seed), 1)))
 	})
 }
 
-// locked is a random source that the actors of one story share.
-type locked struct {
+// lockedRandom is a random source that the goroutines of one scenario share.
+type lockedRandom struct {
 	mutex  sync.Mutex
 	random *rand.Rand
 }
 
-func (locked *locked) chance(share float64) bool {
-	locked.mutex.Lock()
-	defer locked.mutex.Unlock()
-	return locked.random.Float64() < share
+func (lockedRandom *lockedRandom) chance(probability float64) bool {
+	lockedRandom.mutex.Lock()
+	defer lockedRandom.mutex.Unlock()
+	return lockedRandom.random.Float64() < probability
 }
 
-func (locked *locked) upTo(longest time.Duration) time.Duration {
-	locked.mutex.Lock()
-	defer locked.mutex.Unlock()
-	return time.Duration(locked.random.Int64N(int64(longest)))
+func (lockedRandom *lockedRandom) duration(limit time.Duration) time.Duration {
+	lockedRandom.mutex.Lock()
+	defer lockedRandom.mutex.Unlock()
+	return time.Duration(lockedRandom.random.Int64N(int64(limit)))
 }
 
-func (locked *locked) below(bound int) int {
-	locked.mutex.Lock()
-	defer locked.mutex.Unlock()
-	return locked.random.IntN(bound)
+func (lockedRandom *lockedRandom) intN(limit int) int {
+	lockedRandom.mutex.Lock()
+	defer lockedRandom.mutex.Unlock()
+	return lockedRandom.random.IntN(limit)
 }
 
-// someFaults draws the faults of one story; a part of the stories has few or none.
-func someFaults(random *rand.Rand) dogwoodplatformstandin.Faults {
-	share := func() float64 {
+// randomFaults returns the faults of one scenario. Each probability is 0 in a third of the
+// cases, so that some scenarios have few faults or none.
+func randomFaults(random *rand.Rand) dogwoodplatformstandin.Faults {
+	probability := func() float64 {
 		if random.IntN(3) == 0 {
 			return 0
 		}
 		return random.Float64() * 0.3
 	}
 	return dogwoodplatformstandin.Faults{
-		LoseRequests: share(),
-		LoseAnswers:  share(),
-		LateWrites:   share(),
+		LoseRequests: probability(),
+		LoseAnswers:  probability(),
+		LateWrites:   probability(),
 		LateBy:       time.Duration(1 + random.Int64N(int64(5*time.Second))),
-		StaleReads:   share(),
+		StaleReads:   probability(),
 		Delay:        time.Duration(1 + random.Int64N(int64(300*time.Millisecond))),
 	}
 }
 
-// outages takes the store down and up until the context ends, then leaves it up.
-func outages(ctx context.Context, store *dogwoodplatformstandin.Store, random *locked) {
+// toggleStore takes the store down and up again until the context ends, and leaves it up.
+func toggleStore(ctx context.Context, store *dogwoodplatformstandin.Store, random *lockedRandom) {
 	defer store.SetDown(false)
 	for {
-		if wait(ctx, random.upTo(20*time.Second)) != nil {
+		if wait(ctx, random.duration(20*time.Second)) != nil {
 			return
 		}
 		store.SetDown(true)
-		if wait(ctx, random.upTo(8*time.Second)) != nil {
+		if wait(ctx, random.duration(8*time.Second)) != nil {
 			return
 		}
 		store.SetDown(false)
--- a/dogwoodlocal/dogwoodinterleave/lease_test.go
+++ b/dogwoodlocal/dogwoodinterleave/lease_test.go
@@ -22,254 +22,257 @@
 	longestOrder = 4 * time.Second
 )
 
-// ordered is one order as the endpoint saw it.
-type ordered struct {
+// executedOrder is an order that an endpoint executed.
+type executedOrder struct {
 	holder     dogwoodfleet.InstanceID
-	number     uint64
-	from, till time.Time
+	fence      uint64
+	start, end time.Time
 }
 
-// endpoint takes orders. One that checks refuses old numbers; one that ignores numbers
-// obeys everyone, so that only leases protect it.
+// endpoint executes orders. If it checks fencing numbers, it refuses orders with an old one;
+// otherwise it executes every order, and only the leases protect it.
 type endpoint struct {
-	checks  bool
-	mutex   sync.Mutex
-	highest uint64
-	obeyed  []ordered
+	checksFencing bool
+	mutex         sync.Mutex
+	highestFence  uint64
+	executed      []executedOrder
 }
 
-func (endpoint *endpoint) order(order ordered) {
+func (endpoint *endpoint) execute(order executedOrder) {
 	endpoint.mutex.Lock()
 	defer endpoint.mutex.Unlock()
-	if endpoint.checks && order.number < endpoint.highest {
+	if endpoint.checksFencing && order.fence < endpoint.highestFence {
 		return
 	}
-	endpoint.highest = max(endpoint.highest, order.number)
-	endpoint.obeyed = append(endpoint.obeyed, order)
+	endpoint.highestFence = max(endpoint.highestFence, order.fence)
+	endpoint.executed = append(endpoint.executed, order)
 }
 
-// pausable is the store as one daemon reaches it: while the daemon is paused its calls,
-// and the answers to them, wait.
-type pausable struct {
+// pausableStore is one daemon's access to the store. While the daemon is paused, its calls
+// and the answers to them wait.
+type pausableStore struct {
 	*dogwoodplatformstandin.Store
-	mutex  sync.Mutex
-	paused chan struct{} // closed on waking; nil while awake
-	cut    bool          // the daemon runs on and does not reach the store
+	mutex        sync.Mutex
+	paused       chan struct{} // closed on resume; nil while not paused
+	disconnected bool          // the daemon keeps running but can't reach the store
 }
 
-func (pausable *pausable) setCut(cut bool) {
-	pausable.mutex.Lock()
-	defer pausable.mutex.Unlock()
-	pausable.cut = cut
+func (pausableStore *pausableStore) setDisconnected(disconnected bool) {
+	pausableStore.mutex.Lock()
+	defer pausableStore.mutex.Unlock()
+	pausableStore.disconnected = disconnected
 }
 
-func (pausable *pausable) reach() error {
-	pausable.awake()
-	pausable.mutex.Lock()
-	defer pausable.mutex.Unlock()
-	if pausable.cut {
-		return &dogwoodtable.Unavailable{Cause: errors.New("cut off")}
+func (pausableStore *pausableStore) checkConnected() error {
+	pausableStore.waitWhilePaused()
+	pausableStore.mutex.Lock()
+	defer pausableStore.mutex.Unlock()
+	if pausableStore.disconnected {
+		return &dogwoodtable.Unavailable{Cause: errors.New("the daemon is disconnected from the store")}
 	}
 	return nil
 }
 
-func (pausable *pausable) pause() {
-	pausable.mutex.Lock()
-	defer pausable.mutex.Unlock()
-	if pausable.paused == nil {
-		pausable.paused = make(chan struct{})
+func (pausableStore *pausableStore) pause() {
+	pausableStore.mutex.Lock()
+	defer pausableStore.mutex.Unlock()
+	if pausableStore.paused == nil {
+		pausableStore.paused = make(chan struct{})
 	}
 }
 
-func (pausable *pausable) wake() {
-	pausable.mutex.Lock()
-	defer pausable.mutex.Unlock()
-	if pausable.paused != nil {
-		close(pausable.paused)
-		pausable.paused = nil
+func (pausableStore *pausableStore) resume() {
+	pausableStore.mutex.Lock()
+	defer pausableStore.mutex.Unlock()
+	if pausableStore.paused != nil {
+		close(pausableStore.paused)
+		pausableStore.paused = nil
 	}
 }
 
-// awake waits until the daemon is not paused.
-func (pausable *pausable) awake() {
-	pausable.mutex.Lock()
-	paused := pausable.paused
-	pausable.mutex.Unlock()
+// waitWhilePaused returns once the daemon is not paused.
+func (pausableStore *pausableStore) waitWhilePaused() {
+	pausableStore.mutex.Lock()
+	paused := pausableStore.paused
+	pausableStore.mutex.Unlock()
 	if paused != nil {
 		<-paused
 	}
 }
 
-func (pausable *pausable) Read(ctx context.Context, table, key string) (dogwoodtable.Row, bool, error) {
-	if err := pausable.reach(); err != nil {
+func (pausableStore *pausableStore) Read(ctx context.Context, table, key string) (dogwoodtable.Row, bool, error) {
+	if err := pausableStore.checkConnected(); err != nil {
 		return dogwoodtable.Row{}, false, err
 	}
-	defer pausable.awake()
-	return pausable.Store.Read(context.WithoutCancel(ctx), table, key)
+	defer pausableStore.waitWhilePaused()
+	return pausableStore.Store.Read(context.WithoutCancel(ctx), table, key)
 }
 
-func (pausable *pausable) Commit(ctx context.Context, writes ...dogwoodtable.Write) ([]uint64, error) {
-	if err := pausable.reach(); err != nil {
+func (pausableStore *pausableStore) Commit(ctx context.Context, writes ...dogwoodtable.Write) ([]uint64, error) {
+	if err := pausableStore.checkConnected(); err != nil {
 		return nil, err
 	}
-	defer pausable.awake()
-	return pausable.Store.Commit(context.WithoutCancel(ctx), writes...)
+	defer pausableStore.waitWhilePaused()
+	return pausableStore.Store.Commit(context.WithoutCancel(ctx), writes...)
 }
 
-// daemon wants shards and gives orders for those it holds.
+// daemon requests leases of shards and issues orders for the shards that it holds.
 type daemon struct {
 	name   dogwoodfleet.InstanceID
 	holder *dogwoodlease.Holder
-	store  *pausable
+	store  *pausableStore
 	ctx    context.Context //nolint:containedctx // the lifetime of a simulated process
-	die    context.CancelFunc
+	kill   context.CancelFunc
 }
 
-type leaseStory struct {
+type leaseScenario struct {
 	store   *dogwoodplatformstandin.Store
-	random  *locked
+	random  *lockedRandom
 	group   sync.WaitGroup
 	daemons []*daemon
 	shards  map[string]*endpoint
 }
 
-func newLeaseStory(random *rand.Rand) *leaseStory {
-	return &leaseStory{
+func newLeaseScenario(random *rand.Rand) *leaseScenario {
+	return &leaseScenario{
 		store:  dogwoodplatformstandin.NewStore(random.Uint64()),
-		random: &locked{random: random},
-		shards: map[string]*endpoint{"checks": {checks: true}, "ignores": {}},
+		random: &lockedRandom{random: random},
+		shards: map[string]*endpoint{"checks": {checksFencing: true}, "ignores": {}},
 	}
 }
 
-func (story *leaseStory) start(t *testing.T, name string) *daemon {
-	store := &pausable{Store: story.store}
+func (scenario *leaseScenario) start(t *testing.T, name string) *daemon {
+	store := &pausableStore{Store: scenario.store}
 	ctx, cancel := context.WithCancel(t.Context())
 	started := &daemon{
 		name: dogwoodfleet.InstanceID(name),
 		holder: dogwoodlease.New(dogwoodlease.Options{
 			Store: store, Self: dogwoodfleet.InstanceID(name), Term: term, LongestOrder: longestOrder,
 		}),
-		store: store, ctx: ctx, die: cancel,
+		store: store, ctx: ctx, kill: cancel,
 	}
-	story.daemons = append(story.daemons, started)
-	story.group.Go(func() { _ = started.holder.Run(ctx) })
+	scenario.daemons = append(scenario.daemons, started)
+	scenario.group.Go(func() { _ = started.holder.Run(ctx) })
 	return started
 }
 
-// order gives orders for one shard whenever the daemon holds it, until it dies.
-func (story *leaseStory) order(daemon *daemon, shard string) {
-	for wait(daemon.ctx, story.random.upTo(2*time.Second)) == nil {
-		daemon.store.awake()
+// issueOrders issues orders for one shard at random intervals while the daemon holds it, until
+// the daemon is killed.
+func (scenario *leaseScenario) issueOrders(daemon *daemon, shard string) {
+	for wait(daemon.ctx, scenario.random.duration(2*time.Second)) == nil {
+		daemon.store.waitWhilePaused()
 		checked := time.Now()
 		fence, err := daemon.holder.Fence(shard)
-		if err != nil || !fence.Covers(story.shards[shard].checks, checked) {
+		if err != nil || !fence.Covers(scenario.shards[shard].checksFencing, checked) {
 			continue
 		}
-		story.group.Go(func() {
-			// The way to the endpoint; all ends within the longest order.
-			time.Sleep(story.random.upTo(longestOrder))
-			story.shards[shard].order(ordered{
-				holder: daemon.name, number: fence.Number, from: checked, till: checked.Add(longestOrder),
+		scenario.group.Go(func() {
+			// The latency to the endpoint. Every order is executed within longestOrder.
+			time.Sleep(scenario.random.duration(longestOrder))
+			scenario.shards[shard].execute(executedOrder{
+				holder: daemon.name, fence: fence.Number, start: checked, end: checked.Add(longestOrder),
 			})
 		})
 	}
 }
 
-// A data centre is being moved. A daemon that orders which model an engine loads is paused
-// or cut off from the store for a minute, another takes its place, and the first wakes and orders the old model back:
-// notices are written by the wrong one for hours. Store answers are lost, late and old, and
-// the soft ownership of the shards moves at random.
+// A daemon that issues an engine's orders is paused or disconnected from the store, another
+// daemon takes over, and then the first one resumes. If it could still issue orders, it would
+// make the engine load the old model again, and answers would come from the wrong model.
+// Meanwhile store answers are lost, late and stale, and the shards are reassigned at random.
 func TestOrdersOfTwoHoldersNeverOverlap(t *testing.T) {
 	t.Parallel()
 	orders := 0
 	var mutex sync.Mutex
 	forSeeds(t, 400, func(t *testing.T, random *rand.Rand) {
-		story := newLeaseStory(random)
-		story.store.SetFaults(someFaults(random))
+		scenario := newLeaseScenario(random)
+		scenario.store.SetFaults(randomFaults(random))
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute)
 		defer cancel()
 		for i := range 3 {
-			daemon := story.start(t, fmt.Sprintf("daemon-%d", i))
-			for shard := range story.shards {
-				story.group.Go(func() { story.order(daemon, shard) })
+			daemon := scenario.start(t, fmt.Sprintf("daemon-%d", i))
+			for shard := range scenario.shards {
+				scenario.group.Go(func() { scenario.issueOrders(daemon, shard) })
 			}
 		}
-		story.group.Go(func() { outages(ctx, story.store, story.random) })
-		story.group.Go(func() { story.move(ctx) })
-		for _, daemon := range story.daemons {
-			story.group.Go(func() { story.pauses(ctx, daemon) })
+		scenario.group.Go(func() { toggleStore(ctx, scenario.store, scenario.random) })
+		scenario.group.Go(func() { scenario.reassignShards(ctx) })
+		for _, daemon := range scenario.daemons {
+			scenario.group.Go(func() { scenario.interrupt(ctx, daemon) })
 		}
 		<-ctx.Done()
-		for _, daemon := range story.daemons {
-			daemon.store.wake()
-			daemon.die()
+		for _, daemon := range scenario.daemons {
+			daemon.store.resume()
+			daemon.kill()
 		}
-		story.group.Wait()
-		for name, endpoint := range story.shards {
-			judgeOrders(t, name, endpoint)
+		scenario.group.Wait()
+		for name, endpoint := range scenario.shards {
+			checkOrders(t, name, endpoint)
 			mutex.Lock()
-			orders += len(endpoint.obeyed)
+			orders += len(endpoint.executed)
 			mutex.Unlock()
 		}
 	})
 	t.Cleanup(func() { t.Logf("%d orders obeyed", orders) })
 }
 
-// move has the wish for shards wander between the daemons; at times two or none want one.
-func (story *leaseStory) move(ctx context.Context) {
+// reassignShards changes at random which daemons request which shards. At times several daemons
+// request the same shard, or none does.
+func (scenario *leaseScenario) reassignShards(ctx context.Context) {
 	for {
-		for _, daemon := range story.daemons {
+		for _, daemon := range scenario.daemons {
 			var shards []string
-			for shard := range story.shards {
-				if story.random.chance(0.5) {
+			for shard := range scenario.shards {
+				if scenario.random.chance(0.5) {
 					shards = append(shards, shard)
 				}
 			}
 			daemon.holder.Want(shards)
 		}
-		if wait(ctx, story.random.upTo(40*time.Second)) != nil {
+		if wait(ctx, scenario.random.duration(40*time.Second)) != nil {
 			return
 		}
 	}
 }
 
-func (story *leaseStory) pauses(ctx context.Context, daemon *daemon) {
-	for wait(ctx, story.random.upTo(time.Minute)) == nil {
-		if story.random.chance(0.5) {
+func (scenario *leaseScenario) interrupt(ctx context.Context, daemon *daemon) {
+	for wait(ctx, scenario.random.duration(time.Minute)) == nil {
+		if scenario.random.chance(0.5) {
 			daemon.store.pause()
 		} else {
-			daemon.store.setCut(true)
+			daemon.store.setDisconnected(true)
 		}
-		_ = wait(ctx, story.random.upTo(40*time.Second))
-		daemon.store.setCut(false)
-		daemon.store.wake()
+		_ = wait(ctx, scenario.random.duration(40*time.Second))
+		daemon.store.setDisconnected(false)
+		daemon.store.resume()
 	}
 }
 
-// judgeOrders checks that numbers never fall in what was obeyed, and for endpoints that
-// ignore them that no holder's order was under way while another's was.
-func judgeOrders(t *testing.T, name string, endpoint *endpoint) {
-	slices.SortFunc(endpoint.obeyed, func(a, b ordered) int { return a.from.Compare(b.from) })
-	if endpoint.checks {
-		return // it has refused the old ones itself
+// checkOrders checks, for an endpoint that ignores fencing numbers, that orders of different
+// holders never overlap in time and that the fencing number never decreases between holders.
+func checkOrders(t *testing.T, name string, endpoint *endpoint) {
+	slices.SortFunc(endpoint.executed, func(a, b executedOrder) int { return a.start.Compare(b.start) })
+	if endpoint.checksFencing {
+		return // the endpoint itself refused orders with an old number
 	}
-	for i, order := range endpoint.obeyed {
-		for _, later := range endpoint.obeyed[i+1:] {
+	for i, order := range endpoint.executed {
+		for _, later := range endpoint.executed[i+1:] {
 			if later.holder == order.holder {
 				continue
 			}
-			if later.from.Before(order.till) || later.number < order.number {
+			if later.start.Before(order.end) || later.fence < order.fence {
 				t.Errorf("%s: got an order of %s (fence %d) at %s, while one of %s (fence %d) ran until %s",
-					name, later.holder, later.number, later.from, order.holder, order.number, order.till)
+					name, later.holder, later.fence, later.start, order.holder, order.fence, order.end)
 				return
 			}
 		}
 	}
 }
 
-// The holder of an engine pool's shard dies. Its successor must give orders after the term,
-// with a higher number, and one that left in good order must not be waited for.
-func TestShardsChangeHands(t *testing.T) {
+// The holder of an engine pool's shard dies. The next holder must be able to issue orders once
+// the lease has expired, with a higher fencing number. After a release it must not wait for
+// the lease to expire.
+func TestShardMovesToNewHolder(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
 		name    string
@@ -282,32 +285,32 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				story := newLeaseStory(rand.New(rand.NewPCG(1, 1)))
-				first := story.start(t, "first")
+				scenario := newLeaseScenario(rand.New(rand.NewPCG(1, 1)))
+				first := scenario.start(t, "first")
 				first.holder.Want([]string{"ignores"})
-				before := holdsWithin(t, first, term)
-				first.die()
-				story.group.Wait()
+				before := waitForFence(t, first, term)
+				first.kill()
+				scenario.group.Wait()
 				if test.release {
 					if err := first.holder.Release(t.Context()); err != nil {
 						t.Fatal(err)
 					}
 				}
-				second := story.start(t, "second")
+				second := scenario.start(t, "second")
 				second.holder.Want([]string{"ignores"})
-				after := holdsWithin(t, second, test.within)
+				after := waitForFence(t, second, test.within)
 				if after.Number <= before.Number {
 					t.Errorf("got fence %d after %d, want a higher one", after.Number, before.Number)
 				}
-				second.die()
-				story.group.Wait()
+				second.kill()
+				scenario.group.Wait()
 			})
 		})
 	}
 }
 
-// holdsWithin waits until the daemon may order endpoints that ignore fencing.
-func holdsWithin(t *testing.T, daemon *daemon, within time.Duration) dogwoodlease.Fence {
+// waitForFence waits until the daemon may issue orders to endpoints that ignore fencing numbers.
+func waitForFence(t *testing.T, daemon *daemon, within time.Duration) dogwoodlease.Fence {
 	t.Helper()
 	for start := time.Now(); time.Since(start) <= within; time.Sleep(100 * time.Millisecond) {
 		fence, err := daemon.holder.Fence("ignores")
@@ -323,16 +326,16 @@
 	return dogwoodlease.Fence{}
 }
 
-// Five hundred daemons hold twelve engines each. If leases were renewed for each engine,
-// six thousand rows would be written every few seconds.
+// With five hundred daemons that hold twelve engines each, renewing a lease for each engine
+// would write six thousand rows every few seconds.
 func TestLeaseWritesGrowWithDaemonsOnly(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		tests := []struct{ daemons, shards int }{{1, 12}, {8, 12}, {8, 1}}
 		for _, test := range tests {
-			story := newLeaseStory(rand.New(rand.NewPCG(1, 1)))
+			scenario := newLeaseScenario(rand.New(rand.NewPCG(1, 1)))
 			for i := range test.daemons {
-				daemon := story.start(t, fmt.Sprintf("daemon-%d", i))
+				daemon := scenario.start(t, fmt.Sprintf("daemon-%d", i))
 				var shards []string
 				for shard := range test.shards {
 					shards = append(shards, fmt.Sprintf("%d-%d", i, shard))
@@ -340,22 +343,22 @@
 				daemon.holder.Want(shards)
 			}
 			time.Sleep(time.Minute)
-			writesBefore, _ := story.store.Writes()
-			readsBefore := story.store.Reads()
-			const long = 10 * time.Minute
-			time.Sleep(long)
-			writes, _ := story.store.Writes()
-			perTerm := float64(writes-writesBefore) / float64(test.daemons) / (long.Seconds() / term.Seconds())
-			reads := story.store.Reads() - readsBefore
+			writesBefore, _ := scenario.store.Writes()
+			readsBefore := scenario.store.Reads()
+			const measured = 10 * time.Minute
+			time.Sleep(measured)
+			writes, _ := scenario.store.Writes()
+			perTerm := float64(writes-writesBefore) / float64(test.daemons) / (measured.Seconds() / term.Seconds())
+			reads := scenario.store.Reads() - readsBefore
 			if perTerm > 3.6 || reads > 0 {
-				t.Errorf("%d daemons, %d shards: got %.2f writes a term and daemon and %d reads, want about 3 and none",
+				t.Errorf("%d daemons, %d shards: got %.2f writes per term and daemon and %d reads, want about 3 and none",
 					test.daemons, test.shards, perTerm, reads)
 			}
-			t.Logf("%d daemons with %d shards each: %.2f writes a term and daemon, %d reads", test.daemons, test.shards, perTerm, reads)
-			for _, daemon := range story.daemons {
-				daemon.die()
+			t.Logf("%d daemons with %d shards each: %.2f writes per term and daemon, %d reads", test.daemons, test.shards, perTerm, reads)
+			for _, daemon := range scenario.daemons {
+				daemon.kill()
 			}
-			story.group.Wait()
+			scenario.group.Wait()
 		}
 	})
 }
--- a/dogwoodlocal/dogwoodinterleave/spread_test.go
+++ b/dogwoodlocal/dogwoodinterleave/spread_test.go
@@ -19,16 +19,16 @@
 	"dogwoodmux.example/dogwoodlocal/dogwoodplatformstandin"
 )
 
-// inForceWithin is what is asked for: a change is in force everywhere within this.
+// inForceWithin is the required bound on the time until a change is in force at all daemons.
 const inForceWithin = 3 * time.Second
 
-// fleet is some daemons that spread changes among each other and to one store.
+// fleet is a set of daemons that propagate changes to each other and share one store.
 type fleet struct {
-	store  *dogwoodplatformstandin.Store
-	random *locked
-	lost   float64
-	mutex  sync.Mutex
-	nodes  []*node
+	store    *dogwoodplatformstandin.Store
+	random   *lockedRandom
+	lossRate float64
+	mutex    sync.Mutex
+	nodes    []*node
 }
 
 // all returns the daemons started so far.
@@ -38,19 +38,19 @@
 	return slices.Clone(fleet.nodes)
 }
 
-// node is one daemon as far as changes go. It knows all others by the list.
+// node simulates the changes of one daemon, which has a list of all other daemons.
 type node struct {
 	fleet *fleet
 	self  dogwoodmember.Member
 	log   *dogwoodchange.Log
 	duty  *dogwoodchanges.Duty
 	ctx   context.Context //nolint:containedctx // the lifetime of a simulated process
-	die   context.CancelFunc
+	kill  context.CancelFunc
 	group sync.WaitGroup
 }
 
 func newFleet(random *rand.Rand) *fleet {
-	return &fleet{store: dogwoodplatformstandin.NewStore(random.Uint64()), random: &locked{random: random}}
+	return &fleet{store: dogwoodplatformstandin.NewStore(random.Uint64()), random: &lockedRandom{random: random}}
 }
 
 func (fleet *fleet) start(t *testing.T) *node {
@@ -62,7 +62,7 @@
 	}}
 	started.log = dogwoodchange.New(dogwoodchange.Options{Store: fleet.store, Objects: fleet.store})
 	started.duty = dogwoodchanges.New(dogwoodchanges.Options{Log: started.log, Members: started, Caller: started})
-	started.ctx, started.die = context.WithCancel(t.Context())
+	started.ctx, started.kill = context.WithCancel(t.Context())
 	fleet.mutex.Lock()
 	fleet.nodes = append(fleet.nodes, started)
 	fleet.mutex.Unlock()
@@ -72,7 +72,7 @@
 
 func (fleet *fleet) stop() {
 	for _, node := range fleet.all() {
-		node.die()
+		node.kill()
 	}
 	for _, node := range fleet.all() {
 		node.group.Wait()
@@ -104,14 +104,14 @@
 	return targets
 }
 
-// Call carries a call to another daemon, or loses it or its answer.
+// Call calls another daemon. A call that is lost, or whose daemon is dead, times out.
 func (node *node) Call(ctx context.Context, peer netip.AddrPort, method string, args, reply any) error {
 	target := node.fleet.all()[peer.Addr().As4()[3]]
-	if target.ctx.Err() != nil || node.ctx.Err() != nil || node.fleet.random.chance(node.fleet.lost) {
+	if target.ctx.Err() != nil || node.ctx.Err() != nil || node.fleet.random.chance(node.fleet.lossRate) {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	time.Sleep(node.fleet.random.upTo(3 * time.Millisecond))
+	time.Sleep(node.fleet.random.duration(3 * time.Millisecond))
 	if node.ctx.Err() != nil || target.ctx.Err() != nil {
 		return context.Canceled
 	}
@@ -127,15 +127,16 @@
 	return errors.New("unknown method " + method)
 }
 
-// spread returns how long after now the last living daemon has the place out.
-func (fleet *fleet) spread(t *testing.T, place dogwoodfleet.DataCentre) time.Duration {
+// waitTakenOut waits until every live daemon has the data centre taken out of service, and
+// returns how long that took.
+func (fleet *fleet) waitTakenOut(t *testing.T, dataCentre dogwoodfleet.DataCentre) time.Duration {
 	t.Helper()
 	start := time.Now()
 	for time.Since(start) < time.Minute {
 		missing := 0
 		for _, node := range fleet.all() {
 			view := node.log.Current()
-			if node.ctx.Err() == nil && !view.Out(place, "") {
+			if node.ctx.Err() == nil && !view.Out(dataCentre, "") {
 				missing++
 			}
 		}
@@ -148,10 +149,10 @@
 	return 0
 }
 
-// Operators take a data centre out because its power goes in ten minutes. New work must
-// stop going there within seconds on every entry, also when the daemon that took the order
-// dies just after saying "accepted", when the network loses calls, and when the store is
-// down, so that the order can't be kept yet.
+// Operators take a data centre out of service because it is about to lose power. Within seconds
+// no entry daemon may send new work there, also when the daemon that accepted the change dies
+// right afterwards, when the network loses calls, and when the store is down, so that the change
+// can't be stored yet.
 func TestTakeOutIsInForceEverywhereWithinThreeSeconds(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
@@ -176,7 +177,7 @@
 			forSeeds(t, test.seeds, func(t *testing.T, random *rand.Rand) {
 				fleet := newFleet(random)
 				defer fleet.stop()
-				fleet.lost = test.lost
+				fleet.lossRate = test.lost
 				for range test.daemons {
 					fleet.start(t)
 				}
@@ -190,9 +191,9 @@
 					t.Fatalf("got %+v, %v, want kept: %v", accepted, err, !test.down)
 				}
 				if test.dies {
-					accepting.die()
+					accepting.kill()
 				}
-				took := fleet.spread(t, "fukuoka-a")
+				took := fleet.waitTakenOut(t, "fukuoka-a")
 				if took > inForceWithin {
 					t.Errorf("got %s until in force everywhere, want %s", took, inForceWithin)
 				}
@@ -205,10 +206,10 @@
 	}
 }
 
-// A data centre is taken out while the store is down, and all daemons that know of it but
-// one are replaced before the store is back, after an hour. The order must be kept by
-// whoever still knows it, once, and a bring-back after it must win.
-func TestProvisionalTakeOutIsKeptOnceTheStoreIsBack(t *testing.T) {
+// A data centre is taken out of service during an outage of the store, and all but one of the
+// daemons that have the change die before the outage ends, an hour later. The remaining daemons
+// must store the take-out exactly once, and a later bring-back must override it.
+func TestProvisionalTakeOutIsStoredAfterOutage(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(rand.New(rand.NewPCG(3, 3)))
@@ -232,7 +233,7 @@
 		}
 		time.Sleep(inForceWithin)
 		for _, node := range fleet.nodes[:3] {
-			node.die()
+			node.kill()
 		}
 		fresh := fleet.start(t)
 		time.Sleep(time.Hour)
@@ -259,8 +260,8 @@
 	})
 }
 
-// A daemon is replaced while the store is down, or while the store answers from an old
-// copy. Were it to serve at once, it would admit by no text at all or by last week's.
+// A daemon is replaced while the store is down or returns stale state. If it served at once, it
+// would admit requests without a text or by an outdated one.
 func TestNewDaemonServesOnlyWithTheLatestState(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
@@ -293,7 +294,7 @@
 				}
 				time.Sleep(inForceWithin)
 				if test.peers == 0 {
-					fleet.nodes[0].die()
+					fleet.nodes[0].kill()
 				}
 				fleet.store.SetDown(test.down)
 				if test.old {
@@ -318,9 +319,9 @@
 	}
 }
 
-// An operator asks whether a change is in force. A daemon that can't be reached, and one
-// that lags, must not look as if all was well.
-func TestStatusShowsWhoLags(t *testing.T) {
+// An operator queries whether a change is in force. The answer must show which daemons lag and
+// which can't be reached.
+func TestStatusShowsLaggingDaemons(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(rand.New(rand.NewPCG(3, 3)))
@@ -329,7 +330,7 @@
 			fleet.start(t)
 		}
 		time.Sleep(5 * time.Second)
-		fleet.nodes[3].die()
+		fleet.nodes[3].kill()
 		fleet.nodes[0].log.Merge(dogwoodchange.News{Changes: []dogwoodchange.Change{
 			{Version: 1, ID: "x", Kind: dogwoodchange.TakeOut, VM: "v"},
 		}})
@@ -346,8 +347,8 @@
 	})
 }
 
-// The platform's budget holds for all daemons together: what one reads while nothing
-// happens, and what a change costs, must not grow with more of them.
+// The platform limits the calls of all daemons together. The number of reads of an idle daemon,
+// and of reads and writes per change, must not grow with the number of daemons.
 func TestReadsAndWritesOfChanges(t *testing.T) {
 	t.Parallel()
 	for _, daemons := range []int{1, 8, 32} {
@@ -376,10 +377,10 @@
 			writes, _ := fleet.store.Writes()
 			reads := fleet.store.Reads() - before
 			if idle > 0.12 || writes-writesBefore != changes || reads > changes/10 {
-				t.Errorf("%d daemons: got %.3f reads a second each, %d writes and %d reads for %d changes, want about 0.1, one write each, hardly any reads",
+				t.Errorf("%d daemons: got %.3f reads per second and daemon when idle, %d writes and %d reads for %d changes, want about 0.1, one write per change and few reads",
 					daemons, idle, writes-writesBefore, reads, changes)
 			}
-			t.Logf("%d daemons: %.3f reads/s each when idle; %d writes, %d reads for %d changes", daemons, idle, writes-writesBefore, reads, changes)
+			t.Logf("%d daemons: %.3f reads/s per daemon when idle; %d writes, %d reads for %d changes", daemons, idle, writes-writesBefore, reads, changes)
 		})
 	}
 }
--- a/dogwoodlocal/dogwoodnetwork/connection.go
+++ b/dogwoodlocal/dogwoodnetwork/connection.go
@@ -11,7 +11,7 @@
 	host *Host
 }
 
-// Accept waits for a connection and keeps track of it until it is closed.
+// Accept waits for a connection and tracks it until it is closed.
 func (acceptor *acceptor) Accept() (net.Conn, error) {
 	accepted, err := acceptor.Listener.Accept()
 	if err != nil {
@@ -24,24 +24,24 @@
 	return open, nil
 }
 
-// connection is one that can fall silent.
+// connection is a connection that can fall silent: it stays open and transmits nothing.
 type connection struct {
 	net.Conn
 	host   *Host
 	silent atomic.Bool
 }
 
-// Read drops what arrives on a silent connection.
+// Read reads data, and drops what arrives on a silent connection.
 func (connection *connection) Read(buffer []byte) (int, error) {
 	for {
 		count, err := connection.Conn.Read(buffer)
 		if err != nil || !connection.silent.Load() {
-			return count, err // unwrapped: net/http looks for the errors of net
+			return count, err // not wrapped, because net/http checks for errors of package net
 		}
 	}
 }
 
-// Write pretends to send on a silent connection.
+// Write sends data. On a silent connection it drops the data and reports success.
 func (connection *connection) Write(buffer []byte) (int, error) {
 	if connection.silent.Load() {
 		return len(buffer), nil
@@ -49,7 +49,7 @@
 	return connection.Conn.Write(buffer)
 }
 
-// Close closes the connection.
+// Close closes the connection and stops tracking it.
 func (connection *connection) Close() error {
 	connection.host.mutex.Lock()
 	delete(connection.host.connections, connection)
--- a/dogwoodlocal/dogwoodnetwork/host.go
+++ b/dogwoodlocal/dogwoodnetwork/host.go
@@ -1,6 +1,6 @@
-// Package dogwoodnetwork gives the stand-ins connections that can fail: a host that dies and
-// comes back at its address, and open connections that fall silent while new ones work. It
-// also has a network in memory, for tests on paused time.
+// Package dogwoodnetwork provides the stand-ins with connections that can fail: a host can go
+// down and come back at the same address, and open connections can fall silent while new ones
+// work. It also provides an in-memory network for tests with testing/synctest.
 package dogwoodnetwork
 
 import (
@@ -19,13 +19,13 @@
 var Error = errs.Class("network")
 
 const (
-	// relistenPause is the pause between tries to get an address back.
-	relistenPause = 50 * time.Millisecond
-	// headerTimeout bounds how long a connection may take to say what it wants.
+	// relistenInterval is the time between retries of listening at the old address.
+	relistenInterval = 50 * time.Millisecond
+	// headerTimeout bounds how long a client may take to send a request's headers.
 	headerTimeout = time.Minute
 )
 
-// Relistener is a listener that knows how to listen again after it was closed.
+// Relistener is a listener that can listen again after it was closed.
 type Relistener interface {
 	net.Listener
 	Relisten() (net.Listener, error)
@@ -44,7 +44,7 @@
 	connections map[*connection]struct{}
 }
 
-// Serve starts a host on a listener.
+// Serve starts a host that serves on a listener.
 func Serve(listener net.Listener, handler http.Handler) (*Host, error) {
 	address, err := netip.ParseAddrPort(listener.Addr().String())
 	if err != nil {
@@ -69,23 +69,23 @@
 	return listener, Error.Wrap(err)
 }
 
-// Address returns where the host listens, also while it is down.
+// Address returns the host's address, also while it is down.
 func (host *Host) Address() netip.AddrPort {
 	return host.address
 }
 
-// start serves; the mutex is held.
+// start starts a server on a listener; the mutex must be held.
 func (host *Host) start(listener net.Listener) {
 	host.listener = listener
 	server := &http.Server{Handler: host.handler, ReadHeaderTimeout: headerTimeout}
 	host.server = server
 	host.serving.Go(func() {
-		// The error is always that of a listener closed by Down or Close.
+		// Serve returns only after Down or Close closed the listener.
 		_ = server.Serve(&acceptor{Listener: listener, host: host})
 	})
 }
 
-// Down closes the listener and every connection, as a process that dies does.
+// Down closes the listener and every connection, as the death of a process does.
 func (host *Host) Down() {
 	host.mutex.Lock()
 	server := host.server
@@ -96,8 +96,8 @@
 	}
 }
 
-// Up listens again at the same address. It tries until the context ends, since the port
-// may be taken for a moment.
+// Up listens again at the same address. It retries until the context ends, because the port
+// may be in use for a short time.
 func (host *Host) Up(ctx context.Context) error {
 	for {
 		err := host.up(ctx)
@@ -105,7 +105,7 @@
 			return nil
 		}
 		select {
-		case <-time.After(relistenPause):
+		case <-time.After(relistenInterval):
 		case <-ctx.Done():
 			return errors.Join(err, ctx.Err())
 		}
@@ -134,8 +134,8 @@
 	return config.Listen(ctx, "tcp", host.address.String())
 }
 
-// Silence makes every connection now open fall silent for good: what either end sends is
-// lost, and neither end is told. New connections work. Silence(false) closes the silent ones.
+// Silence makes every open connection permanently silent: data from either end is lost, and
+// neither end gets an error. New connections work. Silence(false) closes the silent ones.
 func (host *Host) Silence(on bool) {
 	host.mutex.Lock()
 	defer host.mutex.Unlock()
@@ -148,7 +148,7 @@
 	}
 }
 
-// Close ends the host for good and waits for its server.
+// Close shuts the host down permanently and waits until its server has ended.
 func (host *Host) Close() {
 	host.mutex.Lock()
 	host.closed = true
--- a/dogwoodlocal/dogwoodnetwork/memory.go
+++ b/dogwoodlocal/dogwoodnetwork/memory.go
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// Memory is a network inside the process. Its connections are net.Pipe, which testing/synctest
-// can pause, other than sockets.
+// Memory is a network inside the process. Its connections are made by net.Pipe. Unlike sockets
+// they work in a bubble of testing/synctest, whose time advances while they block.
 type Memory struct {
 	mutex     sync.Mutex
 	listeners map[netip.AddrPort]*memoryListener
@@ -20,7 +20,7 @@
 	return &Memory{listeners: map[netip.AddrPort]*memoryListener{}}
 }
 
-// Listen opens a listener.
+// Listen opens a listener at an address.
 func (memory *Memory) Listen(address netip.AddrPort) (net.Listener, error) {
 	memory.mutex.Lock()
 	defer memory.mutex.Unlock()
@@ -37,7 +37,7 @@
 	return listener, nil
 }
 
-// Dial connects to a listener. Without one it fails as a refused connection does.
+// Dial connects to a listener. If there is none, it returns the error of a refused connection.
 func (memory *Memory) Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	refused := &net.OpError{Op: "dial", Net: network, Err: syscall.ECONNREFUSED}
 	parsed, err := netip.ParseAddrPort(address)
@@ -79,7 +79,7 @@
 	}
 }
 
-// Close ends the listener; its address is free again.
+// Close closes the listener and frees its address.
 func (listener *memoryListener) Close() error {
 	listener.closing.Do(func() {
 		close(listener.closed)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// Addr returns where it listens.
+// Addr returns the listener's address.
 func (listener *memoryListener) Addr() net.Addr {
 	return net.TCPAddrFromAddrPort(listener.address)
 }
--- a/dogwoodlocal/dogwoodroot/banner.go
+++ b/dogwoodlocal/dogwoodroot/banner.go
@@ -7,7 +7,8 @@
 	"dogwoodmux.example/dogwoodlocal/dogwoodsite"
 )
 
-// Banner tells where a site answers and gives lines that can be tried as they stand.
+// Banner returns the text printed at the start: the site's addresses and keys, and the example
+// command lines.
 func Banner(site *dogwoodsite.Site) string {
 	var text strings.Builder
 	shape := site.Shape
@@ -23,7 +24,7 @@
 	return text.String()
 }
 
-// Examples are command lines that work as printed while the site runs.
+// Examples returns command lines that can be run as printed while the site runs.
 func Examples(site *dogwoodsite.Site) []string {
 	serve := site.Daemons()[0].Serve
 	key := site.Keys(site.Shape.Customers[0])
--- a/dogwoodlocal/dogwoodroot/root.go
+++ b/dogwoodlocal/dogwoodroot/root.go
@@ -21,7 +21,7 @@
 	exitUsage   = 2
 )
 
-// Factory makes what the command needs.
+// Factory holds the command's output streams and starts its site.
 type Factory struct {
 	Out io.Writer
 	Err io.Writer
@@ -29,12 +29,12 @@
 	Start func(ctx context.Context, options dogwoodsite.Options) (*dogwoodsite.Site, error)
 }
 
-// New returns the factory of a real process.
+// New returns a factory with the standard streams of the process.
 func New() *Factory {
 	return &Factory{Out: os.Stdout, Err: os.Stderr, Start: dogwoodsite.Start}
 }
 
-// Options are what the command works with.
+// Options are the flags and dependencies of the command.
 type Options struct {
 	Factory  *Factory
 	Shape    string
@@ -71,7 +71,7 @@
 	logger := hclog.New(&hclog.LoggerOptions{
 		Name: "dogwoodlocal", Level: hclog.LevelFromString(options.LogLevel), Output: options.Factory.Err,
 	})
-	// The site outlives the signal, so that it is closed in order.
+	// The signal must not end the site's context, so that Close can shut the site down in order.
 	site, err := options.Factory.Start(context.WithoutCancel(ctx), dogwoodsite.Options{
 		Shape: options.Shape, Daemons: options.Daemons, Policy: options.Policy, Logger: logger, Seed: options.Seed,
 	})
--- a/dogwoodlocal/dogwoodroot/scenario_test.go
+++ b/dogwoodlocal/dogwoodroot/scenario_test.go
@@ -18,10 +18,10 @@
 	"dogwoodmux.example/dogwoodlocal/dogwoodsite"
 )
 
-// endBound bounds the end of the program after its interrupt; it is no measure.
-const endBound = time.Minute
+// shutdownTimeout bounds how long the program may take to end after its interrupt.
+const shutdownTimeout = time.Minute
 
-// scenario is one run of the program and the last answer that a caller got.
+// scenario is a run of the program and the last response that a caller got.
 type scenario struct {
 	group  sync.WaitGroup
 	cancel context.CancelFunc
@@ -41,16 +41,17 @@
 	return script.Value(scenarioKey{}).(*scenario)
 }
 
-// TestScenarios runs the scripts, each against a program of its own in this process.
+// TestScenarios runs the scripts, each against a separate instance of the program in this
+// process.
 func TestScenarios(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "../testdata/scenarios",
 		Setup: func(environment *testscript.Env) error {
-			made := &scenario{cancel: func() {}, ended: make(chan int, 1)}
-			environment.Values[scenarioKey{}] = made
+			created := &scenario{cancel: func() {}, ended: make(chan int, 1)}
+			environment.Values[scenarioKey{}] = created
 			environment.Defer(func() {
-				made.cancel()
-				made.group.Wait()
+				created.cancel()
+				created.group.Wait()
 			})
 			return nil
 		},
@@ -69,7 +70,8 @@
 	})
 }
 
-// notifyWriter tells when the first bytes, the banner, were written.
+// notifyWriter closes written after the first write, which is the banner. It allows only one
+// write.
 type notifyWriter struct {
 	buffer  *bytes.Buffer
 	written chan struct{}
@@ -80,7 +82,7 @@
 	return writer.buffer.Write(data)
 }
 
-// local is "local ARGUMENTS…": it runs the program until "interrupt".
+// local implements "local ARGUMENTS…", which runs the program until "interrupt".
 func local(script *testscript.TestScript, _ bool, arguments []string) {
 	running := scenarioOf(script)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -103,12 +105,12 @@
 	}
 }
 
-// banner is "banner PATTERN".
+// banner implements "banner PATTERN", which matches the banner.
 func banner(script *testscript.TestScript, _ bool, arguments []string) {
 	match(script, arguments[0], scenarioOf(script).out.String())
 }
 
-// printed is "printed N": it runs the N-th curl line of the banner as it stands.
+// printed implements "printed N", which runs the N-th curl line of the banner unchanged.
 func printed(script *testscript.TestScript, _ bool, arguments []string) {
 	number, err := strconv.Atoi(arguments[0])
 	script.Check(err)
@@ -121,30 +123,30 @@
 			return
 		}
 	}
-	script.Fatalf("the banner has no such line")
+	script.Fatalf("the banner has too few curl lines")
 }
 
-// shellWords splits a line as a shell does that has only spaces and single quotes.
+// shellWords splits a line into words as a shell does. It supports only spaces and single quotes.
 func shellWords(line string) []string {
 	var words []string
-	word, quoted, begun := "", false, false
+	word, quoted, inWord := "", false, false
 	for _, letter := range line {
 		switch {
 		case letter == '\'':
-			quoted, begun = !quoted, true
+			quoted, inWord = !quoted, true
 		case letter == ' ' && !quoted:
-			if begun {
+			if inWord {
 				words = append(words, word)
 			}
-			word, begun = "", false
+			word, inWord = "", false
 		default:
-			word, begun = word+string(letter), true
+			word, inWord = word+string(letter), true
 		}
 	}
 	return append(words, word)
 }
 
-// entry is "entry N": paths without an address go to the N-th daemon from now on.
+// entry implements "entry N": from then on, URLs without an address go to the N-th daemon.
 func entry(script *testscript.TestScript, _ bool, arguments []string) {
 	number, err := strconv.Atoi(arguments[0])
 	script.Check(err)
@@ -152,7 +154,7 @@
 	running.entry = running.site.Daemons()[number-1].Serve
 }
 
-// curl is "curl [-N] [-H HEADER]… [-d BODY] URL".
+// curl implements "curl [-N] [-H HEADER]… [-d BODY] URL".
 func curl(script *testscript.TestScript, _ bool, arguments []string) {
 	running := scenarioOf(script)
 	method, target, sent := http.MethodGet, "", ""
@@ -188,14 +190,14 @@
 	script.Logf("%d %.400s", response.StatusCode, running.body)
 }
 
-// status is "status CODE".
+// status implements "status CODE", which checks the last response's status.
 func status(script *testscript.TestScript, _ bool, arguments []string) {
 	if got := strconv.Itoa(scenarioOf(script).response.StatusCode); got != arguments[0] {
 		script.Fatalf("got status %s, want %s", got, arguments[0])
 	}
 }
 
-// body is "body PATTERN".
+// body implements "body PATTERN", which matches the last response's body.
 func body(script *testscript.TestScript, _ bool, arguments []string) {
 	match(script, arguments[0], scenarioOf(script).body)
 }
@@ -206,14 +208,15 @@
 	}
 }
 
-// header is "header NAME VALUE".
+// header implements "header NAME VALUE", which checks a header of the last response.
 func header(script *testscript.TestScript, _ bool, arguments []string) {
 	if got := scenarioOf(script).response.Header.Get(arguments[0]); got != arguments[1] {
 		script.Fatalf("got %s: %s, want %s", arguments[0], got, arguments[1])
 	}
 }
 
-// runs is "runs KEY COUNT": how often the servers ran the call with an idempotency key.
+// runs implements "runs KEY COUNT", which checks how often the servers ran the call with an
+// idempotency key.
 func runs(script *testscript.TestScript, _ bool, arguments []string) {
 	got := 0
 	for _, server := range scenarioOf(script).site.Plain {
@@ -224,7 +227,7 @@
 	}
 }
 
-// interrupt ends the program, which must return 0.
+// interrupt ends the program and checks that it returns 0 and prints no error.
 func interrupt(script *testscript.TestScript, _ bool, _ []string) {
 	running := scenarioOf(script)
 	running.cancel()
@@ -233,7 +236,7 @@
 		if code != exitOK || running.err.Len() > 0 {
 			script.Fatalf("got exit code %d and %q, want none", code, &running.err)
 		}
-	case <-time.After(endBound):
-		script.Fatalf("the program did not end in %s", endBound)
+	case <-time.After(shutdownTimeout):
+		script.Fatalf("the program did not end in %s", shutdownTimeout)
 	}
 }
--- a/dogwoodlocal/main.go
+++ b/dogwoodlocal/main.go
@@ -1,5 +1,5 @@
-// Command dogwoodlocal starts a whole deployment in one process on loopback, for trying
-// it out: stand-ins for the engines, the plain service and the platform, and daemons.
+// Command dogwoodlocal starts a complete deployment in one process on the loopback address, for
+// trying it out: daemons, and stand-ins for the engines, the plain service and the platform.
 package main
 
 import (
