--- a/dogwoodlocal/dogwoodplainstandin/faults.go
+++ b/dogwoodlocal/dogwoodplainstandin/faults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Die ends the server as a crash does. It stays down until Revive.
+// Die stops the server as a crash does, until Revive is called.
 func (server *Server) Die() {
 	server.mutex.Lock()
 	server.dead = true
@@ -14,7 +14,7 @@
 	server.host.Down()
 }
 
-// Revive starts a dead server again at the same address, cold.
+// Revive restarts a server stopped by Die at the same address. The server is cold.
 func (server *Server) Revive(ctx context.Context) error {
 	server.mutex.Lock()
 	server.dead = false
@@ -36,7 +36,7 @@
 	return Error.Wrap(server.host.Up(ctx))
 }
 
-// crash ends the server for RestartAfter; the mutex is held.
+// crash stops the server for RestartAfter. The caller holds the mutex.
 func (server *Server) crash() {
 	server.crashes++
 	server.down = true
@@ -46,8 +46,9 @@
 	}
 }
 
-// restarts brings a crashed server down and, after a time, up again.
-func (server *Server) restarts(ctx context.Context) {
+// restartAfterCrashes takes a crashed server off the network and restarts it after
+// RestartAfter. It returns when the context ends.
+func (server *Server) restartAfterCrashes(ctx context.Context) {
 	for {
 		select {
 		case <-server.crashed:
@@ -58,7 +59,7 @@
 		restart := time.NewTimer(server.options.RestartAfter)
 		select {
 		case <-restart.C:
-			// It fails only when the server's context ends before its port is free.
+			// Restarting fails only if the context ends before the port is free.
 			_ = server.restart(ctx)
 		case <-ctx.Done():
 			restart.Stop()
@@ -74,8 +75,8 @@
 	server.coldUntil = time.Now().Add(server.options.ColdFor)
 }
 
-// Silence makes the connections now open fall silent for good while new ones work;
-// Silence(false) closes the silent ones.
+// Silence makes all open connections fall silent permanently while new ones work, if on is
+// true; else it closes the silent ones.
 func (server *Server) Silence(on bool) {
 	server.host.Silence(on)
 }
@@ -84,52 +85,53 @@
 func (server *Server) Slow(factor float64) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.slow = factor
+	server.slowFactor = factor
 }
 
-// KillOn makes a call whose body or path contains the marker crash the server.
+// KillOn makes every call whose body or path contains the marker crash the server.
 func (server *Server) KillOn(marker string) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.killMarkers = append(server.killMarkers, marker)
 }
 
-// Runs returns how often the server ran a call with an idempotency key.
+// Runs returns how often the server ran a call with the idempotency key.
 func (server *Server) Runs(key string) int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	return server.byKey[key]
+	return server.runsByKey[key]
 }
 
-// RunsOf returns how often the server ran a caller's request, by its load id.
+// RunsOf returns how often the server ran a call with the load id.
 func (server *Server) RunsOf(loadID string) int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	return server.byLoadID[loadID]
+	return server.runsByLoadID[loadID]
 }
 
-// Ran returns what the server ran, in order.
+// Ran returns the calls that the server ran, in order of arrival.
 func (server *Server) Ran() []RanRecord {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return append([]RanRecord(nil), server.records...)
 }
 
-// ColdOverruns returns how often the server got more than it bears while cold.
+// ColdOverruns returns how often the running calls rose above the cold limit while the
+// server was cold.
 func (server *Server) ColdOverruns() int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return server.coldOverruns
 }
 
-// Crashes returns how often a call or overload ended the server.
+// Crashes returns how often a call or an overload crashed the server.
 func (server *Server) Crashes() int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return server.crashes
 }
 
-// LastNewWork returns when the latest call arrived; zero if none has.
+// LastNewWork returns when the latest call arrived, or zero if none arrived.
 func (server *Server) LastNewWork() time.Time {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
--- a/dogwoodlocal/dogwoodplainstandin/plain.go
+++ b/dogwoodlocal/dogwoodplainstandin/plain.go
@@ -1,5 +1,6 @@
-// Package dogwoodplainstandin is a small stand-in for a plain service: stock lookups that
-// may be repeated and holds that may not. It counts what it ran and fails on command.
+// Package dogwoodplainstandin provides a stand-in for a plain service with stock lookups,
+// which may be repeated, and holds, which may not. It counts the calls that it ran and can
+// be made to fail.
 package dogwoodplainstandin
 
 import (
@@ -22,7 +23,7 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("plain stand-in")
 
-// The headers by which runs are counted.
+// Names of the headers whose values identify calls in the run counts.
 const (
 	HeaderKey    = "Idempotency-Key"
 	HeaderLoadID = "X-Load-Id"
@@ -33,21 +34,22 @@
 	defaultColdLimit    = 2
 	defaultColdFor      = 3 * time.Second
 	defaultRestartAfter = time.Second
-	// collapse is how many times its cold limit a cold server may run before it falls over.
-	collapse = 4
-	// maxBody bounds a request's body.
-	maxBody = 1 << 20
+	// crashFactor is the multiple of its cold limit above which a cold server crashes.
+	crashFactor = 4
+	// maxBodyBytes bounds a request's body.
+	maxBodyBytes = 1 << 20
 )
 
-// Options describe a server. Zero values are the defaults above.
+// Options configure a server. A zero value selects the default above.
 type Options struct {
 	ID      dogwoodfleet.EndpointID
 	Latency time.Duration
-	// ColdLimit is how many requests at once the server bears for ColdFor after a start.
+	// ColdLimit is the number of concurrent requests that the server can handle for ColdFor
+	// after a start.
 	ColdLimit    int
 	ColdFor      time.Duration
 	RestartAfter time.Duration
-	// Listener is where it serves; nil means a free port of the loopback address.
+	// Listener accepts the connections; nil means a free port on loopback.
 	Listener net.Listener
 }
 
@@ -55,24 +57,24 @@
 type Server struct {
 	options Options
 	host    *dogwoodnetwork.Host
-	duties  sync.WaitGroup
+	tasks   sync.WaitGroup
 	ended   chan struct{}
 	crashed chan struct{}
 
-	mutex        sync.Mutex
-	down         bool
-	dead         bool
-	coldUntil    time.Time
-	overrun      bool
-	running      int
-	slow         float64
-	killMarkers  []string
-	records      []RanRecord
-	byKey        map[string]int
-	byLoadID     map[string]int
-	coldOverruns int
-	crashes      int
-	lastNewWork  time.Time
+	mutex          sync.Mutex
+	down           bool
+	dead           bool
+	coldUntil      time.Time
+	aboveColdLimit bool
+	running        int
+	slowFactor     float64
+	killMarkers    []string
+	records        []RanRecord
+	runsByKey      map[string]int
+	runsByLoadID   map[string]int
+	coldOverruns   int
+	crashes        int
+	lastNewWork    time.Time
 }
 
 // RanRecord is one call that the server ran.
@@ -82,14 +84,14 @@
 	At           time.Time
 }
 
-// Stock answers a lookup.
+// Stock is the answer to a lookup.
 type Stock struct {
 	ID     string
 	Stock  int
 	LoadID string
 }
 
-// Start starts a server that ends with the context.
+// Start starts a server that stops when the context ends.
 func Start(ctx context.Context, options Options) (*Server, error) {
 	setDefault(&options.Latency, defaultLatency)
 	setDefault(&options.ColdLimit, defaultColdLimit)
@@ -103,89 +105,90 @@
 		options.Listener = listener
 	}
 	server := &Server{
-		options:   options,
-		ended:     make(chan struct{}),
-		crashed:   make(chan struct{}, 1),
-		coldUntil: time.Now().Add(options.ColdFor),
-		slow:      1,
-		byKey:     map[string]int{},
-		byLoadID:  map[string]int{},
+		options:      options,
+		ended:        make(chan struct{}),
+		crashed:      make(chan struct{}, 1),
+		coldUntil:    time.Now().Add(options.ColdFor),
+		slowFactor:   1,
+		runsByKey:    map[string]int{},
+		runsByLoadID: map[string]int{},
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /stock/{ID}", server.stock)
-	mux.HandleFunc("POST /holds", server.hold)
+	mux.HandleFunc("GET /stock/{ID}", server.handleStock)
+	mux.HandleFunc("POST /holds", server.handleHold)
 	host, err := dogwoodnetwork.Serve(options.Listener, mux)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	server.host = host
-	server.duties.Go(func() { server.restarts(ctx) })
+	server.tasks.Go(func() { server.restartAfterCrashes(ctx) })
 	context.AfterFunc(ctx, func() {
 		host.Close()
-		server.duties.Wait()
+		server.tasks.Wait()
 		close(server.ended)
 	})
 	return server, nil
 }
 
-func setDefault[T int | time.Duration](value *T, standard T) {
+func setDefault[T int | time.Duration](value *T, fallback T) {
 	if *value == 0 {
-		*value = standard
+		*value = fallback
 	}
 }
 
-// Address returns where the server serves.
+// Address returns the server's address.
 func (server *Server) Address() netip.AddrPort {
 	return server.host.Address()
 }
 
-// ID returns the server's name.
+// ID returns the server's endpoint ID.
 func (server *Server) ID() dogwoodfleet.EndpointID {
 	return server.options.ID
 }
 
-// Wait returns when the server has ended after its context.
+// Wait blocks until the server has stopped after the end of its context.
 func (server *Server) Wait() {
 	<-server.ended
 }
 
-func (server *Server) stock(writer http.ResponseWriter, request *http.Request) {
-	if !server.work(request, nil) {
+func (server *Server) handleStock(writer http.ResponseWriter, request *http.Request) {
+	if !server.runCall(request, nil) {
 		panic(http.ErrAbortHandler)
 	}
-	defer server.leave()
-	server.answer(writer, http.StatusOK, Stock{
+	defer server.endCall()
+	server.writeJSON(writer, http.StatusOK, Stock{
 		ID:     request.PathValue("ID"),
 		Stock:  1,
 		LoadID: request.Header.Get(HeaderLoadID),
 	})
 }
 
-// hold answers with the hold that the caller sent.
-func (server *Server) hold(writer http.ResponseWriter, request *http.Request) {
-	body, err := io.ReadAll(io.LimitReader(request.Body, maxBody))
+// handleHold answers with the hold that the caller sent.
+func (server *Server) handleHold(writer http.ResponseWriter, request *http.Request) {
+	body, err := io.ReadAll(io.LimitReader(request.Body, maxBodyBytes))
 	if err != nil || !json.Valid(body) {
-		server.answer(writer, http.StatusBadRequest, struct{ Detail string }{"want a hold in JSON"})
+		server.writeJSON(writer, http.StatusBadRequest, struct{ Detail string }{"want a hold in JSON"})
 		return
 	}
-	if !server.work(request, body) {
+	if !server.runCall(request, body) {
 		panic(http.ErrAbortHandler)
 	}
-	defer server.leave()
-	server.answer(writer, http.StatusCreated, json.RawMessage(body))
+	defer server.endCall()
+	server.writeJSON(writer, http.StatusCreated, json.RawMessage(body))
 }
 
-func (server *Server) answer(writer http.ResponseWriter, status int, body any) {
+func (server *Server) writeJSON(writer http.ResponseWriter, status int, body any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(body) // the reader may have left
+	_ = json.NewEncoder(writer).Encode(body) // the caller may have disconnected
 }
 
-// work runs a call: counts it and spends its time. It returns false if the server died of it.
-func (server *Server) work(request *http.Request, body []byte) bool {
-	wait, survives := server.begin(request, body)
+// runCall counts a call and waits for its latency. It returns false if the call crashed the
+// server.
+func (server *Server) runCall(request *http.Request, body []byte) bool {
+	wait, survives := server.beginCall(request, body)
 	if !survives {
-		server.leave()
+		server.endCall()
 		return false
 	}
 	timer := time.NewTimer(wait)
@@ -194,7 +197,7 @@
 	return true
 }
 
-func (server *Server) begin(request *http.Request, body []byte) (wait time.Duration, survives bool) {
+func (server *Server) beginCall(request *http.Request, body []byte) (wait time.Duration, survives bool) {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	now := time.Now()
@@ -207,29 +210,29 @@
 	}
 	server.lastNewWork = now
 	server.records = append(server.records, record)
-	server.byKey[record.Key]++
-	server.byLoadID[record.LoadID]++
+	server.runsByKey[record.Key]++
+	server.runsByLoadID[record.LoadID]++
 	server.running++
 	cold := now.Before(server.coldUntil)
-	over := cold && server.running > server.options.ColdLimit
-	if over && !server.overrun {
+	aboveLimit := cold && server.running > server.options.ColdLimit
+	if aboveLimit && !server.aboveColdLimit {
 		server.coldOverruns++
 	}
-	server.overrun = over
-	if over && server.running > collapse*server.options.ColdLimit || server.kills(request, body) {
+	server.aboveColdLimit = aboveLimit
+	if aboveLimit && server.running > crashFactor*server.options.ColdLimit || server.matchesKillMarker(request, body) {
 		server.crash()
 		return 0, false
 	}
-	return time.Duration(float64(server.options.Latency) * server.slow), true
+	return time.Duration(float64(server.options.Latency) * server.slowFactor), true
 }
 
-func (server *Server) leave() {
+func (server *Server) endCall() {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	server.running--
 }
 
-func (server *Server) kills(request *http.Request, body []byte) bool {
+func (server *Server) matchesKillMarker(request *http.Request, body []byte) bool {
 	for _, marker := range server.killMarkers {
 		if bytes.Contains(body, []byte(marker)) || bytes.Contains([]byte(request.URL.Path), []byte(marker)) {
 			return true
--- a/dogwoodlocal/dogwoodplatformstandin/handlers.go
+++ b/dogwoodlocal/dogwoodplatformstandin/handlers.go
@@ -15,11 +15,11 @@
 	"dogwoodmux.example/core/state/dogwoodtable"
 )
 
-// The bounds that docs/PLATFORM.md states.
+// The bounds that docs/PLATFORM.md sets.
 const (
-	maxValue  = 256 << 10
-	maxObject = 64 << 20
-	maxLimit  = 1000
+	maxValueBytes  = 256 << 10
+	maxObjectBytes = 64 << 20
+	maxListLimit   = 1000
 )
 
 func (platform *Platform) tableHandler() http.Handler {
@@ -36,7 +36,7 @@
 	row, ok, err := platform.store.Read(request.Context(), request.PathValue("Table"), request.PathValue("Key"))
 	switch {
 	case err != nil:
-		fail(writer, err)
+		writeError(writer, err)
 	case !ok:
 		writer.WriteHeader(http.StatusNotFound)
 	default:
@@ -48,8 +48,8 @@
 func (platform *Platform) listRows(writer http.ResponseWriter, request *http.Request) {
 	query := request.URL.Query()
 	limit, err := strconv.Atoi(query.Get("Limit"))
-	if err != nil || limit < 1 || limit > maxLimit {
-		limit = maxLimit
+	if err != nil || limit < 1 || limit > maxListLimit {
+		limit = maxListLimit
 	}
 	rows, err := platform.store.List(request.Context(), dogwoodtable.Range{
 		Table:   request.PathValue("Table"),
@@ -58,14 +58,14 @@
 		Limit:   limit,
 	})
 	if err != nil {
-		fail(writer, err)
+		writeError(writer, err)
 		return
 	}
-	answerJSON(writer, http.StatusOK, dogwoodplatform.RowList{Rows: rows})
+	writeJSON(writer, http.StatusOK, dogwoodplatform.RowList{Rows: rows})
 }
 
 func (platform *Platform) writeRow(writer http.ResponseWriter, request *http.Request) {
-	value, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxValue))
+	value, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxValueBytes))
 	if err != nil {
 		http.Error(writer, err.Error(), http.StatusRequestEntityTooLarge)
 		return
@@ -91,10 +91,10 @@
 		writer.WriteHeader(http.StatusPreconditionRequired)
 		return
 	}
-	// A write goes on after its client gave up, as a slow service's does.
+	// A write continues after its client disconnected, as in a slow real service.
 	versions, err := platform.store.Commit(context.WithoutCancel(request.Context()), write)
 	if err != nil {
-		fail(writer, err)
+		writeError(writer, err)
 		return
 	}
 	writer.Header().Set("ETag", dogwoodplatform.Tag(versions[0]))
@@ -105,7 +105,7 @@
 
 func (platform *Platform) transact(writer http.ResponseWriter, request *http.Request) {
 	var body dogwoodplatform.Transaction
-	limited := http.MaxBytesReader(writer, request.Body, dogwoodtable.MaxWrites*2*maxValue)
+	limited := http.MaxBytesReader(writer, request.Body, dogwoodtable.MaxWrites*2*maxValueBytes)
 	if err := json.NewDecoder(limited).Decode(&body); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
@@ -115,12 +115,12 @@
 		return
 	}
 	writes := make([]dogwoodtable.Write, 0, len(body.Writes))
-	for _, one := range body.Writes {
+	for _, requested := range body.Writes {
 		write := dogwoodtable.Write{
-			Table: one.Table, Key: one.Key, Version: one.Version, Value: one.Value, Delete: one.Delete,
+			Table: requested.Table, Key: requested.Key, Version: requested.Version, Value: requested.Value, Delete: requested.Delete,
 		}
-		if one.KeepFor != "" {
-			keep, err := time.ParseDuration(one.KeepFor)
+		if requested.KeepFor != "" {
+			keep, err := time.ParseDuration(requested.KeepFor)
 			if err != nil {
 				http.Error(writer, err.Error(), http.StatusBadRequest)
 				return
@@ -131,26 +131,26 @@
 	}
 	versions, err := platform.store.Commit(context.WithoutCancel(request.Context()), writes...)
 	if conflict := dogwoodtable.AsConflict(err); conflict != nil {
-		answerJSON(writer, http.StatusPreconditionFailed, dogwoodplatform.TransactionAnswer{Failed: conflict.Failed})
+		writeJSON(writer, http.StatusPreconditionFailed, dogwoodplatform.TransactionAnswer{Failed: conflict.Failed})
 		return
 	}
 	if err != nil {
-		fail(writer, err)
+		writeError(writer, err)
 		return
 	}
-	answerJSON(writer, http.StatusOK, dogwoodplatform.TransactionAnswer{Versions: versions})
+	writeJSON(writer, http.StatusOK, dogwoodplatform.TransactionAnswer{Versions: versions})
 }
 
 func (platform *Platform) objectHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /objects/{Name}", func(writer http.ResponseWriter, request *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxObject))
+		body, err := io.ReadAll(http.MaxBytesReader(writer, request.Body, maxObjectBytes))
 		if err != nil {
 			http.Error(writer, err.Error(), http.StatusRequestEntityTooLarge)
 			return
 		}
 		if err := platform.store.PutObject(request.Context(), request.PathValue("Name"), body); err != nil {
-			fail(writer, err)
+			writeError(writer, err)
 			return
 		}
 		writer.WriteHeader(http.StatusCreated)
@@ -159,7 +159,7 @@
 		body, ok, err := platform.store.GetObject(request.Context(), request.PathValue("Name"))
 		switch {
 		case err != nil:
-			fail(writer, err)
+			writeError(writer, err)
 		case !ok:
 			writer.WriteHeader(http.StatusNotFound)
 		default:
@@ -173,7 +173,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /vms", func(writer http.ResponseWriter, request *http.Request) {
 		platform.mutex.Lock()
-		vms, tag, down := platform.vms, fmt.Sprintf(`"%d"`, platform.list), platform.vmsDown
+		vms, tag, down := platform.vms, fmt.Sprintf(`"%d"`, platform.vmListVersion), platform.vmsDown
 		platform.mutex.Unlock()
 		if down {
 			writer.WriteHeader(http.StatusServiceUnavailable)
@@ -187,12 +187,12 @@
 		if vms == nil {
 			vms = []dogwoodfleet.ListedVM{}
 		}
-		answerJSON(writer, http.StatusOK, dogwoodplatform.VMList{VMs: vms})
+		writeJSON(writer, http.StatusOK, dogwoodplatform.VMList{VMs: vms})
 	})
 	return mux
 }
 
-// weightBytes is the size that the stand-in states for every model.
+// weightBytes is the size that the stand-in returns for every model.
 const weightBytes = 16 << 30
 
 func (platform *Platform) weightHandler() http.Handler {
@@ -205,31 +205,31 @@
 			writer.WriteHeader(http.StatusTooManyRequests)
 			return
 		}
-		answerJSON(writer, http.StatusOK, dogwoodplatform.Weights{Bytes: weightBytes})
+		writeJSON(writer, http.StatusOK, dogwoodplatform.Weights{Bytes: weightBytes})
 	})
 	return mux
 }
 
-// admitLoad returns 0 if a load may start now, else the time until the next may.
+// admitLoad returns 0 if a load may start now, else the time until the next load may start.
 func (platform *Platform) admitLoad(now time.Time) time.Duration {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
-	if platform.loads == 0 {
+	if platform.maxLoads == 0 {
 		return 0
 	}
-	for len(platform.started) > 0 && now.Sub(platform.started[0]) >= platform.every {
-		platform.started = platform.started[1:]
+	for len(platform.loadStarts) > 0 && now.Sub(platform.loadStarts[0]) >= platform.loadWindow {
+		platform.loadStarts = platform.loadStarts[1:]
 	}
-	if len(platform.started) >= platform.loads {
-		return platform.every - now.Sub(platform.started[0])
+	if len(platform.loadStarts) >= platform.maxLoads {
+		return platform.loadWindow - now.Sub(platform.loadStarts[0])
 	}
-	platform.started = append(platform.started, now)
+	platform.loadStarts = append(platform.loadStarts, now)
 	return 0
 }
 
-// fail answers as the real services do: 412, 503 for what did not begin, and for a lost
-// answer a connection that breaks without one.
-func fail(writer http.ResponseWriter, err error) {
+// writeError answers as the real services do: 412 for a conflict, 503 for a call that did
+// not begin, and a broken connection without an answer if the answer was lost.
+func writeError(writer http.ResponseWriter, err error) {
 	switch {
 	case dogwoodtable.AsConflict(err) != nil:
 		writer.WriteHeader(http.StatusPreconditionFailed)
@@ -240,7 +240,7 @@
 	}
 }
 
-func answerJSON(writer http.ResponseWriter, status int, body any) {
+func writeJSON(writer http.ResponseWriter, status int, body any) {
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
 	_ = json.NewEncoder(writer).Encode(body)
--- a/dogwoodlocal/dogwoodplatformstandin/platform.go
+++ b/dogwoodlocal/dogwoodplatformstandin/platform.go
@@ -15,55 +15,57 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Options configure a platform.
+// Options configure a platform stand-in.
 type Options struct {
-	// Listeners are for tables, objects, VM list and weights; nil ones listen on loopback.
+	// Listeners of the table, object, VM list and weight services; nil means a free port on
+	// loopback.
 	Tables  net.Listener
 	Objects net.Listener
 	VMs     net.Listener
 	Weights net.Listener
-	// Key is asked of every call if it is not empty.
+	// Key is the bearer key that every call must send; empty means that none is needed.
 	Key  string
 	Seed uint64
-	// WeightLoads is how many loads the weight store lets start in WeightEvery; 0 means any.
+	// WeightLoads bounds the loads that the weight store admits per WeightEvery; 0 means no
+	// bound.
 	WeightLoads int
 	WeightEvery time.Duration
 }
 
-// Platform serves the stand-ins over HTTP until its context ends.
+// Platform serves the stand-ins over HTTP until its context ends or Close is called.
 type Platform struct {
-	// Where the four services answer.
+	// Addresses of the four services.
 	Tables  netip.AddrPort
 	Objects netip.AddrPort
 	VMs     netip.AddrPort
 	Weights netip.AddrPort
 
-	store   *Store
-	key     string
-	loads   int
-	every   time.Duration
-	group   *errgroup.Group
-	servers []*http.Server
+	store      *Store
+	key        string
+	maxLoads   int
+	loadWindow time.Duration
+	group      *errgroup.Group
+	servers    []*http.Server
 
-	mutex    sync.Mutex
-	faults   Faults
-	vms      []dogwoodfleet.ListedVM
-	list     int
-	vmsDown  bool
-	started  []time.Time
-	stopOnce sync.Once
+	mutex         sync.Mutex
+	faults        Faults
+	vms           []dogwoodfleet.ListedVM
+	vmListVersion int
+	vmsDown       bool
+	loadStarts    []time.Time
+	closeOnce     sync.Once
 }
 
-// Start serves until the context ends or Close is called.
+// Start starts a platform that serves until the context ends or Close is called.
 func Start(ctx context.Context, options Options) (*Platform, error) {
 	platform := &Platform{
-		store: NewStore(options.Seed),
-		key:   options.Key,
-		loads: options.WeightLoads,
-		every: options.WeightEvery,
-		group: &errgroup.Group{},
+		store:      NewStore(options.Seed),
+		key:        options.Key,
+		maxLoads:   options.WeightLoads,
+		loadWindow: options.WeightEvery,
+		group:      &errgroup.Group{},
 	}
-	for _, part := range []struct {
+	for _, service := range []struct {
 		listener net.Listener
 		address  *netip.AddrPort
 		handler  http.Handler
@@ -73,7 +75,7 @@
 		{options.VMs, &platform.VMs, platform.vmHandler()},
 		{options.Weights, &platform.Weights, platform.weightHandler()},
 	} {
-		if err := platform.serve(ctx, part.listener, part.address, part.handler); err != nil {
+		if err := platform.serve(ctx, service.listener, service.address, service.handler); err != nil {
 			return nil, errors.Join(err, platform.Close())
 		}
 	}
@@ -85,11 +87,11 @@
 	ctx context.Context, listener net.Listener, address *netip.AddrPort, handler http.Handler,
 ) error {
 	if listener == nil {
-		made, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
+		opened, err := (&net.ListenConfig{}).Listen(ctx, "tcp", "127.0.0.1:0")
 		if err != nil {
 			return Error.Wrap(err)
 		}
-		listener = made
+		listener = opened
 	}
 	if parsed, err := netip.ParseAddrPort(listener.Addr().String()); err == nil {
 		*address = parsed
@@ -105,10 +107,10 @@
 	return nil
 }
 
-// Close ends the servers and their connections and waits for them.
+// Close closes the servers and their connections and waits until they ended.
 func (platform *Platform) Close() error {
 	var err error
-	platform.stopOnce.Do(func() {
+	platform.closeOnce.Do(func() {
 		for _, server := range platform.servers {
 			err = errors.Join(err, server.Close())
 		}
@@ -117,49 +119,51 @@
 	return err
 }
 
-// Store is the table service behind the HTTP server.
+// Store returns the store behind the table and object services.
 func (platform *Platform) Store() *Store {
 	return platform.store
 }
 
-// Down makes the table and object services refuse every call, or ends that.
+// Down makes the table and object services fail every call as unavailable (true) or serve
+// again (false).
 func (platform *Platform) Down(down bool) {
 	platform.store.SetDown(down)
 }
 
-// Slow delays every call of the table and object services by up to the duration.
+// Slow delays every call of the table and object services by a random time up to delay.
 func (platform *Platform) Slow(delay time.Duration) {
-	platform.change(func(faults *Faults) { faults.Delay = delay })
+	platform.changeFaults(func(faults *Faults) { faults.Delay = delay })
 }
 
-// LoseAnswers makes the share of calls take effect and answer nothing.
+// LoseAnswers makes the given share of writes take effect without an answer; the same share
+// of reads gets no answer either.
 func (platform *Platform) LoseAnswers(share float64) {
-	platform.change(func(faults *Faults) { faults.LoseAnswers = share })
+	platform.changeFaults(func(faults *Faults) { faults.LoseAnswers = share })
 }
 
-// StaleReads makes the share of reads answer from an older state.
+// StaleReads makes the given share of reads return an older state.
 func (platform *Platform) StaleReads(share float64) {
-	platform.change(func(faults *Faults) { faults.StaleReads = share })
+	platform.changeFaults(func(faults *Faults) { faults.StaleReads = share })
 }
 
-// SetFaults replaces all faults of the table service.
+// SetFaults replaces all faults of the table and object services.
 func (platform *Platform) SetFaults(faults Faults) {
-	platform.change(func(current *Faults) { *current = faults })
+	platform.changeFaults(func(current *Faults) { *current = faults })
 }
 
-func (platform *Platform) change(change func(*Faults)) {
+func (platform *Platform) changeFaults(change func(*Faults)) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
 	change(&platform.faults)
 	platform.store.SetFaults(platform.faults)
 }
 
-// Reads returns how many reads the table service was asked for.
+// Reads returns the number of reads that the table and object services received.
 func (platform *Platform) Reads() int {
 	return platform.store.Reads()
 }
 
-// Writes returns how many rows the table service was asked to write.
+// Writes returns the number of rows in the writes that the table service received.
 func (platform *Platform) Writes() int {
 	_, rows := platform.store.Writes()
 	return rows
@@ -170,10 +174,10 @@
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
 	platform.vms = vms
-	platform.list++
+	platform.vmListVersion++
 }
 
-// VMsDown makes the VM list refuse every call, or ends that.
+// VMsDown makes the VM list fail every call as unavailable (true) or answer again (false).
 func (platform *Platform) VMsDown(down bool) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
--- a/dogwoodlocal/dogwoodplatformstandin/platform_test.go
+++ b/dogwoodlocal/dogwoodplatformstandin/platform_test.go
@@ -13,7 +13,7 @@
 	"dogwoodmux.example/core/state/dogwoodtable"
 )
 
-func start(t *testing.T, options Options) (*Platform, *dogwoodplatform.Client) {
+func startPlatform(t *testing.T, options Options) (*Platform, *dogwoodplatform.Client) {
 	t.Helper()
 	options.Key = "secret"
 	platform, err := Start(t.Context(), options)
@@ -32,7 +32,7 @@
 }
 
 func TestConditionalWrites(t *testing.T) {
-	_, client := start(t, Options{})
+	_, client := startPlatform(t, Options{})
 	ctx := t.Context()
 	first, err := client.Commit(ctx, dogwoodtable.Write{Table: "t", Key: "a/b", Value: []byte("1")})
 	if err != nil {
@@ -43,10 +43,10 @@
 		writes   []dogwoodtable.Write
 		conflict []int
 	}{
-		{name: "insert of a present row", writes: []dogwoodtable.Write{{Table: "t", Key: "a/b"}}, conflict: []int{0}},
+		{name: "insert of an existing row", writes: []dogwoodtable.Write{{Table: "t", Key: "a/b"}}, conflict: []int{0}},
 		{name: "replace of another version", writes: []dogwoodtable.Write{{Table: "t", Key: "a/b", Version: first[0] + 9}}, conflict: []int{0}},
 		{name: "delete of another version", writes: []dogwoodtable.Write{{Table: "t", Key: "a/b", Version: first[0] + 9, Delete: true}}, conflict: []int{0}},
-		{name: "transaction with one bad condition", writes: []dogwoodtable.Write{{Table: "t", Key: "c"}, {Table: "t", Key: "a/b"}}, conflict: []int{1}},
+		{name: "transaction with one failed condition", writes: []dogwoodtable.Write{{Table: "t", Key: "c"}, {Table: "t", Key: "a/b"}}, conflict: []int{1}},
 		{name: "transaction", writes: []dogwoodtable.Write{{Table: "t", Key: "c"}, {Table: "t", Key: "a/b", Version: first[0], Value: []byte("2")}}},
 	}
 	for _, test := range tests {
@@ -74,11 +74,11 @@
 	}
 }
 
-// A write takes effect and its answer is lost on the way: the client must not say that
-// it failed, or the writer does it again. During an outage the client must not say
-// "unknown" for what was never begun, or callers can't be told "not run".
-func TestFailuresAreToldApart(t *testing.T) {
-	platform, client := start(t, Options{})
+// A write takes effect and its answer is lost: the client must not report a failure, or the
+// writer repeats the write. During an outage the client must not report "unknown" for a call
+// that never began, or callers can't get the answer "not run".
+func TestUnknownAndUnavailableAreDistinguished(t *testing.T) {
+	platform, client := startPlatform(t, Options{})
 	ctx := t.Context()
 	platform.LoseAnswers(1)
 	if _, err := client.Commit(ctx, dogwoodtable.Write{Table: "t", Key: "k"}); !dogwoodtable.IsUnknown(err) {
@@ -92,8 +92,8 @@
 	if _, err := client.Commit(ctx, dogwoodtable.Write{Table: "t", Key: "l"}); !dogwoodtable.IsUnavailable(err) {
 		t.Errorf("down: got %v, want unavailable", err)
 	}
-	gone := dogwoodplatform.New(dogwoodplatform.Options{Tables: netip.MustParseAddrPort("127.0.0.1:1")})
-	if _, err := gone.Commit(ctx, dogwoodtable.Write{Table: "t", Key: "l"}); !dogwoodtable.IsUnavailable(err) {
+	unreachable := dogwoodplatform.New(dogwoodplatform.Options{Tables: netip.MustParseAddrPort("127.0.0.1:1")})
+	if _, err := unreachable.Commit(ctx, dogwoodtable.Write{Table: "t", Key: "l"}); !dogwoodtable.IsUnavailable(err) {
 		t.Errorf("no listener: got %v, want unavailable", err)
 	}
 	cancelled, cancel := context.WithCancel(ctx)
@@ -103,11 +103,11 @@
 	}
 }
 
-// The table service is down for an hour and a thousand calls come each second. Without a
-// breaker each of them would wait for its own time-out and the service would meet them
-// all on its return.
-func TestBreakerLetsOneProbePass(t *testing.T) {
-	platform, client := start(t, Options{})
+// The table service is down for an hour and a thousand calls arrive each second. Without a
+// circuit breaker each of them would wait for its timeout, and the service would receive all
+// of them as soon as it is up again.
+func TestBreakerAdmitsOneProbePerSecond(t *testing.T) {
+	platform, client := startPlatform(t, Options{})
 	platform.Down(true)
 	start := time.Now()
 	for range 100 {
@@ -115,7 +115,7 @@
 			t.Fatalf("got %v, want unavailable", err)
 		}
 	}
-	// Ten failures open it; then one probe passes each second.
+	// Ten failures open the breaker; it then admits one probe each second.
 	limit := 10 + int(time.Since(start)/time.Second)
 	if got := platform.Writes(); got > limit {
 		t.Errorf("got %d writes during the outage, want at most %d", got, limit)
@@ -123,7 +123,7 @@
 }
 
 func TestObjectsListAndWeights(t *testing.T) {
-	platform, client := start(t, Options{WeightLoads: 1, WeightEvery: time.Hour})
+	platform, client := startPlatform(t, Options{WeightLoads: 1, WeightEvery: time.Hour})
 	ctx := t.Context()
 	body := bytes.Repeat([]byte("x"), 1<<20)
 	if err := client.PutObject(ctx, "claims/a", body); err != nil {
--- a/dogwoodlocal/dogwoodplatformstandin/silent_test.go
+++ b/dogwoodlocal/dogwoodplatformstandin/silent_test.go
@@ -15,7 +15,7 @@
 	"dogwoodmux.example/dogwoodlocal/dogwoodnetwork"
 )
 
-// dialer makes the connections of a network in memory.
+// dialer connects over an in-memory network.
 type dialer struct {
 	memory *dogwoodnetwork.Memory
 }
@@ -24,10 +24,11 @@
 	return dialer.memory.Dial(ctx, network, address)
 }
 
-// Something between a daemon and the table service has lost track of the open connections;
-// new ones work. Every kept connection would cost one call its whole time, sixteen of them
-// open the breaker, and no reservation can be claimed for a quarter of a minute.
-func TestSilentConnectionsCostOneCall(t *testing.T) {
+// A device between a daemon and the table service loses the state of all open connections;
+// new ones work. If every idle connection made one call time out, sixteen of them would open
+// the circuit breaker, and no reservation could be claimed for 15
+// seconds.
+func TestSilentConnectionsFailOneCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		address := netip.MustParseAddrPort("10.0.0.1:7001")
 		memory := dogwoodnetwork.NewMemory()
--- a/dogwoodlocal/dogwoodplatformstandin/store.go
+++ b/dogwoodlocal/dogwoodplatformstandin/store.go
@@ -1,7 +1,7 @@
-// Package dogwoodplatformstandin takes the place of the platform's services in tests and
-// on one machine: tables, objects, the VM list and the weight store, with the faults that
-// the real ones have. Store is the in-memory table service, for calls within a process;
-// Platform serves it and the others over HTTP as docs/PLATFORM.md describes.
+// Package dogwoodplatformstandin replaces the platform's services in tests and in local
+// deployments: tables, objects, the VM list and the weight store, with the faults that the
+// real services have. Store holds tables and objects in memory, for calls within a process;
+// Platform serves all services over HTTP as docs/PLATFORM.md describes.
 package dogwoodplatformstandin
 
 import (
@@ -20,42 +20,44 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("platform stand-in")
 
-// Store is a table service in memory. Its methods make it a client's table service, so
-// that state machines can be tested against it without a network. It is safe for
-// concurrent use.
+// Store is an in-memory table and object service. It has the methods of a client of the
+// real service, so that state machines can be tested against it without a network. It is
+// safe for concurrent use.
 type Store struct {
-	mutex   sync.Mutex
-	random  *rand.Rand
-	version uint64
-	tables  map[string]map[string][]revision // by key, the oldest first
-	objects map[string][]byte
-	faults  Faults
-	down    bool
-	reads   int
-	writes  int
-	rows    int
+	mutex        sync.Mutex
+	random       *rand.Rand
+	version      uint64
+	tables       map[string]map[string][]revision // by table and key, oldest first
+	objects      map[string][]byte
+	faults       Faults
+	down         bool
+	reads        int
+	writes       int
+	receivedRows int
 }
 
-// revision is one state of a row. The older ones are kept for old reads.
+// revision is one state of a row. Older revisions are kept for stale reads.
 type revision struct {
 	version uint64
 	value   []byte
 	deleted bool
-	expires time.Time // zero for never
+	expires time.Time // zero if it never expires
 }
 
-// Faults are shares of calls, from 0 to 1, that go wrong, and delays.
+// Faults configure which shares of calls, from 0 to 1, go wrong and how long calls take.
 type Faults struct {
-	// LoseRequests are refused before they begin (Unavailable).
+	// LoseRequests is the share of calls that fail before they begin (Unavailable).
 	LoseRequests float64
-	// LoseAnswers take the write and lose the answer (Unknown).
+	// LoseAnswers is the share of calls whose answer is lost (Unknown) after a write took
+	// effect.
 	LoseAnswers float64
-	// LateWrites lose the answer and take the write only after up to LateBy.
+	// LateWrites is the share of calls whose answer is lost (Unknown) while a write takes
+	// effect only later, after a random time up to LateBy.
 	LateWrites float64
 	LateBy     time.Duration
-	// StaleReads answer from an older state of the row or table.
+	// StaleReads is the share of reads that return an older state of the row or table.
 	StaleReads float64
-	// Delay is the most that a call takes; each takes a random part of it.
+	// Delay bounds the duration of a call; each call takes a random time up to it.
 	Delay time.Duration
 }
 
@@ -68,35 +70,36 @@
 	}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all faults.
 func (store *Store) SetFaults(faults Faults) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.faults = faults
 }
 
-// SetDown makes every call fail before it begins, or ends that.
+// SetDown makes every call fail before it begins (true) or ends the outage (false).
 func (store *Store) SetDown(down bool) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.down = down
 }
 
-// Reads returns how many reads were asked for.
+// Reads returns the number of reads received, also of those that failed.
 func (store *Store) Reads() int {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.reads
 }
 
-// Writes returns how many write calls were made and how many rows they named.
+// Writes returns the number of write calls received and the number of rows in them, also
+// of those that failed.
 func (store *Store) Writes() (calls, rows int) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	return store.writes, store.rows
+	return store.writes, store.receivedRows
 }
 
-// Read returns a row.
+// Read returns a row and whether it exists.
 func (store *Store) Read(ctx context.Context, table, key string) (dogwoodtable.Row, bool, error) {
 	stale, err := store.beginRead(ctx)
 	if err != nil {
@@ -104,14 +107,14 @@
 	}
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	found, ok := visible(store.tables[table][key], store.horizon(stale), time.Now())
+	found, ok := revisionAt(store.tables[table][key], store.snapshotVersion(stale), time.Now())
 	if !ok {
 		return dogwoodtable.Row{}, false, nil
 	}
 	return dogwoodtable.Row{Key: key, Version: found.version, Value: slices.Clone(found.value)}, true, nil
 }
 
-// List returns the rows of a range.
+// List returns the rows of a range, sorted by key.
 func (store *Store) List(ctx context.Context, selection dogwoodtable.Range) ([]dogwoodtable.Row, error) {
 	stale, err := store.beginRead(ctx)
 	if err != nil {
@@ -119,13 +122,13 @@
 	}
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
-	horizon, now := store.horizon(stale), time.Now()
+	version, now := store.snapshotVersion(stale), time.Now()
 	var rows []dogwoodtable.Row
 	for key, revisions := range store.tables[selection.Table] {
 		if key <= selection.After || (selection.Through != "" && key > selection.Through) {
 			continue
 		}
-		if found, ok := visible(revisions, horizon, now); ok {
+		if found, ok := revisionAt(revisions, version, now); ok {
 			rows = append(rows, dogwoodtable.Row{Key: key, Version: found.version, Value: slices.Clone(found.value)})
 		}
 	}
@@ -136,27 +139,27 @@
 	return rows, nil
 }
 
-// Commit makes all the writes or none.
+// Commit applies all writes or none and returns the new version of each row.
 func (store *Store) Commit(ctx context.Context, writes ...dogwoodtable.Write) ([]uint64, error) {
 	store.mutex.Lock()
 	store.writes++
-	store.rows += len(writes)
-	fate, delay, late := store.draw()
+	store.receivedRows += len(writes)
+	outcome, delay, late := store.drawOutcome()
 	store.mutex.Unlock()
 	if err := sleep(ctx, delay/2); err != nil {
 		return nil, &dogwoodtable.Unavailable{Cause: err}
 	}
-	switch fate {
-	case refuse:
+	switch outcome {
+	case outcomeUnavailable:
 		return nil, &dogwoodtable.Unavailable{Cause: Error.New("down")}
-	case takeLate:
-		// The timer outlives the call, as a packet does that is still on its way.
+	case outcomeWrittenLate:
+		// The write takes effect after the call ended, as that of a delayed packet would.
 		time.AfterFunc(late, func() { _, _ = store.apply(writes) })
 		return nil, lostAnswer(ctx, delay)
-	case loseAnswer:
+	case outcomeAnswerLost:
 		_, _ = store.apply(writes)
 		return nil, lostAnswer(ctx, delay)
-	case answer:
+	case outcomeAnswered:
 	}
 	versions, err := store.apply(writes)
 	if waited := sleep(ctx, delay/2); waited != nil {
@@ -168,21 +171,21 @@
 // PutObject stores an object.
 func (store *Store) PutObject(ctx context.Context, name string, body []byte) error {
 	store.mutex.Lock()
-	fate, delay, _ := store.draw()
+	outcome, delay, _ := store.drawOutcome()
 	store.mutex.Unlock()
-	if err := sleep(ctx, delay); err != nil || fate == refuse {
+	if err := sleep(ctx, delay); err != nil || outcome == outcomeUnavailable {
 		return &dogwoodtable.Unavailable{Cause: Error.New("down")}
 	}
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.objects[name] = slices.Clone(body)
-	if fate != answer {
+	if outcome != outcomeAnswered {
 		return &dogwoodtable.Unknown{Cause: Error.New("answer lost")}
 	}
 	return nil
 }
 
-// GetObject returns an object.
+// GetObject returns an object and whether it exists.
 func (store *Store) GetObject(ctx context.Context, name string) ([]byte, bool, error) {
 	if _, err := store.beginRead(ctx); err != nil {
 		return nil, false, err
@@ -193,17 +196,17 @@
 	return slices.Clone(body), ok, nil
 }
 
-// fate is what happens to a call.
-type fate int
+// outcome is what happens to a call.
+type outcome int
 
 const (
-	answer fate = iota
-	refuse
-	loseAnswer
-	takeLate
+	outcomeAnswered outcome = iota
+	outcomeUnavailable
+	outcomeAnswerLost
+	outcomeWrittenLate
 )
 
-func (store *Store) draw() (fate, time.Duration, time.Duration) {
+func (store *Store) drawOutcome() (outcome, time.Duration, time.Duration) {
 	var delay, late time.Duration
 	if store.faults.Delay > 0 {
 		delay = time.Duration(store.random.Int64N(int64(store.faults.Delay)))
@@ -212,55 +215,57 @@
 		late = time.Duration(store.random.Int64N(int64(store.faults.LateBy)))
 	}
 	if store.down {
-		return refuse, delay, late
+		return outcomeUnavailable, delay, late
 	}
 	chance := store.random.Float64()
 	for _, fault := range []struct {
-		share float64
-		fate  fate
+		share   float64
+		outcome outcome
 	}{
-		{store.faults.LoseRequests, refuse},
-		{store.faults.LoseAnswers, loseAnswer},
-		{store.faults.LateWrites, takeLate},
+		{store.faults.LoseRequests, outcomeUnavailable},
+		{store.faults.LoseAnswers, outcomeAnswerLost},
+		{store.faults.LateWrites, outcomeWrittenLate},
 	} {
 		if chance < fault.share {
-			return fault.fate, delay, late
+			return fault.outcome, delay, late
 		}
 		chance -= fault.share
 	}
-	return answer, delay, late
+	return outcomeAnswered, delay, late
 }
 
-// beginRead delays and fails a read, and tells whether it is answered from an old state.
+// beginRead delays a read or fails it as the faults demand, and reports whether it returns
+// a stale state.
 func (store *Store) beginRead(ctx context.Context) (stale bool, err error) {
 	store.mutex.Lock()
 	store.reads++
-	fate, delay, _ := store.draw()
+	outcome, delay, _ := store.drawOutcome()
 	stale = store.random.Float64() < store.faults.StaleReads
 	store.mutex.Unlock()
 	if err := sleep(ctx, delay); err != nil {
 		return false, &dogwoodtable.Unavailable{Cause: err}
 	}
-	if fate == refuse {
+	if outcome == outcomeUnavailable {
 		return false, &dogwoodtable.Unavailable{Cause: Error.New("down")}
 	}
-	if fate != answer {
+	if outcome != outcomeAnswered {
 		return false, lostAnswer(ctx, delay)
 	}
 	return stale, nil
 }
 
-// horizon is the newest version that a read may see.
-func (store *Store) horizon(stale bool) uint64 {
+// snapshotVersion returns the newest version that a read may see; for a stale read it is a
+// random older one.
+func (store *Store) snapshotVersion(stale bool) uint64 {
 	if !stale || store.version == 0 {
 		return store.version
 	}
 	return store.random.Uint64N(store.version)
 }
 
-func visible(revisions []revision, horizon uint64, now time.Time) (revision, bool) {
+func revisionAt(revisions []revision, version uint64, now time.Time) (revision, bool) {
 	for _, found := range slices.Backward(revisions) {
-		if found.version > horizon {
+		if found.version > version {
 			continue
 		}
 		expired := !found.expires.IsZero() && !now.Before(found.expires)
@@ -275,7 +280,7 @@
 	now := time.Now()
 	var failed []int
 	for i, write := range writes {
-		current, exists := visible(store.tables[write.Table][write.Key], store.version, now)
+		current, exists := revisionAt(store.tables[write.Table][write.Key], store.version, now)
 		if (write.Version == 0 && exists) || (write.Version != 0 && (!exists || current.version != write.Version)) {
 			failed = append(failed, i)
 		}
@@ -293,17 +298,17 @@
 		if store.tables[write.Table] == nil {
 			store.tables[write.Table] = map[string][]revision{}
 		}
-		store.tables[write.Table][write.Key] = remember(store.tables[write.Table][write.Key], written)
+		store.tables[write.Table][write.Key] = appendRevision(store.tables[write.Table][write.Key], written)
 		versions = append(versions, store.version)
 	}
 	return versions, nil
 }
 
-// keptRevisions bounds the old states of a row that an old read may see.
-const keptRevisions = 8
+// maxRevisions bounds the stored revisions of a row, and so the age of stale reads.
+const maxRevisions = 8
 
-func remember(revisions []revision, written revision) []revision {
-	if len(revisions) >= keptRevisions {
+func appendRevision(revisions []revision, written revision) []revision {
+	if len(revisions) >= maxRevisions {
 		revisions = slices.Clone(revisions[1:])
 	}
 	return append(revisions, written)
--- a/dogwoodlocal/dogwoodsite/daemon.go
+++ b/dogwoodlocal/dogwoodsite/daemon.go
@@ -10,7 +10,7 @@
 	"dogwoodmux.example/core/dogwoodsettings"
 )
 
-// Daemon is one entry VM of a site. It can be killed, stopped and started again.
+// Daemon is the daemon of one entry VM of a site. It can be killed, stopped and restarted.
 type Daemon struct {
 	VM    dogwoodfleet.VM
 	Place dogwoodfleet.Place
@@ -21,9 +21,9 @@
 	site     *Site
 	settings *dogwoodsettings.Daemon
 
-	mutex   sync.Mutex
-	running *dogwooddaemon.Daemon
-	begin   func() (*dogwooddaemon.Daemon, error)
+	mutex       sync.Mutex
+	running     *dogwooddaemon.Daemon
+	newInstance func() (*dogwooddaemon.Daemon, error)
 }
 
 func (site *Site) addDaemon(ctx context.Context, n int) error {
@@ -54,14 +54,14 @@
 	return nil
 }
 
-// start starts the daemon for the site's life.
+// start starts the daemon; it and its later instances end with the context.
 func (daemon *Daemon) start(ctx context.Context) error {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
-	daemon.begin = func() (*dogwooddaemon.Daemon, error) {
+	daemon.newInstance = func() (*dogwooddaemon.Daemon, error) {
 		return dogwooddaemon.Start(ctx, dogwooddaemon.Options{
 			Settings: daemon.settings,
-			Network:  from{links: daemon.site.links, dataCentre: daemon.Place.DataCentre},
+			Network:  origin{links: daemon.site.links, dataCentre: daemon.Place.DataCentre},
 			Logger:   daemon.site.options.Logger,
 		})
 	}
@@ -69,7 +69,7 @@
 }
 
 func (daemon *Daemon) startLocked() error {
-	started, err := daemon.begin()
+	started, err := daemon.newInstance()
 	if err != nil {
 		return Error.Wrap(err)
 	}
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// take returns the running daemon, or nil, and forgets it.
-func (daemon *Daemon) take() *dogwooddaemon.Daemon {
+// takeRunning returns the running instance, or nil, and records that none runs.
+func (daemon *Daemon) takeRunning() *dogwooddaemon.Daemon {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	taken := daemon.running
@@ -86,41 +86,42 @@
 	return taken
 }
 
-// ready reports whether the daemon serves by a text and knows all the site's daemons.
+// ready reports whether the daemon serves with an operators' text and sees all daemons of
+// the site alive.
 func (daemon *Daemon) ready() bool {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	return daemon.running != nil && daemon.running.Serves() && daemon.running.MembersAlive() == len(daemon.site.daemons)
 }
 
-// Alive reports whether the daemon runs.
+// Alive reports whether the daemon is running.
 func (daemon *Daemon) Alive() bool {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	return daemon.running != nil
 }
 
-// Kill ends the daemon at once, as a crash does.
+// Kill ends the daemon without a graceful shutdown, as a crash does.
 func (daemon *Daemon) Kill() {
-	if running := daemon.take(); running != nil {
+	if running := daemon.takeRunning(); running != nil {
 		running.Kill()
 	}
 }
 
-// Stop shuts the daemon down gracefully for as long as the context allows.
+// Stop shuts the daemon down gracefully, until the context ends at the latest.
 func (daemon *Daemon) Stop(ctx context.Context) error {
-	if running := daemon.take(); running != nil {
+	if running := daemon.takeRunning(); running != nil {
 		return Error.Wrap(running.Stop(ctx))
 	}
 	return nil
 }
 
-// Restart starts the daemon again at its addresses, with a new instance.
+// Restart starts a new instance of a stopped daemon at the same addresses.
 func (daemon *Daemon) Restart(context.Context) error {
 	daemon.mutex.Lock()
 	defer daemon.mutex.Unlock()
 	if daemon.running != nil {
-		return Error.New("%s runs", daemon.VM)
+		return Error.New("%s is already running", daemon.VM)
 	}
 	return daemon.startLocked()
 }
--- a/dogwoodlocal/dogwoodsite/engines_test.go
+++ b/dogwoodlocal/dogwoodsite/engines_test.go
@@ -15,8 +15,8 @@
 	"dogwoodmux.example/dogwoodlocal/dogwoodenginestandin"
 )
 
-// content returns the text of a streamed answer.
-func content(t *testing.T, body string) string {
+// streamedText returns the text of a streamed answer.
+func streamedText(t *testing.T, body string) string {
 	t.Helper()
 	var text strings.Builder
 	for line := range strings.Lines(body) {
@@ -37,31 +37,31 @@
 	return text.String()
 }
 
-// prompts sends a prompt of so many tokens for each tag, through the daemons in turn, and
-// waits for all answers.
-func prompts(ctx context.Context, site *Site, caller *testCaller, tags []string, tokens, answer int) []testAnswer {
+// sendPrompts sends one prompt of the given size for each tag, through the daemons in
+// rotation, and waits for all answers.
+func sendPrompts(ctx context.Context, site *Site, caller *testCaller, tags []string, tokens, answer int) []testAnswer {
 	answers := make([]testAnswer, len(tags))
 	var callers sync.WaitGroup
 	for index, tag := range tags {
 		text := "load-id=" + tag + " " + strings.Repeat("x", 4*tokens)
 		daemon := site.Daemons()[index%len(site.Daemons())]
 		callers.Go(func() {
-			answers[index] = caller.prompt(ctx, daemon, text, answer, true, "Dogwood-Deadline", "60s")
+			answers[index] = caller.sendPrompt(ctx, daemon, text, answer, true, "Dogwood-Deadline", "60s")
 		})
 	}
 	callers.Wait()
 	return answers
 }
 
-func tags(prefix string, count int) []string {
-	made := make([]string, count)
-	for index := range made {
-		made[index] = fmt.Sprintf("%s-%d", prefix, index)
+func makeTags(prefix string, count int) []string {
+	tags := make([]string, count)
+	for index := range tags {
+		tags[index] = fmt.Sprintf("%s-%d", prefix, index)
 	}
-	return made
+	return tags
 }
 
-// checkAllWhole fails the test unless each answer is whole and its own request's.
+// checkAllWhole fails the test unless each answer is complete and belongs to its request.
 func checkAllWhole(t *testing.T, answers []testAnswer, tags []string, tokens int) {
 	t.Helper()
 	for index, answer := range answers {
@@ -69,7 +69,7 @@
 			t.Errorf("%s: got %d %.300q %v, want a whole stream", tags[index], answer.status, tail(answer.body), answer.err)
 			continue
 		}
-		if err := dogwoodenginestandin.CheckAnswer(content(t, answer.body), tags[index], tokens); err != nil {
+		if err := dogwoodenginestandin.CheckAnswer(streamedText(t, answer.body), tags[index], tokens); err != nil {
 			t.Error(err)
 		}
 	}
@@ -79,7 +79,7 @@
 	return text[max(0, len(text)-300):]
 }
 
-// checkFreed fails the test if an engine still holds memory after a time.
+// checkFreed waits for the given time and fails the test if an engine still holds memory.
 func checkFreed(t *testing.T, site *Site, after time.Duration) {
 	t.Helper()
 	time.Sleep(after)
@@ -91,10 +91,10 @@
 }
 
 // All open connections to the engines fall silent while drafts stream and a review of a
-// million tokens prefills. Every caller must get its whole answer.
-func TestSilentConnectionsOfAWholeSite(t *testing.T) {
+// million tokens is prefilled. Every caller must get its complete answer.
+func TestAllEngineConnectionsFallSilentUnderLoad(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
-		time.Sleep(5 * time.Second) // the engines are warm
+		time.Sleep(5 * time.Second) // until the engines are warm
 		for _, after := range []time.Duration{300 * time.Millisecond, 1500 * time.Millisecond} {
 			time.AfterFunc(after, func() {
 				for _, engine := range site.Engines {
@@ -102,19 +102,19 @@
 				}
 			})
 		}
-		long, short := tags("long", 1), tags("short", 20)
+		long, short := makeTags("long", 1), makeTags("short", 20)
 		var callers sync.WaitGroup
 		callers.Go(func() {
-			checkAllWhole(t, prompts(ctx, site, caller, long, 1_000_000, 64), long, 64)
+			checkAllWhole(t, sendPrompts(ctx, site, caller, long, 1_000_000, 64), long, 64)
 		})
-		checkAllWhole(t, prompts(ctx, site, caller, short, 1000, 300), short, 300)
+		checkAllWhole(t, sendPrompts(ctx, site, caller, short, 1000, 300), short, 300)
 		callers.Wait()
 		checkFreed(t, site, 5*time.Second)
 	})
 }
 
-// An engine that runs a part of a million-token review dies. The review is told of it or run
-// again on other engines; either way all memory returns within seconds.
+// An engine that runs part of a million-token review dies. The review must still get a
+// complete answer, and all memory must be released within seconds.
 func TestEngineOfAGangDies(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
 		time.Sleep(5 * time.Second)
@@ -126,60 +126,61 @@
 				}
 			}
 		})
-		long := tags("long", 1)
-		checkAllWhole(t, prompts(ctx, site, caller, long, 1_000_000, 64), long, 64)
+		long := makeTags("long", 1)
+		checkAllWhole(t, sendPrompts(ctx, site, caller, long, 1_000_000, 64), long, 64)
 		checkFreed(t, site, 5*time.Second)
 	})
 }
 
-// Six reviews of a million tokens come at once, and drafts between them. One review held
-// engine 4 and waited for engine 7 behind another that waited for engine 4: three of them
-// failed at their deadline while the engines idled, and the drafts took five seconds.
-func TestReviewsAndDraftsSideBySide(t *testing.T) {
+// Six reviews of a million tokens arrive at once, and drafts while they run. Guards against
+// a deadlock: one review held engine 4 and waited for engine 7 behind another that waited
+// for engine 4. Three reviews then failed at their deadline while the engines were idle, and
+// the drafts took five seconds.
+func TestConcurrentReviewsAndDrafts(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
 		time.Sleep(5 * time.Second)
-		for range 5 { // the owners learn that the engines are warm
-			warming := tags("warming", 40)
-			checkAllWhole(t, prompts(ctx, site, caller, warming, 1000, 64), warming, 64)
+		for range 5 { // until the owners detect that the engines are warm
+			warming := makeTags("warming", 40)
+			checkAllWhole(t, sendPrompts(ctx, site, caller, warming, 1000, 64), warming, 64)
 		}
-		long, short := tags("long", 6), tags("short", 40)
+		long, short := makeTags("long", 6), makeTags("short", 40)
 		var callers sync.WaitGroup
 		callers.Go(func() {
-			checkAllWhole(t, prompts(ctx, site, caller, long, 1_000_000, 64), long, 64)
+			checkAllWhole(t, sendPrompts(ctx, site, caller, long, 1_000_000, 64), long, 64)
 		})
 		time.Sleep(time.Second)
-		begun := time.Now()
-		checkAllWhole(t, prompts(ctx, site, caller, short, 1000, 64), short, 64)
-		if got := time.Since(begun); got > 3*time.Second {
+		start := time.Now()
+		checkAllWhole(t, sendPrompts(ctx, site, caller, short, 1000, 64), short, 64)
+		if got := time.Since(start); got > 3*time.Second {
 			t.Errorf("got %v for the drafts, want at most 3s", got)
 		}
 		callers.Wait()
-		if got := time.Since(begun); got > 20*time.Second {
+		if got := time.Since(start); got > 20*time.Second {
 			t.Errorf("got %v for the reviews, want at most 20s, as if they ran one by one", got)
 		}
 		checkFreed(t, site, 5*time.Second)
 	})
 }
 
-// Operators name a new version of the model. Every engine must come to hold it, callers
-// must be answered meanwhile, and putting the text back must undo it.
-func TestVersionRollsThroughASite(t *testing.T) {
+// Operators set a new version of the model. Every engine must load it, callers must be
+// answered meanwhile, and restoring the text must restore the old version.
+func TestModelVersionRollOut(t *testing.T) {
 	inBubble(t, Options{Shape: Laurentide}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
 		for _, version := range []string{"2", "1"} {
-			apply(ctx, t, site, func(text *dogwoodsettings.Text) { text.Services[0].Models[0].Version = version })
-			for end := time.Now().Add(10 * time.Minute); time.Now().Before(end) && versions(site)[version] < len(site.Engines); {
-				short := tags("short", 4)
-				checkAllWhole(t, prompts(ctx, site, caller, short, 1000, 64), short, 64)
+			editText(ctx, t, site, func(text *dogwoodsettings.Text) { text.Services[0].Models[0].Version = version })
+			for end := time.Now().Add(10 * time.Minute); time.Now().Before(end) && enginesByVersion(site)[version] < len(site.Engines); {
+				short := makeTags("short", 4)
+				checkAllWhole(t, sendPrompts(ctx, site, caller, short, 1000, 64), short, 64)
 				time.Sleep(time.Second)
 			}
-			if got := versions(site)[version]; got != len(site.Engines) {
+			if got := enginesByVersion(site)[version]; got != len(site.Engines) {
 				t.Errorf("got %d engines on version %s, want %d", got, version, len(site.Engines))
 			}
 		}
 	})
 }
 
-func versions(site *Site) map[string]int {
+func enginesByVersion(site *Site) map[string]int {
 	count := map[string]int{}
 	for _, engine := range site.Engines {
 		count[engine.Version()]++
@@ -187,8 +188,8 @@
 	return count
 }
 
-// apply changes the operators' text.
-func apply(ctx context.Context, t *testing.T, site *Site, edit func(text *dogwoodsettings.Text)) {
+// editText applies an edited copy of the current operators' text.
+func editText(ctx context.Context, t *testing.T, site *Site, edit func(text *dogwoodsettings.Text)) {
 	t.Helper()
 	current, err := site.Admin().Text(ctx)
 	if err != nil {
@@ -211,32 +212,33 @@
 	}
 }
 
-// Twelve of sixteen engines say that they shut down; the platform's list will show it only
-// minutes later. A draft that is sent to one of them now is cut when its VM goes.
-func TestEnginesThatSayTheyLeaveGetNoNewWork(t *testing.T) {
+// Twelve of sixteen engines report that they are leaving; the platform's VM list shows it
+// only minutes later. A draft that is sent to one of them meanwhile would be cut when its VM
+// stops.
+func TestLeavingEnginesGetNoNewWork(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
-		time.Sleep(warm)
+		time.Sleep(warmUpTime)
 		leaving := site.Engines[:12]
 		for _, engine := range leaving {
 			engine.Leave(true)
 		}
-		const within = 3 * time.Second
-		time.Sleep(within)
-		quiet := time.Now()
-		before := tags("after", 40)
-		checkAllWhole(t, prompts(ctx, site, caller, before, 100, 8), before, 8)
+		const detectTimeout = 3 * time.Second
+		time.Sleep(detectTimeout)
+		reported := time.Now()
+		before := makeTags("after", 40)
+		checkAllWhole(t, sendPrompts(ctx, site, caller, before, 100, 8), before, 8)
 		for i, engine := range leaving {
-			if got := engine.LastNewWork(); got.After(quiet) {
-				t.Errorf("engine %d: got new work %s after it said that it leaves", i, got.Sub(quiet)+within)
+			if got := engine.LastNewWork(); got.After(reported) {
+				t.Errorf("engine %d: got new work %s after it reported that it is leaving", i, got.Sub(reported)+detectTimeout)
 			}
 		}
 		for _, engine := range leaving {
 			engine.Leave(false)
 		}
-		time.Sleep(within)
+		time.Sleep(detectTimeout)
 		back := time.Now()
-		after := tags("back", 80)
-		checkAllWhole(t, prompts(ctx, site, caller, after, 100, 8), after, 8)
+		after := makeTags("back", 80)
+		checkAllWhole(t, sendPrompts(ctx, site, caller, after, 100, 8), after, 8)
 		used := 0
 		for _, engine := range leaving {
 			if engine.LastNewWork().After(back) {
@@ -244,26 +246,27 @@
 			}
 		}
 		if used == 0 {
-			t.Error("got no work on engines that stay after all")
+			t.Error("got no work on engines that no longer leave")
 		}
 	})
 }
 
-// The entry of a million-token review dies. Three engines hold its memory, each for an owner
-// of its own, and none of them is told. All must have it back long before the deadline.
-func TestEntryOfAGangDies(t *testing.T) {
+// The entry daemon of a million-token review dies. Three engines hold the review's memory,
+// each for a different owner, and none of them is notified. All must release it long before
+// the deadline.
+func TestEntryDaemonOfAGangDies(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
 		time.Sleep(5 * time.Second)
 		first := site.Daemons()[0]
 		time.AfterFunc(2*time.Second, first.Kill)
 		text := "load-id=lost " + strings.Repeat("x", 4_000_000)
-		caller.prompt(ctx, first, text, 20_000, true, "Dogwood-Deadline", "200s")
+		caller.sendPrompt(ctx, first, text, 20_000, true, "Dogwood-Deadline", "200s")
 		held := 0
 		for _, engine := range site.Engines {
 			held += engine.HeldTokens()
 		}
 		if held < 1_000_000 {
-			t.Errorf("got %d tokens held when the entry died, want a million", held)
+			t.Errorf("got %d tokens held when the entry daemon died, want a million", held)
 		}
 		checkFreed(t, site, 16*time.Second)
 	})
--- a/dogwoodlocal/dogwoodsite/shape.go
+++ b/dogwoodlocal/dogwoodsite/shape.go
@@ -10,18 +10,19 @@
 	"dogwoodmux.example/core/dogwoodsettings"
 )
 
-// The shapes that a site can have.
+// The names of the known shapes.
 const (
 	Hinokuni   = "hinokuni"
 	Laurentide = "laurentide"
 )
 
-// Shape is a deployment as its users describe it: places, services, links and customers.
+// Shape describes a deployment: its data centres, links, services and customers.
 type Shape struct {
 	Name        string
 	Region      dogwoodfleet.Region
 	DataCentres []dogwoodfleet.DataCentre
-	// Link is the time one way between data centres, CallerLink to clients.
+	// Link is the one-way latency between data centres, CallerLink that between clients
+	// and daemons.
 	Link       time.Duration
 	CallerLink time.Duration
 	// Pool is the engine pool, Plain the plain service.
@@ -30,12 +31,12 @@
 	Model   dogwoodfleet.Model
 	Plain   dogwoodfleet.Service
 	Servers int
-	// Customers are in the order of their weight, the large ones first.
+	// Customers are sorted by weight in descending order.
 	Customers []dogwoodfleet.Customer
 }
 
-// shapes are the deployments of today. Where the users gave "a few milliseconds" it is
-// three here.
+// shapes holds the present deployments. A latency that the users gave as "a few
+// milliseconds" is set to three.
 var shapes = []Shape{
 	{
 		Name: Hinokuni, Region: "kyushu",
@@ -57,35 +58,35 @@
 	},
 }
 
-// ShapeOf returns a shape by its name.
+// ShapeOf returns the shape with the given name.
 func ShapeOf(name string) (Shape, error) {
 	for _, shape := range shapes {
 		if shape.Name == name {
 			return shape, nil
 		}
 	}
-	return Shape{}, Error.New("no shape %q; there are %s and %s", name, Hinokuni, Laurentide)
+	return Shape{}, Error.New("unknown shape %q; the known shapes are %s and %s", name, Hinokuni, Laurentide)
 }
 
 const (
-	// largeCustomers have largeWeight, the others 1.
+	// largeCustomers is the number of customers with largeWeight; the others have weight 1.
 	largeCustomers = 3
 	largeWeight    = 4
-	// The limits match what the stand-ins bear.
+	// The limits match the load that the stand-ins can handle.
 	engineColdLimit = 2
 	engineWarmLimit = 16
 	serverColdLimit = 2
 	serverWarmLimit = 32
 )
 
-// Key is the API key of a customer of a local site.
+// Key returns the API key of a customer of a local site.
 func Key(customer dogwoodfleet.Customer) string {
 	return "local-key-of-" + string(customer)
 }
 
-// text is the operators' text of the shape.
+// text returns the operators' text of the shape.
 func (shape *Shape) text() dogwoodsettings.Text {
-	text := dogwoodsettings.Text{Services: []dogwoodsettings.Service{shape.pool(), shape.plain()}}
+	text := dogwoodsettings.Text{Services: []dogwoodsettings.Service{shape.poolService(), shape.plainService()}}
 	for i, customer := range shape.Customers {
 		digest := sha256.Sum256([]byte(Key(customer)))
 		weight := 1.0
@@ -99,7 +100,7 @@
 	return text
 }
 
-func (shape *Shape) pool() dogwoodsettings.Service {
+func (shape *Shape) poolService() dogwoodsettings.Service {
 	return dogwoodsettings.Service{
 		Name: shape.Pool, Kind: dogwoodfleet.EnginePool,
 		Deadline: dogwoodsettings.Duration(30 * time.Second), MaxDeadline: dogwoodsettings.Duration(10 * time.Minute),
@@ -115,7 +116,7 @@
 	}
 }
 
-func (shape *Shape) plain() dogwoodsettings.Service {
+func (shape *Shape) plainService() dogwoodsettings.Service {
 	return dogwoodsettings.Service{
 		Name: shape.Plain, Kind: dogwoodfleet.PlainService,
 		Deadline: dogwoodsettings.Duration(5 * time.Second), MaxDeadline: dogwoodsettings.Duration(30 * time.Second),
@@ -128,7 +129,8 @@
 	}
 }
 
-// place is where the n-th of a kind stands: the data centres take turns.
+// place returns the place of the n-th VM of a kind. VMs are assigned to the data centres
+// in rotation.
 func (shape *Shape) place(n int) dogwoodfleet.Place {
 	return dogwoodfleet.Place{Region: shape.Region, DataCentre: shape.DataCentres[n%len(shape.DataCentres)]}
 }
--- a/dogwoodlocal/dogwoodsite/site.go
+++ b/dogwoodlocal/dogwoodsite/site.go
@@ -1,6 +1,6 @@
-// Package dogwoodsite starts a whole deployment in one process on loopback: stand-ins for
-// the engines, the plain service and the platform, and daemons, in the shape of one of the
-// users' deployments with its places and the delays of its links.
+// Package dogwoodsite starts a whole deployment in one process, on loopback or in memory:
+// daemons and stand-ins for the engines, the plain service and the platform. The data
+// centres and link latencies are those of one of the users' deployments.
 package dogwoodsite
 
 import (
@@ -25,7 +25,7 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("site")
 
-// The keys of a local site.
+// The administration and peer keys of a local site.
 const (
 	localAdminKey = "local-admin-key"
 	localPeerKey  = "local-peer-key"
@@ -33,7 +33,7 @@
 
 const defaultDaemons = 6
 
-// Options describe a site. Zero values are the defaults.
+// Options configure a site. A zero value selects the default.
 type Options struct {
 	// Shape is Hinokuni (the default) or Laurentide.
 	Shape   string
@@ -42,15 +42,16 @@
 	Policy string
 	Logger hclog.Logger
 	Seed   uint64
-	// Engine is what every engine is made from; its ID, Model and Listener are the site's.
+	// Engine configures every engine; the site sets its ID, Model, Version, Listener, Dial
+	// and ChecksFencing.
 	Engine dogwoodenginestandin.Options
-	// Plain is what every plain server is made from.
+	// Plain configures every plain server; the site sets its ID and Listener.
 	Plain dogwoodplainstandin.Options
-	// NoDelays leaves the links without their delays.
+	// NoDelays removes the latency of the links.
 	NoDelays bool
-	// Base is nil for real sockets on the loopback.
+	// Base is the network of the site; nil means TCP sockets on loopback.
 	Base Base
-	// Edit changes the operators' text before the start.
+	// Edit changes the operators' text before the site starts.
 	Edit func(text *dogwoodsettings.Text)
 }
 
@@ -71,7 +72,7 @@
 	cancel  context.CancelFunc
 }
 
-// Start starts a site. It ends with the context or Close.
+// Start starts a site. The site ends when the context ends or Close is called.
 func Start(ctx context.Context, options Options) (*Site, error) {
 	if options.Shape == "" {
 		options.Shape = Hinokuni
@@ -92,10 +93,10 @@
 	running, cancel := context.WithCancel(ctx)
 	site := &Site{
 		Shape: shape, AdminKey: localAdminKey, options: options, text: shape.text(), cancel: cancel,
-		links: &links{base: options.Base, ended: running.Done(), places: map[netip.AddrPort]dogwoodfleet.DataCentre{}, listeners: map[netip.AddrPort]net.Listener{}},
+		links: &links{base: options.Base, ended: running.Done(), dataCentres: map[netip.AddrPort]dogwoodfleet.DataCentre{}, listeners: map[netip.AddrPort]net.Listener{}},
 	}
 	if !options.NoDelays {
-		site.links.link = shape.Link
+		site.links.latency = shape.Link
 	}
 	if options.Edit != nil {
 		options.Edit(&site.text)
@@ -141,13 +142,14 @@
 	return site.ready(ctx)
 }
 
-// applyText puts the operators' text into force, as they do, through one daemon.
+// applyText applies the operators' text through the administration API of one daemon, as
+// operators do.
 func (site *Site) applyText(ctx context.Context) error {
 	source, err := site.Text()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	apply := dogwoodadminapi.Apply{ID: "site", Author: "dogwoodlocal", Source: string(source)}
 	for {
@@ -158,7 +160,7 @@
 		select {
 		case <-ctx.Done():
 			return Error.Wrap(err)
-		case <-time.After(readyPause):
+		case <-time.After(readyInterval):
 		}
 	}
 }
@@ -190,7 +192,7 @@
 			return Error.Wrap(err)
 		}
 		site.Engines = append(site.Engines, engine)
-		site.list(vmName("engine", n), n, site.Shape.Pool, engine.Address())
+		site.addEndpoint(vmName("engine", n), n, site.Shape.Pool, engine.Address())
 	}
 	return nil
 }
@@ -209,20 +211,20 @@
 			return Error.Wrap(err)
 		}
 		site.Plain = append(site.Plain, server)
-		site.list(vmName(string(site.Shape.Plain), n), n, site.Shape.Plain, server.Address())
+		site.addEndpoint(vmName(string(site.Shape.Plain), n), n, site.Shape.Plain, server.Address())
 	}
 	return nil
 }
 
-func (site *Site) list(name dogwoodfleet.VM, n int, service dogwoodfleet.Service, address netip.AddrPort) {
+func (site *Site) addEndpoint(name dogwoodfleet.VM, n int, service dogwoodfleet.Service, address netip.AddrPort) {
 	place := site.Shape.place(n)
-	site.links.placed(address, place.DataCentre)
+	site.links.setDataCentre(address, place.DataCentre)
 	site.vms = append(site.vms, dogwoodfleet.ListedVM{
 		Name: name, Place: place, Service: service, State: dogwoodfleet.Live, Serve: address,
 	})
 }
 
-// VMs returns the list that the platform shows.
+// VMs returns the VM list that the platform serves.
 func (site *Site) VMs() []dogwoodfleet.ListedVM {
 	return append([]dogwoodfleet.ListedVM(nil), site.vms...)
 }
@@ -244,31 +246,31 @@
 }
 
 const (
-	// readyTime bounds the wait for the daemons to know each other.
-	readyTime  = 20 * time.Second
-	readyPause = 20 * time.Millisecond
+	// readyTimeout bounds the wait until all daemons serve and see each other.
+	readyTimeout  = 20 * time.Second
+	readyInterval = 20 * time.Millisecond
 )
 
-// ready waits until every daemon knows all others.
+// ready waits until every daemon serves and sees all others alive.
 func (site *Site) ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, daemon := range site.daemons {
 		for !daemon.ready() {
 			select {
 			case <-ctx.Done():
-				return Error.New("after %s, %s does not serve or does not know all daemons", readyTime, daemon.VM)
-			case <-time.After(readyPause):
+				return Error.New("after %s, %s does not serve or does not see all daemons alive", readyTimeout, daemon.VM)
+			case <-time.After(readyInterval):
 			}
 		}
 	}
 	return nil
 }
 
-// Close ends everything at once and waits for it.
+// Close ends all parts of the site without a graceful shutdown and waits until they ended.
 func (site *Site) Close(context.Context) error {
 	for _, daemon := range site.daemons {
-		daemon.Kill() //nolint:contextcheck,nolintlint // a crash waits for nothing; seen only when the linter has no older cache
+		daemon.Kill() //nolint:contextcheck,nolintlint // Kill does not block; contextcheck reports it only on an empty linter cache
 	}
 	site.cancel()
 	site.links.closeUnused()
@@ -286,11 +288,11 @@
 	return Error.Wrap(err)
 }
 
-// CallerDial connects to a daemon as a client's machine does, with the delay of its link.
+// CallerDial connects to a daemon over the link of a client, with that link's latency.
 func (site *Site) CallerDial(ctx context.Context, network, address string) (net.Conn, error) {
 	if site.options.NoDelays {
 		return site.options.Base.DialContext(ctx, network, address)
 	}
-	outside := from{links: &links{base: site.options.Base, ended: site.links.ended, link: site.Shape.CallerLink, places: site.links.places}, dataCentre: "outside"}
+	outside := origin{links: &links{base: site.options.Base, ended: site.links.ended, latency: site.Shape.CallerLink, dataCentres: site.links.dataCentres}, dataCentre: "outside"}
 	return outside.DialContext(ctx, network, address)
 }
--- a/dogwoodlocal/dogwoodsite/site_test.go
+++ b/dogwoodlocal/dogwoodsite/site_test.go
@@ -16,7 +16,7 @@
 	"dogwoodmux.example/core/dogwoodproblem"
 )
 
-// inBubble runs a whole site on paused time and on pipes.
+// inBubble runs body with a whole site on in-memory pipes, inside a synctest bubble.
 func inBubble(t *testing.T, options Options, body func(ctx context.Context, t *testing.T, site *Site, caller *testCaller)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -42,13 +42,13 @@
 	return len(line), nil
 }
 
-// testCaller is a caller of the site's first customer.
+// testCaller sends requests with the API key of the site's first customer.
 type testCaller struct {
 	site      *Site
 	transport *http.Transport
 }
 
-// testAnswer is what a caller got.
+// testAnswer is the result of a call: an answer, with its problem if it is one, or an error.
 type testAnswer struct {
 	status  int
 	header  http.Header
@@ -82,16 +82,16 @@
 	return answer
 }
 
-func (caller *testCaller) prompt(ctx context.Context, daemon *Daemon, text string, tokens int, stream bool, header ...string) testAnswer {
+func (caller *testCaller) sendPrompt(ctx context.Context, daemon *Daemon, text string, tokens int, stream bool, header ...string) testAnswer {
 	body := fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, caller.site.Shape.Model, stream, tokens, text)
 	return caller.do(ctx, daemon, http.MethodPost, "/v1/chat/completions", body, header...)
 }
 
-func (caller *testCaller) hold(ctx context.Context, daemon *Daemon, key, car string) testAnswer {
+func (caller *testCaller) sendHold(ctx context.Context, daemon *Daemon, key, car string) testAnswer {
 	return caller.do(ctx, daemon, http.MethodPost, "/services/"+string(caller.site.Shape.Plain)+"/holds", car, "Idempotency-Key", key)
 }
 
-// heldTokens is the memory held on all engines.
+// heldTokens returns the tokens of memory held on all engines.
 func (caller *testCaller) heldTokens() int {
 	held := 0
 	for _, engine := range caller.site.Engines {
@@ -100,7 +100,7 @@
 	return held
 }
 
-// holdRuns is how often all servers ran the call with an idempotency key.
+// holdRuns returns how often all servers together ran the call with an idempotency key.
 func (caller *testCaller) holdRuns(key string) int {
 	runs := 0
 	for _, server := range caller.site.Plain {
@@ -112,16 +112,16 @@
 func TestWholeSite(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
 		daemon := site.Daemons()[0]
-		streamed := caller.prompt(ctx, daemon, "a blue van", 8, true)
+		streamed := caller.sendPrompt(ctx, daemon, "a blue van", 8, true)
 		if streamed.status != http.StatusOK || !strings.HasSuffix(streamed.body, "data: [DONE]\n\n") {
 			t.Errorf("got %d %q %v", streamed.status, streamed.body, streamed.err)
 		}
-		whole := caller.prompt(ctx, daemon, "a blue van", 8, false)
+		whole := caller.sendPrompt(ctx, daemon, "a blue van", 8, false)
 		if whole.status != http.StatusOK || !strings.Contains(whole.body, `"finish_reason":"stop"`) {
 			t.Errorf("got %d %q %v", whole.status, whole.body, whole.err)
 		}
 		for range 2 {
-			held := caller.hold(ctx, daemon, "hold-1", `{"Car":"7"}`)
+			held := caller.sendHold(ctx, daemon, "hold-1", `{"Car":"7"}`)
 			if got, want := strings.TrimSpace(held.body), `{"Car":"7"}`; held.status != http.StatusCreated || got != want {
 				t.Errorf("got %d %q %v, want %q", held.status, got, held.err, want)
 			}
--- a/dogwoodlocal/dogwoodsite/stories_test.go
+++ b/dogwoodlocal/dogwoodsite/stories_test.go
@@ -19,11 +19,11 @@
 	"dogwoodmux.example/dogwoodlocal/dogwoodplainstandin"
 )
 
-// warm is how long after its start a site's endpoints are warm and its owners settled.
-const warm = 10 * time.Second
+// warmUpTime is the time after which a started site has warm endpoints and stable owners.
+const warmUpTime = 10 * time.Second
 
-// streamedContent joins the text of a streamed answer. It returns the problem of its error
-// event, if it ended in one.
+// streamedContent returns the text of a streamed answer, the problem of its error event if
+// there is one, and whether the stream ended with [DONE].
 func streamedContent(t *testing.T, body string) (content string, failure *dogwoodproblem.Problem, done bool) {
 	t.Helper()
 	for event := range strings.SplitSeq(body, "\n\n") {
@@ -66,16 +66,16 @@
 	}
 }
 
-// A buyer holds a car and the line to the entry breaks: the entry died after it had sent the
-// hold, before it answered. The buyer sends it again through the other entries. Nobody may
-// run it a second time, and nobody may say that it was not run.
-func TestEntryDiesAfterSendingAHold(t *testing.T) {
+// An entry daemon dies after it sent a hold to a server and before it answered. The caller
+// sends the hold again through the other entry daemons. None of them may run it a second
+// time or report that it was not run.
+func TestEntryDaemonDiesAfterSendingAHold(t *testing.T) {
 	options := Options{Plain: dogwoodplainstandin.Options{Latency: time.Second}}
 	inBubble(t, options, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
-		time.Sleep(warm)
+		time.Sleep(warmUpTime)
 		var group sync.WaitGroup
 		group.Go(func() {
-			if answer := caller.hold(ctx, site.Daemons()[0], "hold-1", `{"Car":"7"}`); answer.err == nil {
+			if answer := caller.sendHold(ctx, site.Daemons()[0], "hold-1", `{"Car":"7"}`); answer.err == nil {
 				t.Errorf("got %d %q from a daemon that died", answer.status, answer.body)
 			}
 		})
@@ -83,7 +83,7 @@
 		site.Daemons()[0].Kill()
 		group.Wait()
 		for _, daemon := range site.Daemons()[1:] {
-			answer := caller.hold(ctx, daemon, "hold-1", `{"Car":"7"}`)
+			answer := caller.sendHold(ctx, daemon, "hold-1", `{"Car":"7"}`)
 			if answer.status != http.StatusConflict || answer.problem.NotRun == dogwoodproblem.True {
 				t.Errorf("got %d %+v, want a conflict that does not say not run", answer.status, answer.problem)
 			}
@@ -95,16 +95,16 @@
 	})
 }
 
-// The server of a hold dies while it runs it. Its caller must be told that the outcome is
-// not known, and the same call sent again must not be run by another server.
-func TestServerDiesInAHold(t *testing.T) {
+// A server dies while it runs a hold. The caller must get the answer that the outcome is
+// unknown, and another server must not run the same call when it is sent again.
+func TestServerDiesDuringAHold(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
-		time.Sleep(warm)
+		time.Sleep(warmUpTime)
 		for _, server := range site.Plain {
 			server.KillOn("cursed")
 		}
 		for _, daemon := range site.Daemons()[:3] {
-			answer := caller.hold(ctx, daemon, "hold-2", `{"Car":"cursed"}`)
+			answer := caller.sendHold(ctx, daemon, "hold-2", `{"Car":"cursed"}`)
 			if answer.err != nil || answer.problem.NotRun != dogwoodproblem.Unknown {
 				t.Errorf("got %d %+v %v, want NotRun unknown", answer.status, answer.problem, answer.err)
 			}
@@ -115,16 +115,16 @@
 	})
 }
 
-// Two buyers' pages send the same hold at the same moment through every entry. It runs
-// once; the others get its answer or are told that it runs.
-func TestSameHoldThroughAllEntriesAtOnce(t *testing.T) {
+// The same hold is sent several times at once through every entry daemon. It must run once;
+// the other attempts get its answer or a conflict that says that it is running.
+func TestConcurrentHoldsWithTheSameKey(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
-		time.Sleep(warm)
+		time.Sleep(warmUpTime)
 		var group sync.WaitGroup
 		for _, daemon := range site.Daemons() {
 			for range 4 {
 				group.Go(func() {
-					answer := caller.hold(ctx, daemon, "hold-1", `{"Car":"7"}`)
+					answer := caller.sendHold(ctx, daemon, "hold-1", `{"Car":"7"}`)
 					stored := answer.status == http.StatusCreated && strings.TrimSpace(answer.body) == `{"Car":"7"}`
 					running := answer.status == http.StatusConflict && answer.problem.Reason == dogwoodfleet.ReasonRunning
 					if !stored && !running {
@@ -137,32 +137,32 @@
 		if got := caller.holdRuns("hold-1"); got != 1 {
 			t.Errorf("got %d runs, want 1", got)
 		}
-		mismatch := caller.hold(ctx, site.Daemons()[2], "hold-1", `{"Car":"8"}`)
+		mismatch := caller.sendHold(ctx, site.Daemons()[2], "hold-1", `{"Car":"8"}`)
 		if mismatch.status != http.StatusUnprocessableEntity || mismatch.problem.NotRun != dogwoodproblem.True {
-			t.Errorf("got %d %+v, want the key refused for another body", mismatch.status, mismatch.problem)
+			t.Errorf("got %d %+v, want the key rejected for another body", mismatch.status, mismatch.problem)
 		}
 	})
 }
 
-// The platform's table service is down. Holds are refused at once and truly as not run;
-// prompts and lookups, which need no claim, are answered as ever.
+// The platform's table service is down. Holds must be rejected quickly and correctly as not
+// run; prompts and lookups, which need no claim, must still be answered.
 func TestStoreDown(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
-		time.Sleep(warm)
+		time.Sleep(warmUpTime)
 		site.Platform.Down(true)
-		begun := time.Now()
-		answer := caller.hold(ctx, site.Daemons()[0], "hold-1", `{"Car":"7"}`)
+		start := time.Now()
+		answer := caller.sendHold(ctx, site.Daemons()[0], "hold-1", `{"Car":"7"}`)
 		if answer.status != http.StatusServiceUnavailable || answer.problem.NotRun != dogwoodproblem.True || answer.header.Get("Retry-After") == "" {
-			t.Errorf("got %d %+v %v, want a refusal as not run with Retry-After", answer.status, answer.problem, answer.err)
+			t.Errorf("got %d %+v %v, want an error response with not run and Retry-After", answer.status, answer.problem, answer.err)
 		}
-		if took, want := time.Since(begun), 4*time.Second; took > want {
-			t.Errorf("refused after %v, want at most %v", took, want)
+		if took, want := time.Since(start), 4*time.Second; took > want {
+			t.Errorf("rejected after %v, want at most %v", took, want)
 		}
-		checkWhole(t, caller.prompt(ctx, site.Daemons()[1], "load-id=p1 a van", 8, true), "p1", 8)
+		checkWhole(t, caller.sendPrompt(ctx, site.Daemons()[1], "load-id=p1 a van", 8, true), "p1", 8)
 		site.Platform.Down(false)
 		time.Sleep(5 * time.Second)
-		if answer := caller.hold(ctx, site.Daemons()[0], "hold-1", `{"Car":"7"}`); answer.status != http.StatusCreated {
-			t.Errorf("got %d %+v %v after the store's return", answer.status, answer.problem, answer.err)
+		if answer := caller.sendHold(ctx, site.Daemons()[0], "hold-1", `{"Car":"7"}`); answer.status != http.StatusCreated {
+			t.Errorf("got %d %+v %v after the store was up again", answer.status, answer.problem, answer.err)
 		}
 		if got := caller.holdRuns("hold-1"); got != 1 {
 			t.Errorf("got %d runs, want 1", got)
@@ -170,16 +170,16 @@
 	})
 }
 
-// A dealer closes the page while a long draft streams. The engine must stop and give its
-// memory back, or the fleet fills up with drafts that nobody reads.
-func TestCallerLeaves(t *testing.T) {
+// A caller disconnects while a long draft streams. The engine must stop and release the
+// memory, or the fleet fills up with drafts that nobody reads.
+func TestCallerDisconnects(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
-		time.Sleep(warm)
-		leaving, leave := context.WithTimeout(ctx, 2*time.Second)
-		defer leave()
-		answer := caller.prompt(leaving, site.Daemons()[0], strings.Repeat("a long draft ", 1000), 4000, true)
+		time.Sleep(warmUpTime)
+		callCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
+		defer cancel()
+		answer := caller.sendPrompt(callCtx, site.Daemons()[0], strings.Repeat("a long draft ", 1000), 4000, true)
 		if answer.err == nil {
-			t.Errorf("got the whole answer: %d", answer.status)
+			t.Errorf("got the complete answer: %d", answer.status)
 		}
 		time.Sleep(3 * time.Second)
 		if got := caller.heldTokens(); got != 0 {
@@ -188,19 +188,19 @@
 	})
 }
 
-// A draft's deadline passes in the middle of its stream. The caller must see that it
-// failed, not a silent end, and the engine's memory must come back.
-func TestDeadlineInAStream(t *testing.T) {
+// A draft's deadline passes while the answer streams. The caller must get an error event, not
+// just the end of the stream, and the engine's memory must be released.
+func TestDeadlinePassesDuringAStream(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
-		time.Sleep(warm)
+		time.Sleep(warmUpTime)
 		for _, engine := range site.Engines {
 			engine.Slow(20)
 		}
-		answer := caller.prompt(ctx, site.Daemons()[0], "load-id=late a draft", 60, true, "Dogwood-Deadline", "2s")
+		answer := caller.sendPrompt(ctx, site.Daemons()[0], "load-id=late a draft", 60, true, "Dogwood-Deadline", "2s")
 		_, failure, done := streamedContent(t, answer.body)
 		streamed := answer.status == http.StatusOK && failure != nil && failure.Reason == dogwoodfleet.ReasonDeadline && failure.NotRun == dogwoodproblem.False
-		refused := answer.problem.Reason == dogwoodfleet.ReasonDeadline
-		if done || !streamed && !refused {
+		rejected := answer.problem.Reason == dogwoodfleet.ReasonDeadline
+		if done || !streamed && !rejected {
 			t.Errorf("got %d %q, want the deadline as a problem", answer.status, answer.body)
 		}
 		time.Sleep(3 * time.Second)
@@ -210,18 +210,19 @@
 	})
 }
 
-// An engine dies under running streams. A stream that has begun ends in an error event
-// that says it ran; what had not begun is run elsewhere and answered whole.
+// Two engines die while they run streams. A stream that has begun must end with an error
+// event that says that it ran; a request that has not begun must run at another engine and
+// get a complete answer.
 func TestEngineDiesUnderStreams(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
-		time.Sleep(warm)
+		time.Sleep(warmUpTime)
 		var group sync.WaitGroup
 		var mutex sync.Mutex
 		cut, whole := 0, 0
 		for n := range 32 {
 			group.Go(func() {
 				tag := fmt.Sprintf("s%d", n)
-				answer := caller.prompt(ctx, site.Daemons()[n%6], "load-id="+tag+" a draft", 400, true)
+				answer := caller.sendPrompt(ctx, site.Daemons()[n%6], "load-id="+tag+" a draft", 400, true)
 				content, failure, done := streamedContent(t, answer.body)
 				mutex.Lock()
 				defer mutex.Unlock()
@@ -252,16 +253,17 @@
 	})
 }
 
-// Something between daemons and engines forgets all open connections, while new ones work.
-// Running streams must be taken up where they stopped: callers see whole answers.
+// A device between daemons and engines loses the state of all open connections, while new
+// ones work. Running streams must resume where they stopped, so that callers get complete
+// answers.
 func TestConnectionsToEnginesFallSilent(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
-		time.Sleep(warm)
+		time.Sleep(warmUpTime)
 		var group sync.WaitGroup
 		for n := range 12 {
 			group.Go(func() {
 				tag := fmt.Sprintf("s%d", n)
-				checkWhole(t, caller.prompt(ctx, site.Daemons()[n%6], "load-id="+tag+" a draft", 400, true), tag, 400)
+				checkWhole(t, caller.sendPrompt(ctx, site.Daemons()[n%6], "load-id="+tag+" a draft", 400, true), tag, 400)
 			})
 		}
 		time.Sleep(time.Second)
@@ -272,22 +274,23 @@
 	})
 }
 
-// A daemon dies that owns engines and holds callers. Its own callers' connections break;
-// all others are answered, new requests too, and nothing stays held on an engine.
+// A daemon dies that owns engines and serves callers. The connections of its own callers
+// break; all other callers must be answered, also with new requests, and no memory may stay
+// held on an engine.
 func TestDaemonDiesUnderLoad(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
-		time.Sleep(warm)
+		time.Sleep(warmUpTime)
 		var group sync.WaitGroup
 		for n := range 60 {
 			group.Go(func() {
 				time.Sleep(time.Duration(n) * 100 * time.Millisecond)
 				tag := fmt.Sprintf("s%d", n)
 				daemon := site.Daemons()[1+n%5]
-				checkWhole(t, caller.prompt(ctx, daemon, "load-id="+tag+" a draft", 200, true), tag, 200)
+				checkWhole(t, caller.sendPrompt(ctx, daemon, "load-id="+tag+" a draft", 200, true), tag, 200)
 			})
-			group.Go(func() { // callers of the daemon that dies: their fate is a broken connection or an answer
+			group.Go(func() { // callers of the daemon that dies: both an answer and a broken connection are fine
 				time.Sleep(time.Duration(n) * 40 * time.Millisecond)
-				caller.prompt(ctx, site.Daemons()[0], fmt.Sprintf("load-id=d%d a draft", n), 200, true)
+				caller.sendPrompt(ctx, site.Daemons()[0], fmt.Sprintf("load-id=d%d a draft", n), 200, true)
 			})
 		}
 		time.Sleep(2 * time.Second)
@@ -301,15 +304,16 @@
 }
 
 // A prompt crashes every engine that runs it, and its caller sends it again through the
-// other entries. After two engines have died it must be refused, and innocents served.
+// other entry daemons. After two engines have crashed it must be rejected, and harmless
+// prompts must be served.
 func TestPoisonedPrompt(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
-		time.Sleep(warm)
+		time.Sleep(warmUpTime)
 		for _, engine := range site.Engines {
 			engine.KillOn("cursed")
 		}
 		for round := range 12 {
-			answer := caller.prompt(ctx, site.Daemons()[round%6], "cursed", 20, false)
+			answer := caller.sendPrompt(ctx, site.Daemons()[round%6], "cursed", 20, false)
 			if answer.err != nil || answer.status == http.StatusOK {
 				t.Errorf("got %d %v, want a problem", answer.status, answer.err)
 			}
@@ -321,29 +325,30 @@
 		if crashes > 2 {
 			t.Errorf("got %d engines killed, want at most 2", crashes)
 		}
-		checkWhole(t, caller.prompt(ctx, site.Daemons()[0], "load-id=good a draft", 20, true), "good", 20)
+		checkWhole(t, caller.sendPrompt(ctx, site.Daemons()[0], "load-id=good a draft", 20, true), "good", 20)
 	})
 }
 
-// A pool depends on the plain service and all of its servers are down. Prompts must be
-// refused early and clearly, not after their deadline, and be served again when it is back.
+// An engine pool depends on the plain service, and all servers of that are down. Prompts
+// must be rejected early with the dependency as the reason, not at their deadline, and be
+// served again when the servers are up.
 func TestDependencyDown(t *testing.T) {
 	options := Options{Edit: func(text *dogwoodsettings.Text) {
 		text.Services[0].DependsOn = []dogwoodfleet.Service{text.Services[1].Name}
 	}}
 	inBubble(t, options, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
-		time.Sleep(warm)
+		time.Sleep(warmUpTime)
 		for _, server := range site.Plain {
 			server.Die()
 		}
 		time.Sleep(5 * time.Second)
-		begun := time.Now()
-		answer := caller.prompt(ctx, site.Daemons()[0], "load-id=p a draft", 20, true)
+		start := time.Now()
+		answer := caller.sendPrompt(ctx, site.Daemons()[0], "load-id=p a draft", 20, true)
 		if answer.problem.Reason != dogwoodfleet.ReasonDependency || answer.problem.NotRun != dogwoodproblem.True {
 			t.Errorf("got %d %+v %v, want the dependency named", answer.status, answer.problem, answer.err)
 		}
-		if took, want := time.Since(begun), 100*time.Millisecond; took > want {
-			t.Errorf("refused after %v, want at most %v", took, want)
+		if took, want := time.Since(start), 100*time.Millisecond; took > want {
+			t.Errorf("rejected after %v, want at most %v", took, want)
 		}
 		for _, server := range site.Plain {
 			if err := server.Revive(ctx); err != nil {
@@ -351,15 +356,15 @@
 			}
 		}
 		time.Sleep(5 * time.Second)
-		checkWhole(t, caller.prompt(ctx, site.Daemons()[0], "load-id=p a draft", 20, true), "p", 20)
+		checkWhole(t, caller.sendPrompt(ctx, site.Daemons()[0], "load-id=p a draft", 20, true), "p", 20)
 	})
 }
 
-// Operators replace all daemons one by one while callers, who ask for addresses and keep
-// them as long as they are told, send drafts and holds. No request may be cut.
-func TestShutdownOneByOneCutsNothing(t *testing.T) {
+// Operators restart all daemons one by one while callers send drafts and holds. Each caller
+// queries the entry addresses and uses them for KeepSeconds. No request may be cut.
+func TestRollingRestartCutsNoRequest(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
-		time.Sleep(warm)
+		time.Sleep(warmUpTime)
 		var group sync.WaitGroup
 		ended := make(chan struct{})
 		for n := range 20 {
@@ -381,9 +386,10 @@
 	})
 }
 
-// keepCalling is a caller that follows the entry addresses.
+// keepCalling sends drafts and holds to the entry address that the directory returns, until
+// ended is closed.
 func keepCalling(ctx context.Context, t *testing.T, site *Site, caller *testCaller, n int, ended <-chan struct{}) {
-	var told struct {
+	var entries struct {
 		Addresses   []string
 		KeepSeconds int
 	}
@@ -395,30 +401,31 @@
 		default:
 		}
 		answer := caller.do(ctx, entry, http.MethodGet, "/v1/entry", "")
-		if err := json.Unmarshal([]byte(answer.body), &told); err != nil || len(told.Addresses) == 0 {
+		if err := json.Unmarshal([]byte(answer.body), &entries); err != nil || len(entries.Addresses) == 0 {
 			t.Errorf("got %d %q %v, want addresses", answer.status, answer.body, answer.err)
 			return
 		}
 		for _, daemon := range site.Daemons() {
-			if daemon.Serve.String() == told.Addresses[0] {
+			if daemon.Serve.String() == entries.Addresses[0] {
 				entry = daemon
 			}
 		}
-		kept := time.Now().Add(time.Duration(told.KeepSeconds) * time.Second)
-		for time.Now().Before(kept.Add(-time.Second)) {
+		expires := time.Now().Add(time.Duration(entries.KeepSeconds) * time.Second)
+		for time.Now().Before(expires.Add(-time.Second)) {
 			tag := fmt.Sprintf("c%d-%d-%d", n, round, time.Now().UnixNano())
-			checkWhole(t, caller.prompt(ctx, entry, "load-id="+tag+" a draft", 100, true), tag, 100)
-			if held := caller.hold(ctx, entry, tag, `{"Car":"7"}`); held.status != http.StatusCreated {
+			checkWhole(t, caller.sendPrompt(ctx, entry, "load-id="+tag+" a draft", 100, true), tag, 100)
+			if held := caller.sendHold(ctx, entry, tag, `{"Car":"7"}`); held.status != http.StatusCreated {
 				t.Errorf("got %d %+v %v for a hold", held.status, held.problem, held.err)
 			}
 		}
 	}
 }
 
-// A caller sends a hold's header and then its body a byte a second, for good. It must be
-// told after a time that it was not run, whether its key is known or not, and hold neither
-// a slot nor a claim meanwhile. net/http reads a refused body to its end before it sends
-// the refusal, so that without a limit such a caller would get none and keep its request.
+// A caller sends a hold's header and then its body at one byte a second. After a time it must
+// get the answer that the call was not run, whether its API key is known or not, and it must
+// hold neither a slot nor a claim meanwhile. net/http reads the body of a rejected request to
+// its end before it sends the response, so that without a time limit such a caller would get
+// no response and its request would stay open.
 func TestSlowSender(t *testing.T) {
 	tests := []struct {
 		name, key  string
@@ -438,7 +445,7 @@
 				defer group.Wait()
 				defer func() { _ = conn.Close() }()
 				group.Go(func() { sendSlowly(conn, site, test.key) })
-				begun := time.Now()
+				start := time.Now()
 				response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 				if err != nil {
 					t.Fatal(err)
@@ -448,10 +455,10 @@
 				if err := json.NewDecoder(response.Body).Decode(&problem); err != nil || problem.Status != test.wantStatus || problem.NotRun != dogwoodproblem.True {
 					t.Errorf("got %+v %v, want %d, not run", problem, err, test.wantStatus)
 				}
-				if took, most := time.Since(begun), 40*time.Second; took > most {
-					t.Errorf("refused after %v, want at most %v", took, most)
+				if took, limit := time.Since(start), 40*time.Second; took > limit {
+					t.Errorf("rejected after %v, want at most %v", took, limit)
 				}
-				if answer := caller.hold(ctx, site.Daemons()[1], "slow", `{"Car":"7"}`); answer.status != http.StatusCreated {
+				if answer := caller.sendHold(ctx, site.Daemons()[1], "slow", `{"Car":"7"}`); answer.status != http.StatusCreated {
 					t.Errorf("got %d %+v, want the key to be free", answer.status, answer.problem)
 				}
 			})
