--- a/dogwoodload/dogwoodsoak/careless_test.go
+++ b/dogwoodload/dogwoodsoak/careless_test.go
@@ -25,8 +25,8 @@
 	"dogwoodmux.example/platform/dogwoodwire"
 )
 
-// fault is a promise that a careless daemon breaks. It is named as the check that has to find it, and after
-// a hyphen by what tells it from others of that check.
+// fault is a promise that a careless daemon breaks. Its name is that of the check that has to find it, followed by
+// a hyphen and a suffix if the check has several faults.
 type fault string
 
 func (fault fault) check() string {
@@ -52,30 +52,30 @@
 	cutWithoutCause  fault = "CutWithoutCause"
 )
 
-// changeFelt is for how long after a change a careless daemon cuts requests.
-const changeFelt = 2 * time.Second
+// cutDuration is how long after a change a careless daemon cuts requests.
+const cutDuration = 2 * time.Second
 
-// pollEvery is how often the careless daemon reads the store.
-const pollEvery = 100 * time.Millisecond
+// pollInterval is the time between two reads of the store by a careless daemon.
+const pollInterval = 100 * time.Millisecond
 
-// careless is a daemon of the simplest kind: it sends each request to some endpoint of its service. It
-// keeps no order, no budget and no limits, and breaks one promise in earnest.
+// careless is a minimal daemon that breaks one promise. It sends each request to a random endpoint of its service,
+// without queues, budgets or limits.
 type careless struct {
 	fault   fault
 	regions map[dogwoodfleet.DataCentre]dogwoodfleet.Region
 	client  *http.Transport
 
-	mutex   sync.Mutex
-	table   *dogwoodroute.Table
-	servers map[string]dogwoodview.Server
-	out     map[string]bool
-	keys    map[string]dogwoodfleet.Customer // all that were ever seen
-	sent    int
-	version int64     // of the operators' text
-	changed time.Time // when that changed beside which it cuts
+	mutex     sync.Mutex
+	table     *dogwoodroute.Table
+	servers   map[string]dogwoodview.Server
+	takenOut  map[string]bool
+	keys      map[string]dogwoodfleet.Customer // all keys that were ever valid
+	sent      int
+	version   int64     // of the operators' text
+	changedAt time.Time // time of the latest change that makes it cut requests
 }
 
-// runCareless runs a careless daemon as the program "serve" would.
+// runCareless runs a careless daemon with the settings that the subcommand "serve" of the platform would read.
 func runCareless(ctx context.Context, fault fault) error {
 	source, err := os.ReadFile(os.Getenv(dogwoodboot.Variable))
 	if err != nil {
@@ -109,14 +109,14 @@
 	for {
 		operators, err := store.All(ctx, dogwoodwire.OperatorTable)
 		if err == nil {
-			careless.operators(operators.Rows)
+			careless.applyOperatorRows(operators.Rows)
 		}
 		servers, err := store.All(ctx, dogwoodwire.ServersTable)
 		if err == nil {
-			careless.endpoints(servers.Rows)
+			careless.applyServerRows(servers.Rows)
 		}
 		select {
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -131,38 +131,39 @@
 			return ctx.Err()
 		}
 		careless.mutex.Lock()
-		careless.change(cutByReload)
+		careless.recordChange(cutByReload)
 		careless.mutex.Unlock()
 	}
 }
 
-// change has requests be cut if the fault is the daemon's. The mutex is held.
-func (careless *careless) change(fault fault) {
+// recordChange starts a period in which requests are cut, if the given fault is that of the daemon. The caller holds
+// the mutex.
+func (careless *careless) recordChange(fault fault) {
 	if careless.fault == fault {
-		careless.changed = time.Now()
+		careless.changedAt = time.Now()
 	}
 }
 
-func (careless *careless) operators(rows []dogwoodwire.Row) {
+func (careless *careless) applyOperatorRows(rows []dogwoodwire.Row) {
 	careless.mutex.Lock()
 	defer careless.mutex.Unlock()
-	careless.out = map[string]bool{}
+	careless.takenOut = map[string]bool{}
 	for _, row := range rows {
 		if dataCentre, ok := strings.CutPrefix(row.Key, dogwoodwire.OutPrefix); ok {
-			careless.out[dataCentre] = true
+			careless.takenOut[dataCentre] = true
 			continue
 		}
 		if table, err := dogwoodwire.Text(row.Value); err == nil {
 			careless.table = table
 			if row.Version != careless.version {
 				careless.version = row.Version
-				careless.change(cutByChange)
+				careless.recordChange(cutByChange)
 			}
 		}
 	}
 }
 
-func (careless *careless) endpoints(rows []dogwoodwire.Row) {
+func (careless *careless) applyServerRows(rows []dogwoodwire.Row) {
 	careless.mutex.Lock()
 	defer careless.mutex.Unlock()
 	if careless.fault != sentAfterLeaving {
@@ -176,21 +177,21 @@
 	}
 }
 
-// pick finds some endpoint of a service.
-func (careless *careless) pick(service dogwoodfleet.Service) (dogwoodview.Server, error) {
+// pickServer returns a random endpoint of a service.
+func (careless *careless) pickServer(service dogwoodfleet.Service) (dogwoodview.Server, error) {
 	careless.mutex.Lock()
 	defer careless.mutex.Unlock()
-	var fit []dogwoodview.Server
+	var candidates []dogwoodview.Server
 	for _, server := range careless.servers {
-		out := careless.out[string(server.Endpoint.Place.DataCentre)] && careless.fault != sentAfterTakeOut
-		if server.Service == service && !out {
-			fit = append(fit, server)
+		takenOut := careless.takenOut[string(server.Endpoint.Place.DataCentre)] && careless.fault != sentAfterTakeOut
+		if server.Service == service && !takenOut {
+			candidates = append(candidates, server)
 		}
 	}
-	if len(fit) == 0 {
+	if len(candidates) == 0 {
 		return dogwoodview.Server{}, errors.New("no endpoint")
 	}
-	return fit[rand.IntN(len(fit))], nil
+	return candidates[rand.IntN(len(candidates))], nil
 }
 
 func (careless *careless) customer(key string) (dogwoodfleet.Customer, bool) {
@@ -216,21 +217,22 @@
 	return careless.table.Route(received.Host, received.URL.Path)
 }
 
-// now is true for every tenth request: a fault that shows now and then has to be found, too.
-func (careless *careless) now(fault fault) bool {
+// triggers reports whether the fault occurs now, which it does for every tenth request: intermittent faults have to
+// be found, too.
+func (careless *careless) triggers(fault fault) bool {
 	careless.mutex.Lock()
 	defer careless.mutex.Unlock()
 	return careless.fault == fault && careless.sent%10 == 0
 }
 
-// justChanged is true for a short while after a change.
-func (careless *careless) justChanged() bool {
+// recentlyChanged reports whether a change that cuts requests was made less than cutDuration ago.
+func (careless *careless) recentlyChanged() bool {
 	careless.mutex.Lock()
 	defer careless.mutex.Unlock()
-	return time.Since(careless.changed) < changeFelt
+	return time.Since(careless.changedAt) < cutDuration
 }
 
-// ServeHTTP sends a request on and copies what comes back.
+// ServeHTTP forwards a request and copies the response.
 func (careless *careless) ServeHTTP(writer http.ResponseWriter, received *http.Request) {
 	body, err := io.ReadAll(received.Body)
 	if err != nil {
@@ -248,22 +250,22 @@
 	}
 	once := route.Repeat == dogwoodroute.Once
 	switch {
-	case careless.now(answeredLate):
+	case careless.triggers(answeredLate):
 		time.Sleep(time.Minute)
-	case careless.now(processDied):
+	case careless.triggers(processDied):
 		os.Exit(1)
-	case careless.now(cutWithoutCause), careless.justChanged() && careless.now(careless.fault):
+	case careless.triggers(cutWithoutCause), careless.recentlyChanged() && careless.triggers(careless.fault):
 		panic(http.ErrAbortHandler)
-	case careless.now(memoryHeld):
+	case careless.triggers(memoryHeld):
 		careless.reserve(received.Context())
 	}
 	header := dogwoodwire.Request(received.Header)
 	header.Set(dogwoodwire.Customer, string(customer))
-	if careless.now(keyPassedOn) {
+	if careless.triggers(keyPassedOn) {
 		header.Set(dogwoodwire.Authorization, received.Header.Get(dogwoodwire.Authorization))
 	}
 	repeats := 1
-	if once && careless.now(twiceRun) || !once && careless.fault == retryBudget {
+	if once && careless.triggers(twiceRun) || !once && careless.fault == retryBudget {
 		repeats = 2
 	}
 	var response *http.Response
@@ -274,7 +276,7 @@
 		}
 		defer func() { _ = response.Body.Close() }()
 	}
-	if once && careless.now(falseNotRun) {
+	if once && careless.triggers(falseNotRun) {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -282,7 +284,7 @@
 }
 
 func (careless *careless) send(received *http.Request, service dogwoodfleet.Service, header http.Header, body string) (*http.Response, error) {
-	server, err := careless.pick(service)
+	server, err := careless.pickServer(service)
 	if err != nil {
 		return nil, err
 	}
@@ -303,16 +305,16 @@
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	if careless.now(wrongAnswer) && len(body) > 0 {
+	if careless.triggers(wrongAnswer) && len(body) > 0 {
 		body[len(body)/2] ^= 1
 	}
 	writer.WriteHeader(response.StatusCode)
 	_, _ = writer.Write(body)
 }
 
-// reserve sets memory aside at some engine, and forgets it.
+// reserve reserves memory at a random engine and never releases it.
 func (careless *careless) reserve(ctx context.Context) {
-	server, err := careless.pick(engineName)
+	server, err := careless.pickServer(engineName)
 	if err != nil {
 		return
 	}
--- a/dogwoodload/dogwoodsoak/daemon.go
+++ b/dogwoodload/dogwoodsoak/daemon.go
@@ -19,36 +19,36 @@
 	"dogwoodmux.example/platform/dogwoodstandin"
 )
 
-// daemon is a daemon's place: its processes come and go.
+// daemon is a daemon of the site. Its process may be killed, stopped and started again.
 type daemon struct {
-	name     string
-	settings dogwoodstandin.DaemonSettings
-	file     string
-	store    *dogwoodsoakproxy.Proxy
-	front    *dogwoodsoakproxy.Proxy
+	name         string
+	settings     dogwoodstandin.DaemonSettings
+	file         string
+	storeProxy   *dogwoodsoakproxy.Proxy
+	callersProxy *dogwoodsoakproxy.Proxy
 
-	life       sync.Mutex // held while its process is not left alone; guards process
-	process    *dogwoodsoakprocess.Process
-	storeLink  sync.Mutex // held while its way to the store is broken
-	callerLink sync.Mutex // held while its callers' way is broken
+	processMutex sync.Mutex // held while a step acts on the process; guards process
+	process      *dogwoodsoakprocess.Process
+	storeMutex   sync.Mutex // held while its connection to the store is broken
+	callersMutex sync.Mutex // held while its callers' connections are broken
 }
 
 func (site *site) addDaemon(ctx context.Context, number int) error {
 	name := fmt.Sprintf("daemon-%d", number)
-	own, err := ownAddress(ctx)
+	address, err := newAddress(ctx)
 	if err != nil {
 		return err
 	}
-	store, err := site.proxy(ctx, site.store.address)
+	store, err := site.startProxy(ctx, site.store.address)
 	if err != nil {
 		return err
 	}
-	daemon := &daemon{name: name, file: site.path(name + ".toml"), store: store}
+	daemon := &daemon{name: name, file: site.path(name + ".toml"), storeProxy: store}
 	daemon.settings = dogwoodstandin.DaemonSettings{
-		VM: name, DataCentre: dataCentres[number%len(dataCentres)], DataCentres: dataCentres, Address: own,
+		VM: name, DataCentre: dataCentres[number%len(dataCentres)], DataCentres: dataCentres, Address: address,
 		Store: store.Address(), FirstStart: true, Bounds: daemonBounds,
 	}
-	if daemon.front, err = site.proxy(ctx, daemon.settings.Callers()); err != nil {
+	if daemon.callersProxy, err = site.startProxy(ctx, daemon.settings.Callers()); err != nil {
 		return err
 	}
 	site.daemons = append(site.daemons, daemon)
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	// A reader finds either file whole.
+	// Renaming makes the change atomic for readers.
 	if err := os.WriteFile(daemon.file+".new", encoded, 0o600); err != nil {
 		return dogwoodverb.Error.Wrap(err)
 	}
@@ -76,67 +76,68 @@
 
 func (site *site) startDaemon(ctx context.Context, daemon *daemon) error {
 	process, err := site.group.Start(ctx, dogwoodsoakprocess.Spec{
-		Name: daemon.name, Path: site.program, Arguments: []string{"serve"},
+		Name: daemon.name, Path: site.daemonProgram, Arguments: []string{"serve"},
 		Environment: []string{dogwoodstandin.SettingsVariable + "=" + daemon.file}, Log: site.path(daemon.name + ".log"),
 	})
 	daemon.process = process
 	return err
 }
 
-// ofDaemon is a fault of a daemon.
-func ofDaemon(daemon *daemon) dogwoodsoakcheck.Fault {
+// daemonFault returns a fault that affects a daemon.
+func daemonFault(daemon *daemon) dogwoodsoakcheck.Fault {
 	return dogwoodsoakcheck.Fault{Daemon: daemon.name}
 }
 
 func (site *site) daemonStep(ctx context.Context, step dogwoodsoakplan.Step, daemon *daemon) error {
 	switch step.Kind {
 	case dogwoodsoakplan.DaemonKilled:
-		return site.during(&daemon.life, ofDaemon(daemon), func() error { return site.killDaemon(ctx, daemon, step.For) })
+		return site.recordFault(&daemon.processMutex, daemonFault(daemon), func() error { return site.killDaemon(ctx, daemon, step.For) })
 	case dogwoodsoakplan.DaemonStopped:
 		return site.stopDaemon(ctx, daemon, step.For)
 	case dogwoodsoakplan.DaemonFrozen:
-		return site.during(&daemon.life, ofDaemon(daemon), func() error {
+		return site.recordFault(&daemon.processMutex, daemonFault(daemon), func() error {
 			return freeze(ctx, daemon.process.Signal, step.For)
 		})
 	case dogwoodsoakplan.DaemonReloaded:
 		return site.reload(ctx, daemon)
 	case dogwoodsoakplan.StoreUnreachable:
-		return site.cut(ctx, &daemon.storeLink, daemon, daemon.store, dogwoodsoakproxy.Fault{Refused: true}, step.For)
+		return site.breakDaemonLink(ctx, &daemon.storeMutex, daemon, daemon.storeProxy, dogwoodsoakproxy.Fault{Refused: true}, step.For)
 	case dogwoodsoakplan.StoreMute:
-		return site.cut(ctx, &daemon.storeLink, daemon, daemon.store, dogwoodsoakproxy.Fault{Mute: true}, step.For)
+		return site.breakDaemonLink(ctx, &daemon.storeMutex, daemon, daemon.storeProxy, dogwoodsoakproxy.Fault{Mute: true}, step.For)
 	case dogwoodsoakplan.StoreOneWay:
-		return site.cut(ctx, &daemon.storeLink, daemon, daemon.store, dogwoodsoakproxy.Fault{MuteBack: true}, step.For)
+		return site.breakDaemonLink(ctx, &daemon.storeMutex, daemon, daemon.storeProxy, dogwoodsoakproxy.Fault{MuteBack: true}, step.For)
 	case dogwoodsoakplan.CallersReset:
-		return site.cut(ctx, &daemon.callerLink, daemon, daemon.front, dogwoodsoakproxy.Fault{Refused: true}, 0)
+		return site.breakDaemonLink(ctx, &daemon.callersMutex, daemon, daemon.callersProxy, dogwoodsoakproxy.Fault{Refused: true}, 0)
 	case dogwoodsoakplan.CallersMute:
-		return site.cut(ctx, &daemon.callerLink, daemon, daemon.front, dogwoodsoakproxy.Fault{Mute: true}, step.For)
+		return site.breakDaemonLink(ctx, &daemon.callersMutex, daemon, daemon.callersProxy, dogwoodsoakproxy.Fault{Mute: true}, step.For)
 	default:
-		return unknown(step.Kind)
+		return unknownKind(step.Kind)
 	}
 }
 
-// cut breaks what a proxy of a daemon carries; a refusing one also breaks what is open.
-func (site *site) cut(ctx context.Context, lock *sync.Mutex, daemon *daemon, proxy *dogwoodsoakproxy.Proxy, fault dogwoodsoakproxy.Fault, lasts time.Duration) error {
-	return site.during(lock, ofDaemon(daemon), func() error { return carry(ctx, proxy, fault, lasts) })
+// breakDaemonLink applies a fault to a proxy of a daemon for a duration. A fault that refuses connections also
+// resets the open ones.
+func (site *site) breakDaemonLink(ctx context.Context, lock *sync.Mutex, daemon *daemon, proxy *dogwoodsoakproxy.Proxy, fault dogwoodsoakproxy.Fault, duration time.Duration) error {
+	return site.recordFault(lock, daemonFault(daemon), func() error { return applyFault(ctx, proxy, fault, duration) })
 }
 
-func (site *site) killDaemon(ctx context.Context, daemon *daemon, down time.Duration) error {
+func (site *site) killDaemon(ctx context.Context, daemon *daemon, downtime time.Duration) error {
 	if err := daemon.process.Signal(syscall.SIGKILL); err != nil {
 		return err
 	}
 	daemon.process.Wait(ctx)
-	dogwoodkernel.Sleep(ctx, down)
+	dogwoodkernel.Sleep(ctx, downtime)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
 	return site.startDaemon(ctx, daemon)
 }
 
-// awake waits until a process listens. What a signal does to a program between its start and its first
-// line is for no program to say, so none that it should handle is sent before.
-func awake(ctx context.Context, address netip.AddrPort) {
+// waitUntilListening waits until a process accepts connections. A program can't handle signals that arrive
+// before its first statement runs, so signals that it should handle are sent only after this.
+func waitUntilListening(ctx context.Context, address netip.AddrPort) {
 	var dialer net.Dialer
-	_ = eventually(ctx, startWithin, func() error { // one that never listens gets its signal as well
+	_ = retryUntil(ctx, startTimeout, func() error { // a process that never listens is signalled all the same
 		connection, err := dialer.DialContext(ctx, "tcp", address.String())
 		if err != nil {
 			return err
@@ -145,26 +146,26 @@
 	})
 }
 
-// stopDaemon shuts a daemon down gracefully. One that takes longer than its grace is killed, and that is
-// a finding.
-func (site *site) stopDaemon(ctx context.Context, daemon *daemon, down time.Duration) error {
+// stopDaemon shuts a daemon down gracefully and starts it again. If it exceeds its grace period, it is killed and
+// the stop is reported as a finding.
+func (site *site) stopDaemon(ctx context.Context, daemon *daemon, downtime time.Duration) error {
 	stop := dogwoodsoakcheck.Stop{Daemon: daemon.name}
-	fault := ofDaemon(daemon)
+	fault := daemonFault(daemon)
 	fault.Planned = true
-	err := site.during(&daemon.life, fault, func() error {
-		awake(ctx, daemon.settings.Directory())
+	err := site.recordFault(&daemon.processMutex, fault, func() error {
+		waitUntilListening(ctx, daemon.settings.Directory())
 		stop.From = time.Now()
 		if err := daemon.process.Signal(syscall.SIGTERM); err != nil {
 			return err
 		}
-		grace, cancel := context.WithTimeout(ctx, daemonBounds.Grace)
+		graceContext, cancel := context.WithTimeout(ctx, daemonBounds.Grace)
 		defer cancel()
-		if !daemon.process.Wait(grace) && ctx.Err() == nil {
+		if !daemon.process.Wait(graceContext) && ctx.Err() == nil {
 			stop.Killed = true
-			return site.killDaemon(ctx, daemon, down)
+			return site.killDaemon(ctx, daemon, downtime)
 		}
 		stop.To = time.Now()
-		dogwoodkernel.Sleep(ctx, down)
+		dogwoodkernel.Sleep(ctx, downtime)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
@@ -172,19 +173,19 @@
 	})
 	site.mutex.Lock()
 	defer site.mutex.Unlock()
-	site.seen.Stops = append(site.seen.Stops, stop)
+	site.recorded.Stops = append(site.recorded.Stops, stop)
 	return err
 }
 
-// reload changes a bound by so little that the checks hold, and tells the daemon.
+// reload changes a bound in the daemon's settings, too little to affect the checks, and signals the daemon.
 func (site *site) reload(ctx context.Context, daemon *daemon) error {
-	const less = 0.999
-	daemon.life.Lock()
-	defer daemon.life.Unlock()
-	daemon.settings.Bounds.RetryAllowance *= less
+	const factor = 0.999
+	daemon.processMutex.Lock()
+	defer daemon.processMutex.Unlock()
+	daemon.settings.Bounds.RetryAllowance *= factor
 	if err := daemon.writeSettings(); err != nil {
 		return err
 	}
-	awake(ctx, daemon.settings.Directory())
-	return site.changing(daemon.name, func() error { return daemon.process.Signal(syscall.SIGHUP) })
+	waitUntilListening(ctx, daemon.settings.Directory())
+	return site.recordChange(daemon.name, func() error { return daemon.process.Signal(syscall.SIGHUP) })
 }
--- a/dogwoodload/dogwoodsoak/endpoint.go
+++ b/dogwoodload/dogwoodsoak/endpoint.go
@@ -17,34 +17,34 @@
 	"dogwoodmux.example/platform/dogwoodstandin"
 )
 
-// endpoint is an endpoint's place: endpoints with other ids follow each other there.
+// endpoint is an address at which endpoints with different ids run, one after another.
 type endpoint struct {
-	place   int
+	index   int
 	service string
-	// dataCentre is where all of them are.
+	// dataCentre is the data centre of all these endpoints.
 	dataCentre string
 	address    netip.AddrPort
 	proxy      *dogwoodsoakproxy.Proxy
 
-	life    sync.Mutex // held while its process is not left alone; guards what follows
-	process *dogwoodsoakprocess.Process
-	id      string
-	number  int
-	link    sync.Mutex // held while the way to it is broken
+	processMutex sync.Mutex // held while a step acts on the process; guards process, id and generation
+	process      *dogwoodsoakprocess.Process
+	id           string
+	generation   int
+	linkMutex    sync.Mutex // held while the connections to it are broken
 
-	// names are all ids that were used here, guarded by the site's mutex.
-	names []string
+	// ids are all ids that were used at the address; they are guarded by the site's mutex.
+	ids []string
 }
 
-func (site *site) addEndpoint(ctx context.Context, place int, service string) error {
-	own, err := ownAddress(ctx)
+func (site *site) addEndpoint(ctx context.Context, index int, service string) error {
+	address, err := newAddress(ctx)
 	if err != nil {
 		return err
 	}
 	endpoint := &endpoint{
-		place: place, service: service, dataCentre: dataCentres[place%len(dataCentres)], address: netip.AddrPortFrom(own, standinPort),
+		index: index, service: service, dataCentre: dataCentres[index%len(dataCentres)], address: netip.AddrPortFrom(address, standinPort),
 	}
-	proxy, err := site.proxy(ctx, endpoint.address)
+	proxy, err := site.startProxy(ctx, endpoint.address)
 	if err != nil {
 		return err
 	}
@@ -53,18 +53,18 @@
 	return site.startEndpoint(ctx, endpoint, true, 0)
 }
 
-// startEndpoint starts the process of an endpoint, under a new id if it is another one.
-func (site *site) startEndpoint(ctx context.Context, endpoint *endpoint, other bool, cold time.Duration) error {
-	if other {
-		endpoint.number++
-		endpoint.id = fmt.Sprintf("i-%d-%d", endpoint.place, endpoint.number)
+// startEndpoint starts the process of an endpoint, under a new id if newID is true.
+func (site *site) startEndpoint(ctx context.Context, endpoint *endpoint, newID bool, cold time.Duration) error {
+	if newID {
+		endpoint.generation++
+		endpoint.id = fmt.Sprintf("i-%d-%d", endpoint.index, endpoint.generation)
 		site.mutex.Lock()
-		endpoint.names = append(endpoint.names, endpoint.id)
+		endpoint.ids = append(endpoint.ids, endpoint.id)
 		site.mutex.Unlock()
 	}
-	slots, events, work := deskSlots, 0, deskWork
+	slots, events, work := deskSlots, 0, deskAnswerTime
 	if endpoint.service == engineName {
-		slots, events, work = engineSlots, streamEvents, eventEvery
+		slots, events, work = engineSlots, streamEvents, eventInterval
 	}
 	process, err := site.startStandin(ctx, endpoint.id, endpoint.address,
 		standinFlag{dogwoodstandinrun.FlagStore, site.store.address.String()},
@@ -77,22 +77,22 @@
 		standinFlag{dogwoodstandinrun.FlagEvents, fmt.Sprint(events)},
 		standinFlag{dogwoodstandinrun.FlagWork, work.String()},
 		standinFlag{dogwoodstandinrun.FlagCold, cold.String()},
-		standinFlag{dogwoodstandinrun.FlagDrain, (checkBounds.Drain + servesOn).String()},
+		standinFlag{dogwoodstandinrun.FlagDrain, (checkBounds.Drain + drainSlack).String()},
 	)
 	endpoint.process = process
 	return err
 }
 
-// ofEndpoint is a fault of whatever endpoint is at a place. The first one's id stands for all of them.
-func (site *site) ofEndpoint(endpoint *endpoint) dogwoodsoakcheck.Fault {
+// endpointFault returns a fault that affects all endpoints at an address. The id of the first one stands for all.
+func (site *site) endpointFault(endpoint *endpoint) dogwoodsoakcheck.Fault {
 	site.mutex.Lock()
 	defer site.mutex.Unlock()
-	return dogwoodsoakcheck.Fault{Endpoint: endpoint.names[0]}
+	return dogwoodsoakcheck.Fault{Endpoint: endpoint.ids[0]}
 }
 
 func (site *site) endpointStep(ctx context.Context, step dogwoodsoakplan.Step, endpoint *endpoint) error {
-	link := func(fault dogwoodsoakproxy.Fault, lasts time.Duration) error {
-		return site.during(&endpoint.link, site.ofEndpoint(endpoint), func() error { return carry(ctx, endpoint.proxy, fault, lasts) })
+	link := func(fault dogwoodsoakproxy.Fault, duration time.Duration) error {
+		return site.recordFault(&endpoint.linkMutex, site.endpointFault(endpoint), func() error { return applyFault(ctx, endpoint.proxy, fault, duration) })
 	}
 	switch step.Kind {
 	case dogwoodsoakplan.EndpointKilled:
@@ -100,7 +100,7 @@
 	case dogwoodsoakplan.EndpointReplaced:
 		return site.replaceEndpoint(ctx, endpoint)
 	case dogwoodsoakplan.EndpointFrozen:
-		return site.during(&endpoint.life, site.ofEndpoint(endpoint), func() error {
+		return site.recordFault(&endpoint.processMutex, site.endpointFault(endpoint), func() error {
 			return freeze(ctx, endpoint.process.Signal, step.For)
 		})
 	case dogwoodsoakplan.EndpointReset:
@@ -110,44 +110,44 @@
 	case dogwoodsoakplan.EndpointOneWay:
 		return link(dogwoodsoakproxy.Fault{MuteBack: true}, step.For)
 	case dogwoodsoakplan.EndpointSlow:
-		const slow = 150 * time.Millisecond
-		return link(dogwoodsoakproxy.Fault{Delay: slow}, step.For)
+		const delay = 150 * time.Millisecond
+		return link(dogwoodsoakproxy.Fault{Delay: delay}, step.For)
 	case dogwoodsoakplan.EndpointBusy:
-		return site.busy(ctx, endpoint, step.For)
+		return site.makeBusy(ctx, endpoint, step.For)
 	case dogwoodsoakplan.EntryLapsed:
-		return site.lapse(ctx, endpoint, step.For)
+		return site.expireEntry(ctx, endpoint, step.For)
 	default:
-		return unknown(step.Kind)
+		return unknownKind(step.Kind)
 	}
 }
 
-// killEndpoint has an endpoint crash. The platform removes its entry when it notices, and the endpoint
-// comes back cold, under the id that it had.
-func (site *site) killEndpoint(ctx context.Context, endpoint *endpoint, down time.Duration) error {
-	return site.during(&endpoint.life, site.ofEndpoint(endpoint), func() error {
+// killEndpoint kills an endpoint and starts it again after downtime, cold and under the same id. If it is down
+// for longer than removalDelay, its entry is removed, as the platform does.
+func (site *site) killEndpoint(ctx context.Context, endpoint *endpoint, downtime time.Duration) error {
+	return site.recordFault(&endpoint.processMutex, site.endpointFault(endpoint), func() error {
 		if err := endpoint.process.Signal(syscall.SIGKILL); err != nil {
 			return err
 		}
 		endpoint.process.Wait(ctx)
-		dogwoodkernel.Sleep(ctx, min(down, noticedGone))
-		if down > noticedGone {
+		dogwoodkernel.Sleep(ctx, min(downtime, removalDelay))
+		if downtime > removalDelay {
 			if err := dogwoodstandin.Withdraw(ctx, site.control, endpoint.id); err != nil {
 				return err
 			}
-			dogwoodkernel.Sleep(ctx, down-noticedGone)
+			dogwoodkernel.Sleep(ctx, downtime-removalDelay)
 		}
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		return site.startEndpoint(ctx, endpoint, false, coldFor)
+		return site.startEndpoint(ctx, endpoint, false, coldDuration)
 	})
 }
 
-// replaceEndpoint has an endpoint leave in order, and another one come.
+// replaceEndpoint shuts an endpoint down gracefully and starts another one at its address.
 func (site *site) replaceEndpoint(ctx context.Context, endpoint *endpoint) error {
-	endpoint.life.Lock()
-	defer endpoint.life.Unlock()
-	awake(ctx, endpoint.address)
+	endpoint.processMutex.Lock()
+	defer endpoint.processMutex.Unlock()
+	waitUntilListening(ctx, endpoint.address)
 	if err := endpoint.process.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
@@ -155,25 +155,25 @@
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return site.startEndpoint(ctx, endpoint, true, coldFor)
+	return site.startEndpoint(ctx, endpoint, true, coldDuration)
 }
 
-// busy has an endpoint that runs write nothing for a while.
-func (site *site) busy(ctx context.Context, endpoint *endpoint, lasts time.Duration) error {
-	endpoint.life.Lock()
-	defer endpoint.life.Unlock()
-	awake(ctx, endpoint.address)
-	return dogwoodstandin.SetBusyAt(ctx, endpoint.address, lasts)
+// makeBusy makes an endpoint send nothing for a while although it keeps running.
+func (site *site) makeBusy(ctx context.Context, endpoint *endpoint, duration time.Duration) error {
+	endpoint.processMutex.Lock()
+	defer endpoint.processMutex.Unlock()
+	waitUntilListening(ctx, endpoint.address)
+	return dogwoodstandin.SetBusyAt(ctx, endpoint.address, duration)
 }
 
-// lapse has the entry of a living endpoint be gone for a while.
-func (site *site) lapse(ctx context.Context, endpoint *endpoint, lasts time.Duration) error {
-	endpoint.life.Lock()
-	defer endpoint.life.Unlock()
+// expireEntry removes the entry of a running endpoint for a while.
+func (site *site) expireEntry(ctx context.Context, endpoint *endpoint, duration time.Duration) error {
+	endpoint.processMutex.Lock()
+	defer endpoint.processMutex.Unlock()
 	if err := dogwoodstandin.Withdraw(ctx, site.control, endpoint.id); err != nil {
 		return err
 	}
-	dogwoodkernel.Sleep(ctx, lasts)
-	awake(ctx, endpoint.address)
+	dogwoodkernel.Sleep(ctx, duration)
+	waitUntilListening(ctx, endpoint.address)
 	return endpoint.process.Signal(syscall.SIGHUP)
 }
--- a/dogwoodload/dogwoodsoak/history.go
+++ b/dogwoodload/dogwoodsoak/history.go
@@ -11,23 +11,23 @@
 	"dogwoodmux.example/platform/dogwoodstandin"
 )
 
-// memoryWithin is how long after the last request memory may stay set aside.
-const memoryWithin = 4 * time.Second
+// memoryReleaseTime is how long after the last request memory may stay reserved.
+const memoryReleaseTime = 4 * time.Second
 
-func unknown(kind dogwoodsoakplan.Kind) error {
-	return dogwoodverb.Error.New("nobody knows how to do %s", kind)
+func unknownKind(kind dogwoodsoakplan.Kind) error {
+	return dogwoodverb.Error.New("unknown kind of step %s", kind)
 }
 
-// history gathers what callers and endpoints saw.
+// history returns what callers and endpoints recorded, and the faults and changes that were made.
 func (site *site) history(ctx context.Context, calm time.Time) (*dogwoodsoakcheck.History, error) {
-	dogwoodkernel.Sleep(ctx, memoryWithin)
+	dogwoodkernel.Sleep(ctx, memoryReleaseTime)
 	site.mutex.Lock()
-	history := site.seen
+	history := site.recorded
 	site.mutex.Unlock()
 	history.Calls, history.Calm = site.callers.Calls(), calm
 	for _, endpoint := range site.endpoints {
-		history.Faults = append(history.Faults, spread(history.Faults, endpoint.names)...)
-		for _, id := range endpoint.names {
+		history.Faults = append(history.Faults, copyFaults(history.Faults, endpoint.ids)...)
+		for _, id := range endpoint.ids {
 			if err := site.addRecords(&history, id); err != nil {
 				return nil, err
 			}
@@ -43,29 +43,29 @@
 	}
 	for _, daemon := range site.daemons {
 		if !daemon.process.Running() {
-			history.Deaths = append(history.Deaths, dogwoodsoakcheck.Death{Process: daemon.name, Error: describe(daemon.process.Err())})
+			history.Deaths = append(history.Deaths, dogwoodsoakcheck.Death{Process: daemon.name, Error: describeExit(daemon.process.Err())})
 		}
 	}
 	return &history, nil
 }
 
-// spread has faults of the first endpoint at a place count for those that came after it. Which one was
-// there is not asked: a fault may begin at one and end at the next.
-func spread(faults []dogwoodsoakcheck.Fault, names []string) []dogwoodsoakcheck.Fault {
-	var others []dogwoodsoakcheck.Fault
+// copyFaults returns copies of the faults of the first endpoint at an address for all later endpoints there. It
+// doesn't matter which one was running: a fault may begin at one endpoint and end at the next.
+func copyFaults(faults []dogwoodsoakcheck.Fault, ids []string) []dogwoodsoakcheck.Fault {
+	var copies []dogwoodsoakcheck.Fault
 	for _, fault := range faults {
-		if fault.Endpoint != names[0] {
+		if fault.Endpoint != ids[0] {
 			continue
 		}
-		for _, name := range names[1:] {
-			fault.Endpoint = name
-			others = append(others, fault)
+		for _, id := range ids[1:] {
+			fault.Endpoint = id
+			copies = append(copies, fault)
 		}
 	}
-	return others
+	return copies
 }
 
-func describe(err error) string {
+func describeExit(err error) string {
 	if err == nil {
 		return "without an error"
 	}
--- a/dogwoodload/dogwoodsoak/operators.go
+++ b/dogwoodload/dogwoodsoak/operators.go
@@ -10,14 +10,14 @@
 	"dogwoodmux.example/platform/dogwoodstandin"
 )
 
-// ofStore is a fault that all daemons feel.
-var ofStore = dogwoodsoakcheck.Fault{Daemon: dogwoodsoakcheck.Everybody}
+// storeFault is a fault that affects all daemons.
+var storeFault = dogwoodsoakcheck.Fault{Daemon: dogwoodsoakcheck.Everybody}
 
 func (site *site) storeStep(ctx context.Context, step dogwoodsoakplan.Step) error {
 	faults := dogwoodstandin.StoreFaults{}
 	switch step.Kind {
 	case dogwoodsoakplan.StoreForgets:
-		return site.during(&site.storeFault, ofStore, func() error { return site.control.Forget(ctx) })
+		return site.recordFault(&site.storeMutex, storeFault, func() error { return site.control.Forget(ctx) })
 	case dogwoodsoakplan.TextChanged:
 		return site.publish(ctx, nil)
 	case dogwoodsoakplan.StoreDown:
@@ -29,9 +29,9 @@
 	case dogwoodsoakplan.StoreLosing:
 		faults.LoseAnswers = true
 	default:
-		return unknown(step.Kind)
+		return unknownKind(step.Kind)
 	}
-	return site.during(&site.storeFault, ofStore, func() error {
+	return site.recordFault(&site.storeMutex, storeFault, func() error {
 		if err := site.control.SetFaults(ctx, faults); err != nil {
 			return err
 		}
@@ -40,8 +40,8 @@
 	})
 }
 
-// withdraw takes a key away and gives it back.
-func (site *site) withdraw(ctx context.Context, key string, lasts time.Duration) error {
+// withdrawKey withdraws a key and restores it. It does nothing if the key is already withdrawn.
+func (site *site) withdrawKey(ctx context.Context, key string, duration time.Duration) error {
 	already := false
 	err := site.publish(ctx, func() {
 		already = site.withdrawn[key]
@@ -51,32 +51,32 @@
 		return err
 	}
 	withdrawal := dogwoodsoakcheck.Withdrawal{Key: key, From: time.Now()}
-	dogwoodkernel.Sleep(ctx, lasts)
+	dogwoodkernel.Sleep(ctx, duration)
 	withdrawal.To = time.Now()
 	site.mutex.Lock()
-	site.seen.Withdrawals = append(site.seen.Withdrawals, withdrawal)
+	site.recorded.Withdrawals = append(site.recorded.Withdrawals, withdrawal)
 	site.mutex.Unlock()
 	return site.publish(ctx, func() { site.withdrawn[key] = false })
 }
 
-// takeOut takes a data centre out and brings it back.
-func (site *site) takeOut(ctx context.Context, number int, lasts time.Duration) error {
+// takeOutDataCentre takes a data centre out of service and brings it back.
+func (site *site) takeOutDataCentre(ctx context.Context, number int, duration time.Duration) error {
 	site.takenOut[number].Lock()
 	defer site.takenOut[number].Unlock()
-	if err := site.setOut(ctx, dataCentres[number], true); err != nil {
+	if err := site.setTakenOut(ctx, dataCentres[number], true); err != nil {
 		return err
 	}
 	takeOut := dogwoodsoakcheck.TakeOut{DataCentre: dataCentres[number], From: time.Now()}
-	dogwoodkernel.Sleep(ctx, lasts)
+	dogwoodkernel.Sleep(ctx, duration)
 	takeOut.To = time.Now()
 	site.mutex.Lock()
-	site.seen.TakeOuts = append(site.seen.TakeOuts, takeOut)
+	site.recorded.TakeOuts = append(site.recorded.TakeOuts, takeOut)
 	site.mutex.Unlock()
-	return site.setOut(ctx, dataCentres[number], false)
+	return site.setTakenOut(ctx, dataCentres[number], false)
 }
 
-func (site *site) setOut(ctx context.Context, dataCentre string, out bool) error {
-	return site.changing(dogwoodsoakcheck.Everybody, func() error {
+func (site *site) setTakenOut(ctx context.Context, dataCentre string, out bool) error {
+	return site.recordChange(dogwoodsoakcheck.Everybody, func() error {
 		return dogwoodstandin.TakeOut(ctx, site.control, dataCentre, out)
 	})
 }
--- a/dogwoodload/dogwoodsoak/play.go
+++ b/dogwoodload/dogwoodsoak/play.go
@@ -14,40 +14,40 @@
 	"dogwoodmux.example/dogwoodload/dogwoodsoakproxy"
 )
 
-// play has all steps happen at their times and returns when all are over. Steps on one subject that
-// overlap in time wait for each other; all others run at once.
-func (site *site) play(ctx context.Context, begun time.Time, steps []dogwoodsoakplan.Step, done func()) error {
+// runSteps runs all steps at their times and returns when all have ended. Steps on the same subject that overlap in
+// time run one after another; all others run concurrently.
+func (site *site) runSteps(ctx context.Context, started time.Time, steps []dogwoodsoakplan.Step, done func()) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, step := range steps {
 		group.Go(func() error {
 			defer done()
-			dogwoodkernel.Sleep(ctx, time.Until(begun.Add(step.At)))
+			dogwoodkernel.Sleep(ctx, time.Until(started.Add(step.At)))
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			return site.step(ctx, step)
+			return site.runStep(ctx, step)
 		})
 	}
 	return group.Wait()
 }
 
-func (site *site) step(ctx context.Context, step dogwoodsoakplan.Step) error {
+func (site *site) runStep(ctx context.Context, step dogwoodsoakplan.Step) error {
 	switch dogwoodsoakplan.SubjectOf(step.Kind) {
 	case dogwoodsoakplan.Daemon:
 		return site.daemonStep(ctx, step, site.daemons[step.Target])
 	case dogwoodsoakplan.Endpoint:
 		return site.endpointStep(ctx, step, site.endpoints[step.Target])
 	case dogwoodsoakplan.Key:
-		return site.withdraw(ctx, keys[step.Target], step.For)
+		return site.withdrawKey(ctx, keys[step.Target], step.For)
 	case dogwoodsoakplan.DataCentre:
-		return site.takeOut(ctx, step.Target, step.For)
+		return site.takeOutDataCentre(ctx, step.Target, step.For)
 	default:
 		return site.storeStep(ctx, step)
 	}
 }
 
-// during holds the lock of what is broken, and keeps the span for the checks.
-func (site *site) during(lock *sync.Mutex, fault dogwoodsoakcheck.Fault, work func() error) error {
+// recordFault calls work while it holds the lock of what is broken, and records the period of the fault.
+func (site *site) recordFault(lock *sync.Mutex, fault dogwoodsoakcheck.Fault, work func() error) error {
 	lock.Lock()
 	defer lock.Unlock()
 	fault.From = time.Now()
@@ -55,35 +55,35 @@
 	fault.To = time.Now()
 	site.mutex.Lock()
 	defer site.mutex.Unlock()
-	site.seen.Faults = append(site.seen.Faults, fault)
+	site.recorded.Faults = append(site.recorded.Faults, fault)
 	return err
 }
 
-// changing keeps the span of a change for the checks.
-func (site *site) changing(daemon string, work func() error) error {
+// recordChange calls work and records its period as a change for the checks.
+func (site *site) recordChange(daemon string, work func() error) error {
 	change := dogwoodsoakcheck.Change{Daemon: daemon, From: time.Now()}
 	err := work()
 	change.To = time.Now()
 	site.mutex.Lock()
 	defer site.mutex.Unlock()
-	site.seen.Changes = append(site.seen.Changes, change)
+	site.recorded.Changes = append(site.recorded.Changes, change)
 	return err
 }
 
-func carry(ctx context.Context, proxy *dogwoodsoakproxy.Proxy, fault dogwoodsoakproxy.Fault, lasts time.Duration) error {
+func applyFault(ctx context.Context, proxy *dogwoodsoakproxy.Proxy, fault dogwoodsoakproxy.Fault, duration time.Duration) error {
 	proxy.Set(fault)
 	if fault.Refused {
 		proxy.Reset()
 	}
-	dogwoodkernel.Sleep(ctx, lasts)
+	dogwoodkernel.Sleep(ctx, duration)
 	proxy.Set(dogwoodsoakproxy.Fault{})
 	return nil
 }
 
-func freeze(ctx context.Context, signal func(syscall.Signal) error, lasts time.Duration) error {
+func freeze(ctx context.Context, signal func(syscall.Signal) error, duration time.Duration) error {
 	if err := signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	dogwoodkernel.Sleep(ctx, lasts)
+	dogwoodkernel.Sleep(ctx, duration)
 	return signal(syscall.SIGCONT)
 }
--- a/dogwoodload/dogwoodsoak/report.go
+++ b/dogwoodload/dogwoodsoak/report.go
@@ -13,19 +13,19 @@
 	"dogwoodmux.example/dogwoodload/dogwoodverb"
 )
 
-// Report is what a soak did and found.
+// Report is the result of a soak.
 type Report struct {
 	Seed                      uint64
 	For                       time.Duration
 	Daemons, Endpoints, Steps int
 	Summary                   dogwoodsoakcheck.Summary
 	Findings                  []dogwoodsoakcheck.Finding
-	// Logs is where logs and records are, empty if they were removed.
+	// Logs is the directory of logs and records; it is empty if they were removed.
 	Logs string
 }
 
-// findingsShown bounds the findings of a table; JSON has all.
-const findingsShown = 30
+// maxFindingsShown bounds the findings below the table; JSON lists all.
+const maxFindingsShown = 30
 
 func (report *Report) write(writer io.Writer, asJSON bool) error {
 	if asJSON {
@@ -50,7 +50,7 @@
 		return dogwoodverb.Error.Wrap(err)
 	}
 	for i, finding := range report.Findings {
-		if i == findingsShown {
+		if i == maxFindingsShown {
 			break
 		}
 		if _, err := fmt.Fprintf(writer, "%s  %s  %s  %s\n", finding.Check, finding.At.Format("15:04:05.000"), finding.RequestID, finding.Detail); err != nil {
--- a/dogwoodload/dogwoodsoak/shape.go
+++ b/dogwoodload/dogwoodsoak/shape.go
@@ -14,40 +14,40 @@
 	"dogwoodmux.example/platform/dogwoodstandin"
 )
 
-// The site that is soaked: three data centres, engines and plain endpoints, four customers.
+// The site under test: three data centres, engines and plain endpoints, four customers.
 const (
-	host         = "soak.example"
-	engineName   = "engines"
-	deskName     = "desk"
-	callersCount = 16
-	// callEvery is the mean time between two requests of a caller.
-	callEvery = 120 * time.Millisecond
+	host        = "soak.example"
+	engineName  = "engines"
+	deskName    = "desk"
+	callerCount = 16
+	// callInterval is the mean time between two requests of a caller.
+	callInterval = 120 * time.Millisecond
 )
 
-// Figures of the endpoints.
+// Parameters of the endpoints.
 const (
 	engineSlots = 12
 	deskSlots   = 8
-	// eventEvery is the pause between two events, deskWork what a plain answer takes.
-	eventEvery   = 40 * time.Millisecond
-	deskWork     = 40 * time.Millisecond
-	streamEvents = 12
-	// coldFor is how long an endpoint is cold after it started under load.
-	coldFor       = 3 * time.Second
+	// eventInterval is the time between two events, deskAnswerTime the time that a plain answer takes.
+	eventInterval  = 40 * time.Millisecond
+	deskAnswerTime = 40 * time.Millisecond
+	streamEvents   = 12
+	// coldDuration is how long an endpoint is cold after it started under load.
+	coldDuration  = 3 * time.Second
 	coldPerSecond = 5
-	// servesOn is how long an endpoint that leaves serves on beyond the time that it owes.
-	servesOn = time.Second
-	// noticedGone is when the platform removes the entry of an endpoint that fell silent.
-	noticedGone = 1500 * time.Millisecond
+	// drainSlack is how long an endpoint that leaves keeps serving beyond the required time.
+	drainSlack = time.Second
+	// removalDelay is how long after an endpoint falls silent the platform removes its entry.
+	removalDelay = 1500 * time.Millisecond
 )
 
-// recovery is the time after the last fault by which requests are served again.
+// recovery is the time after the last fault by which requests must be served again.
 const recovery = 12 * time.Second
 
 var dataCentres = []string{"a", "b", "c"}
 
-// daemonBounds are what the daemons are told to keep, checkBounds the same as the checks need it. They
-// are the figures of the users' smaller deployments.
+// daemonBounds are the bounds in the daemons' settings, checkBounds the matching bounds of the checks. The values
+// are those of the users' smaller deployments.
 var (
 	daemonBounds = dogwoodstandin.Bounds{
 		Revoke: 5 * time.Second, Grace: 8 * time.Second, RetryWindow: 10 * time.Second,
@@ -85,42 +85,42 @@
 
 var keys = []string{"key-0", "key-1", "key-2", "key-3"}
 
-// customers are one for each key; those whose key is withdrawn have none.
+// customers returns one customer for each key. A customer whose key is withdrawn has no key.
 func customers(withdrawn map[string]bool) []dogwoodstandin.Customer {
-	made := make([]dogwoodstandin.Customer, 0, len(keys))
+	result := make([]dogwoodstandin.Customer, 0, len(keys))
 	for _, key := range keys {
 		customer := dogwoodstandin.Customer{Name: "customer-of-" + key, Keys: []string{}}
 		if !withdrawn[key] {
 			customer.Keys = append(customer.Keys, key)
 		}
-		made = append(made, customer)
+		result = append(result, customer)
 	}
-	return made
+	return result
 }
 
-// addressesGiven counts the addresses of this process's soaks.
-var addressesGiven atomic.Uint32
+// addressesTried counts the addresses that this process's soaks have tried.
+var addressesTried atomic.Uint32
 
-// ownAddress is a loopback address that no other process of a soak has, so that its ports are free. The
-// second byte comes from this process, so that soaks beside each other differ; one that is taken all
-// the same is passed over.
-func ownAddress(ctx context.Context) (netip.Addr, error) {
+// newAddress returns a loopback address that no other process of a soak uses, so that its ports are free. The
+// second byte is derived from the process id, so that concurrent soaks use different addresses; an address that is
+// in use all the same is skipped.
+func newAddress(ctx context.Context) (netip.Addr, error) {
 	const (
-		firstSecond, seconds = 2, 250 // 127.0 and 127.1 are left to others
-		most                 = 1 << 16
+		firstByte, byteCount = 2, 250 // 127.0 and 127.1 are left to other programs
+		maxAddresses         = 1 << 16
 	)
-	second := byte(firstSecond + os.Getpid()%seconds)
-	for given := addressesGiven.Add(1); given < most; given = addressesGiven.Add(1) {
-		address := netip.AddrFrom4([4]byte{127, second, byte(given >> 8), byte(given)})
-		if free(ctx, netip.AddrPortFrom(address, standinPort)) && free(ctx, netip.AddrPortFrom(address, dogwoodstandin.CallersPort)) {
+	secondByte := byte(firstByte + os.Getpid()%byteCount)
+	for number := addressesTried.Add(1); number < maxAddresses; number = addressesTried.Add(1) {
+		address := netip.AddrFrom4([4]byte{127, secondByte, byte(number >> 8), byte(number)})
+		if isFree(ctx, netip.AddrPortFrom(address, standinPort)) && isFree(ctx, netip.AddrPortFrom(address, dogwoodstandin.CallersPort)) {
 			return address, nil
 		}
 	}
-	return netip.Addr{}, dogwoodverb.Error.New("no loopback address is left")
+	return netip.Addr{}, dogwoodverb.Error.New("no free loopback address")
 }
 
-// free is true if nobody listens at an address.
-func free(ctx context.Context, address netip.AddrPort) bool {
+// isFree reports whether no process listens at an address.
+func isFree(ctx context.Context, address netip.AddrPort) bool {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", address.String())
 	if err != nil {
--- a/dogwoodload/dogwoodsoak/site.go
+++ b/dogwoodload/dogwoodsoak/site.go
@@ -20,15 +20,15 @@
 // standinPort is where a stand-in listens on its own address.
 const standinPort = 9000
 
-// startWithin bounds how long a process takes until it listens.
-const startWithin = 10 * time.Second
+// startTimeout bounds how long a process takes until it listens.
+const startTimeout = 10 * time.Second
 
-// site is the processes of a soak and what was done to them.
+// site holds the processes of a soak and records the faults and changes made to them.
 type site struct {
 	options   *Options
 	directory string
-	// program is the daemon's, standin the stand-ins'.
-	program, standin string
+	// daemonProgram and standinProgram are the paths of the programs.
+	daemonProgram, standinProgram string
 
 	group     dogwoodsoakprocess.Group
 	store     *standinProcess
@@ -38,32 +38,32 @@
 	callers   *dogwoodsoakcaller.Callers
 	proxies   []*dogwoodsoakproxy.Proxy
 
-	storeFault sync.Mutex   // held while the store is broken for all
-	takenOut   []sync.Mutex // by data centre, held while it is out
+	storeMutex sync.Mutex   // held while the store has a fault for all daemons
+	takenOut   []sync.Mutex // by data centre; held while it is out of service
 
 	publishing sync.Mutex // held while a text is published; guards version and withdrawn
 	version    int64
 	withdrawn  map[string]bool
 
-	mutex sync.Mutex // guards seen, and the endpoints' names
-	seen  dogwoodsoakcheck.History
+	mutex    sync.Mutex // guards recorded, and the endpoints' ids
+	recorded dogwoodsoakcheck.History
 }
 
-// standinProcess is a stand-in's process and where it listens.
+// standinProcess is a stand-in's process and the address at which it listens.
 type standinProcess struct {
 	process *dogwoodsoakprocess.Process
 	address netip.AddrPort
 }
 
-func newSite(options *Options, directory, program, standin string) *site {
+func newSite(options *Options, directory, daemonProgram, standinProgram string) *site {
 	return &site{
-		options: options, directory: directory, program: program, standin: standin,
+		options: options, directory: directory, daemonProgram: daemonProgram, standinProgram: standinProgram,
 		takenOut: make([]sync.Mutex, len(dataCentres)), withdrawn: map[string]bool{},
 	}
 }
 
-// counts splits the processes into endpoints of each service and daemons.
-func (site *site) counts() (engines, desks, daemons int) {
+// processCounts splits the number of processes into engines, plain endpoints and daemons.
+func (site *site) processCounts() (engines, desks, daemons int) {
 	const endpointShare = 3 // a third of the processes are endpoints
 	endpoints := max(4, (site.options.Processes-1)/endpointShare)
 	desks = max(2, endpoints/3)
@@ -77,29 +77,29 @@
 	}
 }
 
-// start starts the store, then endpoints and daemons, and makes the callers.
+// start starts the store, then endpoints and daemons, and creates the callers.
 func (site *site) start(ctx context.Context) error {
-	own, err := ownAddress(ctx)
+	ip, err := newAddress(ctx)
 	if err != nil {
 		return err
 	}
-	address := netip.AddrPortFrom(own, standinPort)
+	address := netip.AddrPortFrom(ip, standinPort)
 	process, err := site.startStandin(ctx, "store", address)
 	if err != nil {
 		return err
 	}
 	site.store = &standinProcess{process: process, address: address}
 	site.control = dogwoodstandin.NewStoreControl(address)
-	if err := eventually(ctx, startWithin, func() error { return site.publish(ctx, nil) }); err != nil {
+	if err := retryUntil(ctx, startTimeout, func() error { return site.publish(ctx, nil) }); err != nil {
 		return err
 	}
-	engines, desks, daemons := site.counts()
-	for place := range engines + desks {
+	engines, desks, daemons := site.processCounts()
+	for index := range engines + desks {
 		service := engineName
-		if place >= engines {
+		if index >= engines {
 			service = deskName
 		}
-		if err := site.addEndpoint(ctx, place, service); err != nil {
+		if err := site.addEndpoint(ctx, index, service); err != nil {
 			return err
 		}
 	}
@@ -108,20 +108,20 @@
 			return err
 		}
 	}
-	callers := make([]dogwoodsoakcaller.Daemon, len(site.daemons))
+	daemonAddresses := make([]dogwoodsoakcaller.Daemon, len(site.daemons))
 	for i, daemon := range site.daemons {
-		callers[i] = dogwoodsoakcaller.Daemon{
-			Name: daemon.name, Address: daemon.settings.Callers(), By: daemon.front.Address(), Directory: daemon.settings.Directory(),
+		daemonAddresses[i] = dogwoodsoakcaller.Daemon{
+			Name: daemon.name, Address: daemon.settings.Callers(), By: daemon.callersProxy.Address(), Directory: daemon.settings.Directory(),
 		}
 	}
 	site.callers = dogwoodsoakcaller.New(dogwoodsoakcaller.Options{
-		Host: host, DataCentres: dataCentres, Daemons: callers, Kinds: callKinds, Keys: keys, Every: callEvery,
+		Host: host, DataCentres: dataCentres, Daemons: daemonAddresses, Kinds: callKinds, Keys: keys, Every: callInterval,
 	})
 	return nil
 }
 
-// end ends all work and all processes.
-func (site *site) end(cancel context.CancelFunc) error {
+// stop cancels all work and ends all processes.
+func (site *site) stop(cancel context.CancelFunc) error {
 	cancel()
 	site.group.End()
 	var failed error
@@ -131,7 +131,7 @@
 	return failed
 }
 
-func (site *site) proxy(ctx context.Context, target netip.AddrPort) (*dogwoodsoakproxy.Proxy, error) {
+func (site *site) startProxy(ctx context.Context, target netip.AddrPort) (*dogwoodsoakproxy.Proxy, error) {
 	proxy, err := dogwoodsoakproxy.Start(ctx, target)
 	if err != nil {
 		return nil, err
@@ -151,7 +151,7 @@
 		arguments = append(arguments, "-"+flag.name, flag.value)
 	}
 	return site.group.Start(ctx, dogwoodsoakprocess.Spec{
-		Name: name, Path: site.standin, Arguments: arguments, Log: site.path(name + ".log"),
+		Name: name, Path: site.standinProgram, Arguments: arguments, Log: site.path(name + ".log"),
 	})
 }
 
@@ -164,17 +164,17 @@
 	}
 	site.version++
 	text := dogwoodstandin.Text{Version: site.version, Routes: routes, Services: services, Customers: customers(site.withdrawn)}
-	return site.changing(dogwoodsoakcheck.Everybody, func() error { return text.Publish(ctx, site.control) })
+	return site.recordChange(dogwoodsoakcheck.Everybody, func() error { return text.Publish(ctx, site.control) })
 }
 
-// eventually tries until it works or the time is over.
-func eventually(ctx context.Context, within time.Duration, try func() error) error {
-	const pause = 50 * time.Millisecond
-	for deadline := time.Now().Add(within); ; {
-		err := try()
+// retryUntil calls operation until it succeeds or the timeout has passed.
+func retryUntil(ctx context.Context, timeout time.Duration, operation func() error) error {
+	const interval = 50 * time.Millisecond
+	for deadline := time.Now().Add(timeout); ; {
+		err := operation()
 		if err == nil || ctx.Err() != nil || time.Now().After(deadline) {
 			return err
 		}
-		time.Sleep(pause)
+		time.Sleep(interval)
 	}
 }
--- a/dogwoodload/dogwoodsoak/soak.go
+++ b/dogwoodload/dogwoodsoak/soak.go
@@ -1,6 +1,6 @@
-// Package dogwoodsoak is the verb "soak": it runs the real daemon in processes of its own against
-// stand-ins of the users' platform, breaks things from outside as a seed says, and judges by what
-// callers and endpoints saw whether the daemons' promises held.
+// Package dogwoodsoak is the subcommand "soak": it runs the real daemon in separate processes against stand-ins
+// of the users' platform, injects faults that are drawn from a seed, and checks the daemons' promises using what
+// callers and endpoints recorded.
 package dogwoodsoak
 
 import (
@@ -26,42 +26,43 @@
 	"dogwoodmux.example/dogwoodload/dogwoodverb"
 )
 
-// Options are the flags.
+// Options are the flags and dependencies of the subcommand.
 type Options struct {
 	Factory *dogwoodfactory.Factory
 
 	Seed uint64
 	For  time.Duration
-	// Processes is how many processes run at once: the store, endpoints and daemons.
+	// Processes is the number of processes that run at once: the store, endpoints and daemons.
 	Processes int
-	// Keep is the directory for logs; they are removed after a soak without findings if it is empty.
+	// Keep is the directory for logs. If it is empty, they are removed after a soak without findings.
 	Keep string
-	// Daemon and Standin are the programs; empty are a daemon that is built, and this program.
+	// Daemon and Standin are the paths of the programs. If they are empty, the daemon is built and this program is
+	// the stand-in.
 	Daemon, Standin string
 	JSON            bool
 
-	// steps replace those that the seed draws, for tests of single faults.
+	// steps replace the steps that are drawn from the seed, in tests of single faults.
 	steps []dogwoodsoakplan.Step
 }
 
 const (
-	// warmUp is how long the daemons have to find each other before anything breaks.
+	// warmUp is how long the daemons have to find each other before the first fault.
 	warmUp = 4 * time.Second
-	// tail is how long callers go on after the last fault: the time to recover and some seconds in
-	// which requests must be served.
+	// tail is how long callers keep sending after the last fault: the time to recover and some seconds in which
+	// requests must be served.
 	tail = recovery + 4*time.Second
-	// shortest is the least duration in which something breaks.
-	shortest = warmUp + tail + 4*time.Second
-	// mostProcesses bounds what one machine is given to run.
-	mostProcesses = 300
-	// leastProcesses are a store, two engines, two plain endpoints and two daemons.
-	leastProcesses = 7
+	// minDuration leaves time for faults between warmUp and tail.
+	minDuration = warmUp + tail + 4*time.Second
+	// maxProcesses limits the load on the machine.
+	maxProcesses = 300
+	// minProcesses are a store, two engines, two plain endpoints and two daemons.
+	minProcesses = 7
 )
 
 // ErrFindings is returned when a promise was broken.
 var ErrFindings = errors.New("promises were broken")
 
-// New returns the verb. Tests give their own run; nil means the real one.
+// New returns the subcommand. Tests pass a function for run; nil means Run.
 func New(factory *dogwoodfactory.Factory, run func(ctx context.Context, options *Options) error) *dogwoodsubcommand.Command {
 	options := &Options{Factory: factory}
 	if run == nil {
@@ -84,7 +85,7 @@
 			flags.BoolVar(&options.JSON, "json", false, "print one JSON object")
 		},
 		Run: func(ctx context.Context, _ []string) error {
-			if err := options.check(); err != nil {
+			if err := options.validate(); err != nil {
 				return err
 			}
 			return run(ctx, options)
@@ -93,17 +94,17 @@
 	})
 }
 
-func (options *Options) check() error {
-	if options.For < shortest {
+func (options *Options) validate() error {
+	if options.For < minDuration {
 		return dogwoodsubcommand.NewUsageError("-for %s is too short: %s go by before the first fault and after the last", options.For, warmUp+tail)
 	}
-	if options.Processes < leastProcesses || options.Processes > mostProcesses {
-		return dogwoodsubcommand.NewUsageError("-processes %d is not between %d and %d", options.Processes, leastProcesses, mostProcesses)
+	if options.Processes < minProcesses || options.Processes > maxProcesses {
+		return dogwoodsubcommand.NewUsageError("-processes %d is not between %d and %d", options.Processes, minProcesses, maxProcesses)
 	}
 	return nil
 }
 
-// Run runs a soak and prints what it found. It returns ErrFindings if a promise was broken.
+// Run runs a soak and prints its report. It returns ErrFindings if a promise was broken.
 func Run(ctx context.Context, options *Options) error {
 	directory, err := options.directory()
 	if err != nil {
@@ -147,7 +148,7 @@
 	return options.Keep, nil
 }
 
-// programs finds the programs that run as processes.
+// programs returns the paths of the daemon's and the stand-ins' programs, and builds the daemon if none is given.
 func (options *Options) programs(ctx context.Context, directory string) (daemon, standin string, err error) {
 	daemon, standin = options.Daemon, options.Standin
 	if standin == "" {
@@ -159,14 +160,14 @@
 		return daemon, standin, nil
 	}
 	daemon = filepath.Join(directory, "platform")
-	built := exec.CommandContext(ctx, "go", "build", "-o", daemon, "dogwoodmux.example/platform") //nolint:gosec // G204: a path of ours
-	if output, err := built.CombinedOutput(); err != nil {
+	build := exec.CommandContext(ctx, "go", "build", "-o", daemon, "dogwoodmux.example/platform") //nolint:gosec // G204: a path of ours
+	if output, err := build.CombinedOutput(); err != nil {
 		return "", "", dogwoodverb.Error.New("building the daemon: %w\n%s", err, output)
 	}
 	return daemon, standin, nil
 }
 
-// soak starts the processes, has callers send while things break, and judges.
+// soak starts the processes, runs the callers and the steps, and checks what was recorded.
 func soak(ctx context.Context, options *Options, directory string) (_ *Report, err error) {
 	daemon, standin, err := options.programs(ctx, directory)
 	if err != nil {
@@ -174,7 +175,7 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	site := newSite(options, directory, daemon, standin)
-	defer func() { err = errors.Join(err, site.end(cancel)) }()
+	defer func() { err = errors.Join(err, site.stop(cancel)) }()
 	if err := site.start(ctx); err != nil {
 		return nil, err
 	}
@@ -182,24 +183,24 @@
 	if steps == nil {
 		steps = dogwoodsoakplan.Draw(options.Seed, site.shape(), warmUp, options.For-tail)
 	}
-	bar := options.bar(len(steps))
-	begun := time.Now()
-	if err := writeSteps(filepath.Join(directory, "steps"), begun, steps); err != nil {
+	bar := options.newProgressBar(len(steps))
+	started := time.Now()
+	if err := writeSteps(filepath.Join(directory, "steps"), started, steps); err != nil {
 		return nil, err
 	}
-	sending, stopSending := context.WithCancel(ctx)
+	callersContext, stopSending := context.WithCancel(ctx)
 	defer stopSending()
 	var callers errgroup.Group
-	for number := range callersCount {
+	for number := range callerCount {
 		callers.Go(func() error {
-			site.callers.Run(sending, number, options.Seed)
+			site.callers.Run(callersContext, number, options.Seed)
 			return nil
 		})
 	}
-	stepsErr := site.play(ctx, begun, steps, func() { _ = bar.Add(1) }) // a bar that can't be drawn stops nothing
+	stepsErr := site.runSteps(ctx, started, steps, func() { _ = bar.Add(1) }) // a progress bar that can't be drawn doesn't stop the soak
 	calm := time.Now()
-	// Steps that had to wait for others end later than drawn; there must be time to recover all the same.
-	dogwoodkernel.Sleep(ctx, max(time.Until(begun.Add(options.For)), options.tail()))
+	// Steps that waited for others end later than drawn; time to recover must remain after them.
+	dogwoodkernel.Sleep(ctx, max(time.Until(started.Add(options.For)), options.tail()))
 	stopSending()
 	_ = callers.Wait() // callers return no error
 	if err := errors.Join(stepsErr, ctx.Err()); err != nil {
@@ -219,7 +220,7 @@
 	return report, nil
 }
 
-// tail is how long callers go on after the last fault; tests of single faults need no recovery.
+// tail returns how long callers keep sending after the last fault; tests of single faults need no recovery.
 func (options *Options) tail() time.Duration {
 	if options.steps != nil {
 		return 0
@@ -227,16 +228,16 @@
 	return tail
 }
 
-// writeSteps keeps what is to happen when, for whoever reads the logs.
-func writeSteps(path string, begun time.Time, steps []dogwoodsoakplan.Step) error {
-	var written strings.Builder
+// writeSteps writes the steps with their times to a file, for reading them beside the logs.
+func writeSteps(path string, started time.Time, steps []dogwoodsoakplan.Step) error {
+	var output strings.Builder
 	for _, step := range steps {
-		fmt.Fprintf(&written, "%s  %-18s %3d  for %s\n", begun.Add(step.At).Format("15:04:05.000"), step.Kind, step.Target, step.For.Round(time.Millisecond))
+		fmt.Fprintf(&output, "%s  %-18s %3d  for %s\n", started.Add(step.At).Format("15:04:05.000"), step.Kind, step.Target, step.For.Round(time.Millisecond))
 	}
-	return dogwoodverb.Error.Wrap(os.WriteFile(path, []byte(written.String()), 0o600))
+	return dogwoodverb.Error.Wrap(os.WriteFile(path, []byte(output.String()), 0o600))
 }
 
-// writeHistory keeps what was judged, for whoever asks why something is a finding or is none.
+// writeHistory writes the history that was checked to a file, for examining why something is a finding or not.
 func writeHistory(path string, history *dogwoodsoakcheck.History) error {
 	encoded, err := json.Marshal(history)
 	if err != nil {
@@ -245,7 +246,7 @@
 	return dogwoodverb.Error.Wrap(os.WriteFile(path, encoded, 0o600))
 }
 
-func (options *Options) bar(steps int) *progressbar.ProgressBar {
+func (options *Options) newProgressBar(steps int) *progressbar.ProgressBar {
 	return progressbar.NewOptions(steps,
 		progressbar.OptionSetWriter(options.Factory.Streams.Err), progressbar.OptionSetDescription("faults"),
 		progressbar.OptionSetVisibility(options.Factory.Streams.Progress), progressbar.OptionClearOnFinish())
--- a/dogwoodload/dogwoodsoak/soak_test.go
+++ b/dogwoodload/dogwoodsoak/soak_test.go
@@ -23,12 +23,11 @@
 	"dogwoodmux.example/dogwoodload/dogwoodstandinrun"
 )
 
-// carelessPrefix begins the name of this test's program where it is to be a careless daemon; the
-// fault's name follows.
+// carelessPrefix is the prefix of the test program's name when it runs as a careless daemon. The fault's name
+// follows.
 const carelessPrefix = "careless-"
 
-// TestMain has the test's program also be the processes of a soak: stand-ins, and daemons that break a
-// promise.
+// TestMain lets the test program also run as the processes of a soak: stand-ins, and daemons that break a promise.
 func TestMain(m *testing.M) {
 	if len(os.Args) < 2 {
 		os.Exit(m.Run())
@@ -52,17 +51,17 @@
 	}
 }
 
-// newOptions are those of a soak with few processes.
-func newOptions(daemon string, lasts time.Duration) *Options {
+// newOptions returns the options of a soak with few processes.
+func newOptions(daemon string, duration time.Duration) *Options {
 	return &Options{
 		Factory: &dogwoodfactory.Factory{Streams: dogwoodfactory.Streams{Out: io.Discard, Err: io.Discard}},
-		Seed:    1, For: lasts, Processes: 9, Daemon: daemon,
+		Seed:    1, For: duration, Processes: 9, Daemon: daemon,
 	}
 }
 
-// A check that finds nothing in a daemon that breaks its promise would find nothing in ours. Each of these
-// daemons breaks one, now and then, and a soak has to find it from what callers and endpoints saw.
-func TestBrokenPromisesAreFound(t *testing.T) {
+// A check that can't detect a daemon which breaks its promise is worthless for the real daemon. Each of these daemons
+// breaks one promise intermittently, and a soak has to find that using what callers and endpoints recorded.
+func TestChecksFindBrokenPromises(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts some dozen processes for half a minute")
 	}
@@ -70,13 +69,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	step := func(kind dogwoodsoakplan.Kind, at, lasts time.Duration) dogwoodsoakplan.Step {
-		return dogwoodsoakplan.Step{Kind: kind, At: warmUp + at, For: lasts}
+	step := func(kind dogwoodsoakplan.Kind, at, duration time.Duration) dogwoodsoakplan.Step {
+		return dogwoodsoakplan.Step{Kind: kind, At: warmUp + at, For: duration}
 	}
 	tests := []struct {
 		fault fault
-		// with is what must happen for the fault to show.
-		with []dogwoodsoakplan.Step
+		// extraSteps are steps without which the fault doesn't show.
+		extraSteps []dogwoodsoakplan.Step
 	}{
 		{twiceRun, nil},
 		{falseNotRun, nil},
@@ -102,7 +101,7 @@
 				t.Fatal(err)
 			}
 			options := newOptions(daemon, warmUp+10*time.Second)
-			options.steps = append([]dogwoodsoakplan.Step{step(dogwoodsoakplan.TextChanged, 0, 0)}, test.with...)
+			options.steps = append([]dogwoodsoakplan.Step{step(dogwoodsoakplan.TextChanged, 0, 0)}, test.extraSteps...)
 			report, err := soak(t.Context(), options, directory)
 			if err != nil {
 				t.Fatal(err)
@@ -114,8 +113,8 @@
 	}
 }
 
-// The daemon itself keeps its promises for a seed that kills, freezes and cuts off.
-func TestTheDaemonKeepsItsPromises(t *testing.T) {
+// The real daemon keeps its promises under a seed whose steps kill and freeze processes and break connections.
+func TestDaemonKeepsPromises(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts nine processes for half a minute")
 	}
@@ -149,9 +148,9 @@
 	}
 	for _, test := range tests {
 		t.Run(strings.Join(test.arguments, " "), func(t *testing.T) {
-			var failures bytes.Buffer
+			var stderr bytes.Buffer
 			ran := false
-			factory := &dogwoodfactory.Factory{Streams: dogwoodfactory.Streams{Out: io.Discard, Err: &failures}}
+			factory := &dogwoodfactory.Factory{Streams: dogwoodfactory.Streams{Out: io.Discard, Err: &stderr}}
 			command := New(factory, func(_ context.Context, options *Options) error {
 				ran = options.Seed == 7 && options.For == time.Minute && options.JSON
 				return nil
@@ -163,32 +162,32 @@
 			}
 			code := command.Execute(t.Context(), flags)
 			if test.want == "" && (code != subcommands.ExitSuccess || !ran) {
-				t.Errorf("got code %d and %q, want the options to be run", code, failures.String())
+				t.Errorf("got code %d and %q, want the options to be run", code, stderr.String())
 			}
-			if test.want != "" && (code == subcommands.ExitSuccess || ran || !strings.Contains(failures.String(), test.want)) {
-				t.Errorf("got code %d and %q, want %q", code, failures.String(), test.want)
+			if test.want != "" && (code == subcommands.ExitSuccess || ran || !strings.Contains(stderr.String(), test.want)) {
+				t.Errorf("got code %d and %q, want %q", code, stderr.String(), test.want)
 			}
 		})
 	}
 }
 
-// A connection is cut while one endpoint leaves and the next comes. What is held up at the second one is
-// held up by the same fault.
-func TestFaultsCountForAllEndpointsOfAPlace(t *testing.T) {
+// A connection is broken while one endpoint leaves and the next one starts. Requests that are delayed at the second
+// one are delayed by the same fault.
+func TestCopyFaultsToLaterEndpoints(t *testing.T) {
 	faults := []dogwoodsoakcheck.Fault{{Endpoint: "i-1-1"}, {Endpoint: "i-2-1"}, {Daemon: "d"}}
-	got, want := spread(faults, []string{"i-1-1", "i-1-2", "i-1-3"}), []dogwoodsoakcheck.Fault{{Endpoint: "i-1-2"}, {Endpoint: "i-1-3"}}
+	got, want := copyFaults(faults, []string{"i-1-1", "i-1-2", "i-1-3"}), []dogwoodsoakcheck.Fault{{Endpoint: "i-1-2"}, {Endpoint: "i-1-3"}}
 	if !slices.Equal(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// Records of an earlier soak in the same directory would count as runs of this one's requests.
-func TestAUsedDirectoryIsRefused(t *testing.T) {
+// Records of an earlier soak in the same directory would count as runs of this soak's requests.
+func TestNonEmptyDirectoryIsRejected(t *testing.T) {
 	directory := t.TempDir()
 	if err := os.WriteFile(filepath.Join(directory, "i-0-1.records"), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	options := newOptions("no program", shortest)
+	options := newOptions("no program", minDuration)
 	options.Keep = directory
 	var usage *dogwoodsubcommand.UsageError
 	if err := Run(t.Context(), options); !errors.As(err, &usage) {
@@ -196,7 +195,7 @@
 	}
 }
 
-// A report for pipes can be read back, and one for terminals names each finding.
+// A report names each finding and the directory of the logs, as JSON and as a table.
 func TestReport(t *testing.T) {
 	report := &Report{Seed: 3, Findings: []dogwoodsoakcheck.Finding{{Check: "TwiceRun", Detail: "ran 2 times", RequestID: "c1-1"}}, Logs: "there"}
 	for _, asJSON := range []bool{true, false} {
--- a/dogwoodload/dogwoodsoakcaller/caller.go
+++ b/dogwoodload/dogwoodsoakcaller/caller.go
@@ -1,5 +1,5 @@
-// Package dogwoodsoakcaller is the callers of a soak: they ask which daemons to use, send requests of
-// all kinds, go on using open connections, and keep what they received.
+// Package dogwoodsoakcaller implements the callers of a soak: they query the directory for daemons, send requests of
+// all kinds, reuse open connections and record the answers.
 package dogwoodsoakcaller
 
 import (
@@ -22,31 +22,31 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("caller")
 
-// Daemon is a daemon as callers reach it.
+// Daemon holds the addresses of a daemon that callers use.
 type Daemon struct {
 	Name string
-	// Address is what the directory names; callers connect to By instead.
+	// Address is the address that the directory returns; callers connect to the proxy at By instead.
 	Address, By netip.AddrPort
-	// Directory is asked without a proxy.
+	// Directory is the address of the daemon's directory, which callers query without a proxy.
 	Directory netip.AddrPort
 }
 
-// Kind is what a caller may ask for.
+// Kind is a kind of request that callers send.
 type Kind struct {
 	Kind    dogwoodsoakcheck.CallKind
 	Service string
-	// Prefix is where its route begins.
+	// Prefix is the path prefix of its route.
 	Prefix string
-	// Wait is how long callers wait for it, Weight how often they ask for it.
+	// Wait is the time limit of such requests, Weight their relative frequency.
 	Wait   time.Duration
 	Weight int
 	// Events is the length of a stream, 0 for plain answers.
 	Events int
-	// PromptTokens are the sizes of prompts, drawn from evenly.
+	// PromptTokens are the sizes of prompts; each is equally likely.
 	PromptTokens []int
 }
 
-// Options are what callers are made from.
+// Options configure the callers.
 type Options struct {
 	Host        string
 	DataCentres []string
@@ -58,19 +58,19 @@
 }
 
 const (
-	// askEvery is how long a directory's answer is used.
-	askEvery = 2 * time.Second
-	// askWithin bounds a question to a directory.
-	askWithin = time.Second
-	// directoriesTried is how many daemons are asked for addresses before a caller waits.
-	directoriesTried = 3
-	// givesUpAfter is how long after its time limit a caller ends a request that has not ended.
-	givesUpAfter = 4 * time.Second
-	// closeShare is the part of the requests that end their connection.
+	// directoryTTL is how long the addresses from a directory are used.
+	directoryTTL = 2 * time.Second
+	// directoryTimeout bounds a query to a directory.
+	directoryTimeout = time.Second
+	// maxDirectoryQueries bounds the directories that a caller queries in a row without an answer.
+	maxDirectoryQueries = 3
+	// giveUpDelay is how long after its time limit a caller cancels a request that has not ended.
+	giveUpDelay = 4 * time.Second
+	// closeShare is the share of the requests that close their connection.
 	closeShare = 0.3
 )
 
-// Callers send and keep what they received. They are safe for concurrent use.
+// Callers send requests and record the answers. They are safe for concurrent use.
 type Callers struct {
 	options Options
 
@@ -90,7 +90,7 @@
 	return append([]dogwoodsoakcheck.Call{}, callers.calls...)
 }
 
-// caller is one caller with its connections.
+// caller is one of the callers, with its connections.
 type caller struct {
 	*Callers
 	number     int
@@ -99,12 +99,12 @@
 	random     *rand.Rand
 	client     *http.Client
 
-	known   []netip.AddrPort
-	askedAt time.Time
+	addresses   []netip.AddrPort
+	refreshedAt time.Time
 }
 
-// Run is one caller's work until the context ends; the request that is under way then is ended in its own
-// time.
+// Run runs one caller until the context ends. A request that is in transit then is not cancelled; Run waits for its
+// end.
 func (callers *Callers) Run(ctx context.Context, number int, seed uint64) {
 	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}
 	defer transport.CloseIdleConnections()
@@ -120,33 +120,33 @@
 		case <-ctx.Done():
 			return
 		}
-		caller.ask(ctx)
-		if len(caller.known) > 0 {
+		caller.refreshAddresses(ctx)
+		if len(caller.addresses) > 0 {
 			caller.call(context.WithoutCancel(ctx))
 		}
 	}
 }
 
-// ask asks a few daemons for addresses when the last answer is old. Without an answer the old one is
-// used on.
-func (caller *caller) ask(ctx context.Context) {
-	if time.Since(caller.askedAt) < askEvery {
+// refreshAddresses queries up to maxDirectoryQueries daemons for addresses when the current ones are older than
+// directoryTTL. If none answers, the current addresses stay in use.
+func (caller *caller) refreshAddresses(ctx context.Context) {
+	if time.Since(caller.refreshedAt) < directoryTTL {
 		return
 	}
-	for range directoriesTried {
+	for range maxDirectoryQueries {
 		daemon := caller.options.Daemons[caller.random.IntN(len(caller.options.Daemons))]
-		addresses, err := caller.directory(ctx, daemon.Directory)
+		addresses, err := caller.queryDirectory(ctx, daemon.Directory)
 		if err == nil && len(addresses) > 0 {
-			caller.known, caller.askedAt = addresses, time.Now()
+			caller.addresses, caller.refreshedAt = addresses, time.Now()
 			return
 		}
 	}
 }
 
-func (caller *caller) directory(ctx context.Context, at netip.AddrPort) ([]netip.AddrPort, error) {
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+func (caller *caller) queryDirectory(ctx context.Context, address netip.AddrPort) ([]netip.AddrPort, error) {
+	ctx, cancel := context.WithTimeout(ctx, directoryTimeout)
 	defer cancel()
-	target := "http://" + at.String() + dogwoodstandin.DirectoryTarget(caller.options.Host, caller.dataCentre)
+	target := "http://" + address.String() + dogwoodstandin.DirectoryTarget(caller.options.Host, caller.dataCentre)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -155,7 +155,7 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	defer func() { _ = response.Body.Close() }() // it was read
+	defer func() { _ = response.Body.Close() }() // the body was read
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -163,9 +163,9 @@
 	return dogwoodstandin.Addresses(body)
 }
 
-// daemon finds who has an address that the directory told.
-func (caller *caller) daemon() (Daemon, bool) {
-	address := caller.known[caller.random.IntN(len(caller.known))]
+// pickDaemon returns the daemon that has a randomly chosen address of those that the directory returned.
+func (caller *caller) pickDaemon() (Daemon, bool) {
+	address := caller.addresses[caller.random.IntN(len(caller.addresses))]
 	for _, daemon := range caller.options.Daemons {
 		if daemon.Address == address {
 			return daemon, true
@@ -174,7 +174,7 @@
 	return Daemon{}, false
 }
 
-func (caller *caller) kind() *Kind {
+func (caller *caller) pickKind() *Kind {
 	sum := 0
 	for i := range caller.options.Kinds {
 		sum += caller.options.Kinds[i].Weight
@@ -188,13 +188,13 @@
 	return &caller.options.Kinds[0]
 }
 
-// call sends one request and keeps what came of it.
+// call sends one request and records its result.
 func (caller *caller) call(ctx context.Context) {
-	daemon, ok := caller.daemon()
+	daemon, ok := caller.pickDaemon()
 	if !ok {
-		return // the directory named an address of nobody; it is asked again soon
+		return // the directory returned an address that no daemon has; it is queried again after directoryTTL
 	}
-	kind := caller.kind()
+	kind := caller.pickKind()
 	caller.sent++
 	call := dogwoodsoakcheck.Call{
 		ID: fmt.Sprintf("c%d-%d", caller.number, caller.sent), Kind: kind.Kind, Service: kind.Service, Daemon: daemon.Name,
@@ -210,26 +210,26 @@
 	caller.calls = append(caller.calls, call)
 }
 
-// once is a body that net/http can't send a second time by itself: each request is one attempt.
-type once struct{ io.Reader }
+// unrepeatableBody is a request body that net/http can't resend, so that each request is one attempt.
+type unrepeatableBody struct{ io.Reader }
 
-// Close does nothing: the body lies in memory.
-func (once) Close() error { return nil }
+// Close does nothing: the body is in memory.
+func (unrepeatableBody) Close() error { return nil }
 
-func (caller *caller) exchange(ctx context.Context, call *dogwoodsoakcheck.Call, kind *Kind, by netip.AddrPort, target, body string) {
-	ctx, cancel := context.WithTimeout(ctx, call.Wait+givesUpAfter)
+func (caller *caller) exchange(ctx context.Context, call *dogwoodsoakcheck.Call, kind *Kind, address netip.AddrPort, target, body string) {
+	ctx, cancel := context.WithTimeout(ctx, call.Wait+giveUpDelay)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+by.String()+target, once{strings.NewReader(body)})
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address.String()+target, unrepeatableBody{strings.NewReader(body)})
 	if err != nil {
 		call.Error = err.Error()
 		return
 	}
-	made := dogwoodstandin.Call{ID: call.ID, Key: call.Key, Wait: call.Wait}
+	sentCall := dogwoodstandin.Call{ID: call.ID, Key: call.Key, Wait: call.Wait}
 	if len(kind.PromptTokens) > 0 {
-		made.PromptTokens = kind.PromptTokens[caller.random.IntN(len(kind.PromptTokens))]
-		made.AnswerTokens = kind.Events
+		sentCall.PromptTokens = kind.PromptTokens[caller.random.IntN(len(kind.PromptTokens))]
+		sentCall.AnswerTokens = kind.Events
 	}
-	request.Header = made.Header()
+	request.Header = sentCall.Header()
 	request.Host = caller.options.Host
 	request.ContentLength = int64(len(body))
 	request.Close = caller.random.Float64() < closeShare
@@ -238,7 +238,7 @@
 		call.Error = err.Error()
 		return
 	}
-	defer func() { _ = response.Body.Close() }() // it was read, or has failed
+	defer func() { _ = response.Body.Close() }() // the body was read completely, or reading it failed
 	call.Status, call.Sealed = response.StatusCode, dogwoodstandin.HasSeal(response.Header)
 	call.NotRun = dogwoodstandin.PromisesNotRun(response.StatusCode)
 	received, err := io.ReadAll(response.Body)
@@ -248,12 +248,12 @@
 	}
 	call.Whole = true
 	if response.StatusCode == http.StatusOK {
-		call.Wrong = wrong(call.ID, kind, target, body, string(received))
+		call.Wrong = describeError(call.ID, kind, target, body, string(received))
 	}
 }
 
-// wrong says what is wrong with an answer that looks whole.
-func wrong(id string, kind *Kind, target, body, received string) string {
+// describeError describes the error in an answer that looks complete; it returns "" for a correct answer.
+func describeError(id string, kind *Kind, target, body, received string) string {
 	want := dogwoodstandin.PlainAnswer(id, target, body)
 	if kind.Events > 0 {
 		want = dogwoodstandin.StreamAnswer(id, kind.Events)
@@ -264,12 +264,12 @@
 	case strings.HasPrefix(want, received):
 		return fmt.Sprintf("%d of %d bytes, and it looks whole", len(received), len(want))
 	default:
-		return differs(received, want)
+		return describeDifference(received, want)
 	}
 }
 
-// differs names the first place at which an answer is not the request's own.
-func differs(received, want string) string {
+// describeDifference describes the first difference between an answer and the one that belongs to the request.
+func describeDifference(received, want string) string {
 	for i := range min(len(received), len(want)) {
 		if received[i] != want[i] {
 			return fmt.Sprintf("byte %d of %d is not the answer's own: %.60q in place of %.60q", i, len(received), received[i:], want[i:])
--- a/dogwoodload/dogwoodsoakcheck/changes.go
+++ b/dogwoodload/dogwoodsoakcheck/changes.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// withdrawnKeyRan excuses no fault: a daemon that hears nothing has to refuse. One that is given a request
-// only after the key was given back may run it.
-func withdrawnKeyRan(judged *judged) []Finding {
-	return judged.byArrival(func(arrival *Arrival, call *Call) string {
-		for _, withdrawal := range judged.Withdrawals {
-			late := call.Sent.Sub(withdrawal.From.Add(judged.bounds.Revoke))
-			if arrival.Ran && call.Key == withdrawal.Key && late > 0 && call.Sent.Before(withdrawal.To) && !judged.heldUpUntil(withdrawal.To, arrival, call) {
+// withdrawnKeyRan finds requests that ran although their key had been withdrawn. Faults are no excuse: a daemon
+// without updates has to reject requests. A request that reaches its daemon only after the key was restored may run.
+func withdrawnKeyRan(analysis *analysis) []Finding {
+	return analysis.checkArrivals(func(arrival *Arrival, call *Call) string {
+		for _, withdrawal := range analysis.Withdrawals {
+			late := call.Sent.Sub(withdrawal.From.Add(analysis.bounds.Revoke))
+			if arrival.Ran && call.Key == withdrawal.Key && late > 0 && call.Sent.Before(withdrawal.To) && !analysis.delayedUntil(withdrawal.To, arrival, call) {
 				return fmt.Sprintf("sent %s after the bound with a key that was withdrawn, and ran on %s", late.Round(time.Millisecond), arrival.Endpoint)
 			}
 		}
@@ -19,29 +19,29 @@
 	})
 }
 
-// heldUpUntil is true for a request that something kept from its daemon until after a moment.
-func (judged *judged) heldUpUntil(moment time.Time, arrival *Arrival, call *Call) bool {
-	return arrival.At.After(moment) && !judged.free(moment, arrival.At, func(fault *Fault) bool {
+// delayedUntil reports whether a fault may have delayed a request on its way to its daemon until after moment.
+func (analysis *analysis) delayedUntil(moment time.Time, arrival *Arrival, call *Call) bool {
+	return arrival.At.After(moment) && !analysis.noFault(moment, arrival.At, func(fault *Fault) bool {
 		return fault.Daemon == call.Daemon && !fault.Planned
 	})
 }
 
-// inTouch is true if the daemon could hear of a change since it was made, and if what it sent could
-// reach the endpoint at once.
-func (judged *judged) inTouch(daemon string, arrival *Arrival, changed time.Time) bool {
-	stability := judged.bounds.Stability
-	return judged.calm(daemon, changed, arrival.At, stability) &&
-		judged.prompt(arrival.Endpoint, arrival.At.Add(-stability), arrival.At)
+// boundApplies reports whether the time limit after a change applies to an arrival: the daemon could learn of
+// the change as soon as it was made, and nothing delayed requests to the endpoint.
+func (analysis *analysis) boundApplies(daemon string, arrival *Arrival, changedAt time.Time) bool {
+	stability := analysis.bounds.Stability
+	return analysis.daemonUnaffected(daemon, changedAt, arrival.At, stability) &&
+		analysis.endpointUnaffected(arrival.Endpoint, arrival.At.Add(-stability), arrival.At)
 }
 
-func sentAfterLeaving(judged *judged) []Finding {
-	return judged.byArrival(func(arrival *Arrival, call *Call) string {
-		for _, leaving := range judged.Leavings {
-			bound := leaving.At.Add(judged.bounds.Drain)
+func sentAfterLeaving(analysis *analysis) []Finding {
+	return analysis.checkArrivals(func(arrival *Arrival, call *Call) string {
+		for _, leaving := range analysis.Leavings {
+			bound := leaving.At.Add(analysis.bounds.Drain)
 			if leaving.Endpoint != arrival.Endpoint || !arrival.At.After(bound) {
 				continue
 			}
-			if judged.inTouch(call.Daemon, arrival, leaving.At) {
+			if analysis.boundApplies(call.Daemon, arrival, leaving.At) {
 				return fmt.Sprintf("reached %s %s after the bound", arrival.Endpoint, arrival.At.Sub(bound).Round(time.Millisecond))
 			}
 		}
@@ -49,14 +49,14 @@
 	})
 }
 
-func sentAfterTakeOut(judged *judged) []Finding {
-	return judged.byArrival(func(arrival *Arrival, call *Call) string {
-		for _, takeOut := range judged.TakeOuts {
-			bound := takeOut.From.Add(judged.bounds.TakeOut)
+func sentAfterTakeOut(analysis *analysis) []Finding {
+	return analysis.checkArrivals(func(arrival *Arrival, call *Call) string {
+		for _, takeOut := range analysis.TakeOuts {
+			bound := takeOut.From.Add(analysis.bounds.TakeOut)
 			if takeOut.DataCentre != arrival.DataCentre || !arrival.At.After(bound) || !arrival.At.Before(takeOut.To) {
 				continue
 			}
-			if judged.inTouch(call.Daemon, arrival, takeOut.From) {
+			if analysis.boundApplies(call.Daemon, arrival, takeOut.From) {
 				return fmt.Sprintf("reached %s in %s, which was taken out %s before", arrival.Endpoint, takeOut.DataCentre, arrival.At.Sub(takeOut.From).Round(time.Millisecond))
 			}
 		}
--- a/dogwoodload/dogwoodsoakcheck/check.go
+++ b/dogwoodload/dogwoodsoakcheck/check.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Finding is a promise that was broken.
+// Finding is a violation of a promise, found by a check.
 type Finding struct {
 	Check  string
 	Detail string
-	// RequestID is empty for what concerns no single request.
+	// RequestID is empty if the finding concerns no single request.
 	RequestID string
 	At        time.Time
 }
 
-// check looks for one broken promise.
+// check finds the violations of one promise.
 type check struct {
 	name string
-	look func(judged *judged) []Finding
+	run  func(analysis *analysis) []Finding
 }
 
-// checks are all checks in the order of their report.
+// checks lists all checks in the order in which they are reported.
 var checks = []check{
 	{"TwiceRun", twiceRun},
 	{"FalseNotRun", falseNotRun},
@@ -42,7 +42,7 @@
 	{"ProcessDied", processDied},
 }
 
-// Names lists the checks.
+// Names returns the names of all checks.
 func Names() []string {
 	names := make([]string, len(checks))
 	for i, check := range checks {
@@ -51,37 +51,37 @@
 	return names
 }
 
-// judged is a history with what the checks look up in it.
-type judged struct {
+// analysis is a history with the indexes that the checks use.
+type analysis struct {
 	*History
 	bounds Bounds
-	// calls are by id.
+	// calls is indexed by request ID.
 	calls map[string]*Call
-	// runs and arrivals are by request, in order of time.
+	// runs and arrivals are indexed by request ID, in order of time.
 	runs, arrivals map[string][]*Arrival
 }
 
-// Check returns all broken promises of a history.
+// Check runs all checks on a history and returns their findings. It sorts the calls and arrivals by time.
 func Check(history *History, bounds Bounds) []Finding {
-	judged := &judged{
+	analysis := &analysis{
 		History: history, bounds: bounds,
 		calls: map[string]*Call{}, runs: map[string][]*Arrival{}, arrivals: map[string][]*Arrival{},
 	}
-	slices.SortFunc(history.Arrivals, func(one, other Arrival) int { return one.At.Compare(other.At) })
-	slices.SortFunc(history.Calls, func(one, other Call) int { return one.Sent.Compare(other.Sent) })
+	slices.SortFunc(history.Arrivals, func(a, b Arrival) int { return a.At.Compare(b.At) })
+	slices.SortFunc(history.Calls, func(a, b Call) int { return a.Sent.Compare(b.Sent) })
 	for i := range history.Calls {
-		judged.calls[history.Calls[i].ID] = &history.Calls[i]
+		analysis.calls[history.Calls[i].ID] = &history.Calls[i]
 	}
 	for i := range history.Arrivals {
 		arrival := &history.Arrivals[i]
-		judged.arrivals[arrival.RequestID] = append(judged.arrivals[arrival.RequestID], arrival)
+		analysis.arrivals[arrival.RequestID] = append(analysis.arrivals[arrival.RequestID], arrival)
 		if arrival.Ran {
-			judged.runs[arrival.RequestID] = append(judged.runs[arrival.RequestID], arrival)
+			analysis.runs[arrival.RequestID] = append(analysis.runs[arrival.RequestID], arrival)
 		}
 	}
 	var findings []Finding
 	for _, check := range checks {
-		found := check.look(judged)
+		found := check.run(analysis)
 		for i := range found {
 			found[i].Check = check.name
 		}
@@ -90,28 +90,28 @@
 	return findings
 }
 
-// byCall runs a look at each call.
-func (judged *judged) byCall(look func(call *Call) string) []Finding {
+// checkCalls calls inspect for each call and returns a finding for each detail that is not empty.
+func (analysis *analysis) checkCalls(inspect func(call *Call) string) []Finding {
 	var findings []Finding
-	for i := range judged.Calls {
-		call := &judged.Calls[i]
-		if detail := look(call); detail != "" {
+	for i := range analysis.Calls {
+		call := &analysis.Calls[i]
+		if detail := inspect(call); detail != "" {
 			findings = append(findings, Finding{Detail: detail, RequestID: call.ID, At: call.Sent})
 		}
 	}
 	return findings
 }
 
-// byArrival runs a look at each arrival of a known call.
-func (judged *judged) byArrival(look func(arrival *Arrival, call *Call) string) []Finding {
+// checkArrivals calls inspect for each arrival whose call is known, as checkCalls does for calls.
+func (analysis *analysis) checkArrivals(inspect func(arrival *Arrival, call *Call) string) []Finding {
 	var findings []Finding
-	for i := range judged.Arrivals {
-		arrival := &judged.Arrivals[i]
-		call := judged.calls[arrival.RequestID]
+	for i := range analysis.Arrivals {
+		arrival := &analysis.Arrivals[i]
+		call := analysis.calls[arrival.RequestID]
 		if call == nil {
 			continue // unaskedRun reports it
 		}
-		if detail := look(arrival, call); detail != "" {
+		if detail := inspect(arrival, call); detail != "" {
 			findings = append(findings, Finding{Detail: detail, RequestID: arrival.RequestID, At: arrival.At})
 		}
 	}
--- a/dogwoodload/dogwoodsoakcheck/check_test.go
+++ b/dogwoodload/dogwoodsoakcheck/check_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// begun is when the histories of these tests begin.
-var begun = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+// start is the time at which the histories of these tests begin.
+var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// after is a moment of a history.
+// after returns the time that lies the given seconds after start.
 func after(seconds float64) time.Time {
-	return begun.Add(time.Duration(seconds * float64(time.Second)))
+	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
 var bounds = Bounds{
@@ -23,8 +23,8 @@
 	TakesFor: 2 * time.Second, Recovery: 12 * time.Second, ServedShare: 0.25,
 }
 
-// kept is a history in which all promises were kept: a request a second of each kind, served at once.
-func kept() *History {
+// newCleanHistory returns a history that breaks no promise: one request of each kind a second, served at once.
+func newCleanHistory() *History {
 	history := &History{Calm: after(10)}
 	for second := range 40 {
 		for _, kind := range []CallKind{Once, Lookup, Prompt} {
@@ -57,41 +57,41 @@
 	history.Faults = append(history.Faults, fault)
 }
 
-// change is a change that the store accepted, or the daemon had, a tenth of a second after it was sent.
+// change adds a change that the store accepted, or the daemon received, a tenth of a second after it was sent.
 func (history *History) change(daemon string, from float64) {
 	history.Changes = append(history.Changes, Change{Daemon: daemon, From: after(from), To: after(from + 0.1)})
 }
 
-// cut has a request end without an answer.
+// cut makes a request end without an answer.
 func (history *History) cut(id string) {
 	call := history.call(id)
 	call.Status, call.Whole, call.Sealed, call.Error = 0, false, false, "EOF"
 }
 
-// Each check finds the promise that was broken, and says nothing of one that was kept or that the users'
-// rules allow to be broken.
+// Each check reports a promise that was broken, and nothing for one that was kept or that the users' rules
+// allow to be broken.
 func TestChecks(t *testing.T) {
 	tests := []struct {
-		name  string
-		plant func(history *History)
-		want  string // the check that finds it; nothing for what is allowed
+		name   string
+		modify func(history *History)
+		want   string // the check that reports it; empty if it is allowed
 	}{
 		{"all kept", func(*History) {}, ""},
 		{"a hold runs twice", func(history *History) {
 			history.Arrivals = append(history.Arrivals, arrival("Once-5", 5.05))
 		}, "TwiceRun"},
-		{"a hold is turned away and runs elsewhere", func(history *History) {
+		{"a hold is refused and runs at another endpoint", func(history *History) {
 			history.arrival("Once-5").Ran = false
 			history.Arrivals = append(history.Arrivals, arrival("Once-5", 5.05))
 		}, ""},
 		{"a lookup runs twice", func(history *History) {
 			history.Arrivals = append(history.Arrivals, arrival("Lookup-5", 5.05))
 		}, ""},
-		{"a hold ran and is said not to have run", func(history *History) {
+		{"a hold ran and is reported as not run", func(history *History) {
 			call := history.call("Once-5")
 			call.Status, call.NotRun, call.Sealed = 503, true, false
 		}, "FalseNotRun"},
-		{"a hold runs after it was said not to have run", func(history *History) {
+		{"a hold runs after it was reported as not run", func(history *History) {
 			call := history.call("Once-5")
 			call.Status, call.NotRun, call.Sealed = 503, true, false
 			history.arrival("Once-5").At = after(9)
@@ -101,10 +101,10 @@
 			call.Status, call.NotRun, call.Sealed = 503, true, false
 			history.arrival("Once-5").Ran = false
 		}, ""},
-		{"an answer with another's bytes", func(history *History) {
+		{"an answer with bytes of another request", func(history *History) {
 			history.call("Prompt-5").Wrong = "byte 7 is not its own"
 		}, "WrongAnswer"},
-		{"a success that no endpoint gave", func(history *History) {
+		{"a success that came from no endpoint", func(history *History) {
 			history.call("Prompt-5").Sealed = false
 		}, "WrongAnswer"},
 		{"a wrong answer that looks cut", func(history *History) {
@@ -115,41 +115,41 @@
 		{"a request that nobody sent", func(history *History) {
 			history.Arrivals = append(history.Arrivals, arrival("nobody's", 5))
 		}, "UnaskedRun"},
-		{"a key passed on", func(history *History) { history.arrival("Lookup-5").KeySeen = true }, "KeyPassedOn"},
-		{"a withdrawn key runs after the bound", func(history *History) {
+		{"a key is forwarded to an endpoint", func(history *History) { history.arrival("Lookup-5").KeySeen = true }, "KeyPassedOn"},
+		{"a request sent with a withdrawn key after the bound runs", func(history *History) {
 			history.Withdrawals = []Withdrawal{{Key: "k", From: after(0.9), To: after(7)}}
 			history.fault(Fault{Daemon: Everybody}, 0, 8)
 		}, "WithdrawnKeyRan"},
-		{"a withdrawn key runs after it was given back", func(history *History) {
+		{"a request sent with a withdrawn key runs just after the key was restored", func(history *History) {
 			history.Withdrawals = []Withdrawal{{Key: "k", From: after(1.005), To: after(7.005)}}
 		}, "WithdrawnKeyRan"},
-		{"a withdrawn key was held up until it was given back", func(history *History) {
+		{"a request with a withdrawn key was delayed until the key was restored", func(history *History) {
 			history.Withdrawals = []Withdrawal{{Key: "k", From: after(1.005), To: after(7.005)}}
 			history.fault(Fault{Daemon: "d"}, 6, 7.008)
 		}, ""},
-		{"a withdrawn key runs after it was given back, beside a fault of the store", func(history *History) {
+		{"a request sent with a withdrawn key runs just after the key was restored, during a fault of the store", func(history *History) {
 			history.Withdrawals = []Withdrawal{{Key: "k", From: after(1.005), To: after(7.005)}}
 			history.fault(Fault{Daemon: Everybody}, 6, 7.008)
 		}, "WithdrawnKeyRan"},
-		{"a withdrawn key was held up and runs before it is given back", func(history *History) {
+		{"a request with a withdrawn key was delayed and runs before the key is restored", func(history *History) {
 			history.Withdrawals = []Withdrawal{{Key: "k", From: after(1.005), To: after(7.05)}}
 			history.fault(Fault{Daemon: "d"}, 6, 7.008)
 		}, "WithdrawnKeyRan"},
-		{"a withdrawn key runs within the bound", func(history *History) {
+		{"a request sent with a withdrawn key within the bound runs", func(history *History) {
 			history.Withdrawals = []Withdrawal{{Key: "k", From: after(1.5), To: after(5.9)}}
 		}, ""},
 		{"a request reaches an endpoint that left", func(history *History) {
 			history.Leavings = []Leaving{{Endpoint: "e", At: after(36.5)}}
 		}, "SentAfterLeaving"},
-		{"a daemon could not hear that it left", func(history *History) {
+		{"a fault keeps the daemon from learning that an endpoint left", func(history *History) {
 			history.Leavings = []Leaving{{Endpoint: "e", At: after(36.5)}}
 			history.fault(Fault{Daemon: "d"}, 30, 39)
 		}, ""},
-		{"another daemon could not hear of it", func(history *History) {
+		{"a fault keeps another daemon from learning that an endpoint left", func(history *History) {
 			history.Leavings = []Leaving{{Endpoint: "e", At: after(36.5)}}
 			history.fault(Fault{Daemon: "other"}, 30, 39)
 		}, "SentAfterLeaving"},
-		{"the request was held up on its way", func(history *History) {
+		{"a fault delays a request to an endpoint that left", func(history *History) {
 			history.Leavings = []Leaving{{Endpoint: "e", At: after(36.5)}}
 			history.fault(Fault{Endpoint: "e"}, 36, 39)
 		}, ""},
@@ -169,21 +169,21 @@
 				history.Arrivals = append(history.Arrivals, arrival(fmt.Sprintf("Lookup-%d", number), 20))
 			}
 		}, ""},
-		{"a herd at a cold endpoint", func(history *History) {
+		{"too many requests at a cold endpoint", func(history *History) {
 			for number := range 5 {
 				arrival := history.arrival(fmt.Sprintf("Lookup-%d", number))
 				arrival.Cold, arrival.At = true, after(20+float64(number)/10)
 			}
 		}, "ColdLimit"},
-		{"a cold endpoint gets what it bears", func(history *History) {
+		{"as many requests at a cold endpoint as are allowed", func(history *History) {
 			for number := range 4 {
 				arrival := history.arrival(fmt.Sprintf("Lookup-%d", number))
 				arrival.Cold, arrival.At = true, after(20+float64(number)/10)
 			}
 		}, ""},
-		{"memory is never given back", func(history *History) { history.Held = []Held{{Endpoint: "e", Tokens: 7}} }, "MemoryHeld"},
-		{"a request has no end", func(history *History) { history.call("Once-20").Ended = after(25.1) }, "AnsweredLate"},
-		{"a request has no end at a frozen daemon", func(history *History) {
+		{"memory is never released", func(history *History) { history.Held = []Held{{Endpoint: "e", Tokens: 7}} }, "MemoryHeld"},
+		{"a request ends too late", func(history *History) { history.call("Once-20").Ended = after(25.1) }, "AnsweredLate"},
+		{"a request ends too late at a frozen daemon", func(history *History) {
 			history.call("Once-20").Ended = after(25.1)
 			history.fault(Fault{Daemon: "d"}, 21, 24)
 		}, ""},
@@ -192,7 +192,7 @@
 			history.fault(Fault{Daemon: "d", Planned: true}, 20.05, 25)
 			history.cut("Once-20")
 		}, "CutByStop"},
-		{"a shutdown crosses an endpoint's crash", func(history *History) {
+		{"a shutdown coincides with an endpoint's crash", func(history *History) {
 			history.Stops = []Stop{{Daemon: "d", From: after(20.05), To: after(24)}}
 			history.fault(Fault{Daemon: "d", Planned: true}, 20.05, 25)
 			history.fault(Fault{Endpoint: "e"}, 20.06, 21)
@@ -216,42 +216,42 @@
 			call := history.call("Prompt-20")
 			call.Whole, call.Error = false, "unexpected EOF"
 		}, "CutByChange"},
-		{"a change crosses a refusal", func(history *History) {
+		{"a change coincides with a refusal", func(history *History) {
 			history.change(Everybody, 20.05)
 			call := history.call("Prompt-20")
 			call.Status, call.NotRun, call.Sealed = 503, true, false
 		}, ""},
-		{"a change crosses a time limit", func(history *History) {
+		{"a change coincides with a time limit", func(history *History) {
 			history.change(Everybody, 21)
 			history.cut("Once-20")
 			history.call("Once-20").Ended = after(24)
 		}, ""},
-		{"a change crosses an endpoint's crash", func(history *History) {
+		{"a change coincides with an endpoint's crash", func(history *History) {
 			history.change(Everybody, 20.05)
 			history.fault(Fault{Endpoint: "e"}, 20.06, 21)
 			history.cut("Once-20")
 		}, ""},
-		{"a change crosses the crash of an endpoint that the request did not reach", func(history *History) {
+		{"a change coincides with the crash of an endpoint that the request did not reach", func(history *History) {
 			history.change(Everybody, 20.05)
 			history.fault(Fault{Endpoint: "other"}, 20.06, 21)
 			history.cut("Once-20")
 		}, "CutByChange"},
-		{"a change crosses a daemon's fault", func(history *History) {
+		{"a change coincides with a daemon's fault", func(history *History) {
 			history.change(Everybody, 20.05)
 			history.fault(Fault{Daemon: "d"}, 16, 18)
 			history.cut("Once-20")
 		}, ""},
-		{"a change crosses another daemon's fault", func(history *History) {
+		{"a change coincides with another daemon's fault", func(history *History) {
 			history.change(Everybody, 20.05)
 			history.fault(Fault{Daemon: "other"}, 16, 18)
 			history.cut("Once-20")
 		}, "CutByChange"},
-		{"a change crosses a fault of the store", func(history *History) {
+		{"a change coincides with a fault of the store", func(history *History) {
 			history.change(Everybody, 20.05)
 			history.fault(Fault{Daemon: Everybody}, 19, 21)
 			history.cut("Once-20")
 		}, ""},
-		{"a change crosses a daemon's shutdown", func(history *History) {
+		{"a change coincides with a daemon's shutdown", func(history *History) {
 			history.change(Everybody, 17.5)
 			history.Stops = []Stop{{Daemon: "d", From: after(17.5), To: after(24)}}
 			history.fault(Fault{Daemon: "d", Planned: true}, 17.5, 25)
@@ -265,7 +265,7 @@
 			history.change("d", 17.5)
 			history.cut("Once-20")
 		}, "CutWithoutCause"},
-		{"a request is cut beside changed settings of another daemon", func(history *History) {
+		{"a request is cut while another daemon's settings change", func(history *History) {
 			history.change("other", 20.05)
 			history.cut("Once-20")
 		}, "CutWithoutCause"},
@@ -278,7 +278,7 @@
 			history.fault(Fault{Daemon: "d"}, 16, 18)
 			history.cut("Once-20")
 		}, ""},
-		{"a shutdown has no end", func(history *History) {
+		{"a shutdown takes too long", func(history *History) {
 			history.Stops = []Stop{{Daemon: "d", From: after(20), Killed: true}}
 		}, "StopTooLong"},
 		{"nothing is served after the last fault", func(history *History) {
@@ -288,14 +288,14 @@
 				}
 			}
 		}, "NotRecovered"},
-		{"nobody asks after the last fault", func(history *History) { history.Calm = after(50) }, "NotRecovered"},
+		{"no request is sent after the last fault", func(history *History) { history.Calm = after(50) }, "NotRecovered"},
 		{"a daemon died", func(history *History) { history.Deaths = []Death{{Process: "d", Error: "exit status 2"}} }, "ProcessDied"},
 	}
 	found := map[string]bool{}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			history := kept()
-			test.plant(history)
+			history := newCleanHistory()
+			test.modify(history)
 			findings := Check(history, bounds)
 			if test.want == "" && len(findings) > 0 {
 				t.Errorf("got %+v, want nothing", findings[0])
@@ -314,7 +314,7 @@
 }
 
 func TestSummarise(t *testing.T) {
-	history := kept()
+	history := newCleanHistory()
 	history.cut("Once-1")
 	refused := history.call("Once-2")
 	refused.Status, refused.NotRun, refused.Sealed = 503, true, false
--- a/dogwoodload/dogwoodsoakcheck/daemons.go
+++ b/dogwoodload/dogwoodsoakcheck/daemons.go
@@ -4,9 +4,9 @@
 	"fmt"
 )
 
-func stopTooLong(judged *judged) []Finding {
+func stopTooLong(analysis *analysis) []Finding {
 	var findings []Finding
-	for _, stop := range judged.Stops {
+	for _, stop := range analysis.Stops {
 		if stop.Killed {
 			findings = append(findings, Finding{Detail: stop.Daemon + " had not ended by the end of its grace", At: stop.From})
 		}
@@ -14,11 +14,11 @@
 	return findings
 }
 
-func notRecovered(judged *judged) []Finding {
-	from := judged.Calm.Add(judged.bounds.Recovery)
+func notRecovered(analysis *analysis) []Finding {
+	from := analysis.Calm.Add(analysis.bounds.Recovery)
 	sent, served := 0, 0
-	for i := range judged.Calls {
-		call := &judged.Calls[i]
+	for i := range analysis.Calls {
+		call := &analysis.Calls[i]
 		if !call.Sent.After(from) {
 			continue
 		}
@@ -27,15 +27,15 @@
 			served++
 		}
 	}
-	if sent > 0 && float64(served) >= judged.bounds.ServedShare*float64(sent) {
+	if sent > 0 && float64(served) >= analysis.bounds.ServedShare*float64(sent) {
 		return nil
 	}
-	return []Finding{{Detail: fmt.Sprintf("%d of %d requests were served that were sent %s after the last fault or later", served, sent, judged.bounds.Recovery), At: from}}
+	return []Finding{{Detail: fmt.Sprintf("%d of %d requests were served that were sent %s after the last fault or later", served, sent, analysis.bounds.Recovery), At: from}}
 }
 
-func processDied(judged *judged) []Finding {
+func processDied(analysis *analysis) []Finding {
 	var findings []Finding
-	for _, death := range judged.Deaths {
+	for _, death := range analysis.Deaths {
 		findings = append(findings, Finding{Detail: death.Process + " ended by itself: " + death.Error})
 	}
 	return findings
--- a/dogwoodload/dogwoodsoakcheck/history.go
+++ b/dogwoodload/dogwoodsoakcheck/history.go
@@ -1,37 +1,38 @@
-// Package dogwoodsoakcheck judges a soak by what its callers received and its endpoints saw. It hears
-// no daemon, and touches nothing.
+// Package dogwoodsoakcheck checks a soak test against the promises of the daemons, using what callers received
+// and endpoints recorded. It uses no data from the daemons and has no side effects.
 package dogwoodsoakcheck
 
 import (
 	"time"
 )
 
-// Bounds are the figures that must hold.
+// Bounds are the limits that the checks apply.
 type Bounds struct {
-	// Stability is how long a daemon must have been without a fault to be bound by a time limit.
+	// Stability is how long a daemon must have been without a fault before time limits apply to it.
 	Stability time.Duration
 	// Revoke, Drain and TakeOut bound the time from a change to the last request that it forbids.
 	Revoke, Drain, TakeOut time.Duration
-	// RetryRatio and RetryAllowance bound an endpoint's repeated arrivals within RetryWindow.
+	// RetryRatio and RetryAllowance bound the repeated arrivals at a service within RetryWindow.
 	RetryRatio, RetryAllowance float64
 	RetryWindow                time.Duration
-	// ColdPerSecond is what a cold endpoint bears, ColdOvershoot and ColdSlack what may come beyond.
+	// ColdPerSecond is the rate that a cold endpoint can take. The checks allow this rate times ColdOvershoot
+	// plus ColdSlack.
 	ColdPerSecond, ColdOvershoot, ColdSlack float64
-	// AnswerSlack is how much later than its time limit a request may end.
+	// AnswerSlack is how long after its time limit a request may end.
 	AnswerSlack time.Duration
-	// Configuration is how long after a change a daemon still takes it in; TextSlack comes on top for the
-	// operators' rows.
+	// Configuration is how long after a change a daemon may still be applying it. For the operators' rows,
+	// TextSlack is added.
 	Configuration, TextSlack time.Duration
-	// TakesFor is how long after the signal to stop a daemon still takes requests, StopSlack by how much
-	// a request may cross its end.
+	// TakesFor is how long after the signal to stop a daemon still accepts requests, StopSlack by how much
+	// a request may outlast it.
 	TakesFor, StopSlack time.Duration
-	// Recovery is the time after the last fault by which requests are served again, ServedShare how
-	// many of them at least.
+	// Recovery is the time after the last fault by which requests must be served again, ServedShare the
+	// minimum share of them.
 	Recovery    time.Duration
 	ServedShare float64
 }
 
-// CallKind is what a caller asked for.
+// CallKind is the kind of a call; it determines whether the call may run more than once.
 type CallKind string
 
 // The kinds of calls.
@@ -40,11 +41,11 @@
 	Once CallKind = "Once"
 	// Lookup may run more than once.
 	Lookup CallKind = "Lookup"
-	// Prompt is answered by a stream that may go on elsewhere.
+	// Prompt is answered by a stream that may be resumed at another endpoint.
 	Prompt CallKind = "Prompt"
 )
 
-// Call is a request as its caller saw it.
+// Call is a request as recorded by its caller.
 type Call struct {
 	ID      string
 	Kind    CallKind
@@ -53,26 +54,26 @@
 	// Daemon is the daemon that the caller connected to.
 	Daemon      string
 	Sent, Ended time.Time
-	// Wait is how long the caller was ready to wait.
+	// Wait is the time limit that the caller set.
 	Wait time.Duration
 	// Status is 0 if no answer began.
 	Status int
 	// NotRun is true if the answer promises that the request has not run and never will.
 	NotRun bool
-	// Whole is true if the answer ended as a complete one does, Sealed if an endpoint gave it.
+	// Whole is true if the answer ended as a complete one does, Sealed if it came from an endpoint.
 	Whole, Sealed bool
-	// Wrong says what is wrong with an answer that looks whole; it is empty for a right one.
+	// Wrong describes the error in an answer that looks complete; it is empty for a correct answer.
 	Wrong string
-	// Error is why there is no whole answer.
+	// Error is the reason why there is no complete answer.
 	Error string
 }
 
-// Served is true for a whole answer of an endpoint.
+// Served reports whether an endpoint answered the call completely and correctly.
 func (call *Call) Served() bool {
 	return call.Status == 200 && call.Whole && call.Sealed && call.Wrong == ""
 }
 
-// Arrival is a request as an endpoint saw it.
+// Arrival is a request as recorded by the endpoint that received it.
 type Arrival struct {
 	Endpoint, DataCentre, Service string
 	RequestID                     string
@@ -80,10 +81,10 @@
 	Ran, Cold, KeySeen            bool
 }
 
-// Fault is a span in which a daemon, or all of them, did not have what they need, or in which an
-// endpoint got or answered requests later than they were sent.
+// Fault is a period in which one or all daemons lacked something that they depend on, or in which requests
+// to an endpoint, or its answers, were delayed.
 type Fault struct {
-	// Daemon is whom it hit, everybody for all daemons; it is empty for a fault of an endpoint.
+	// Daemon is the affected daemon, or Everybody; it is empty for a fault of an endpoint.
 	Daemon   string
 	Endpoint string
 	From, To time.Time
@@ -91,17 +92,17 @@
 	Planned bool
 }
 
-// Everybody is named by faults that all daemons feel.
+// Everybody stands for all daemons where a fault or a change names the one that it affects.
 const Everybody = "everybody"
 
-// Withdrawal is a key that was taken away and given back.
+// Withdrawal is a key that was withdrawn and later restored.
 type Withdrawal struct {
 	Key string
-	// From is when the store had accepted it, To when it was about to be given back.
+	// From is when the store had accepted the withdrawal, To is just before the key was restored.
 	From, To time.Time
 }
 
-// TakeOut is a data centre that was taken out and brought back.
+// TakeOut is a data centre that was taken out of service and brought back.
 type TakeOut struct {
 	DataCentre string
 	From, To   time.Time
@@ -109,13 +110,13 @@
 
 // Change is a change of the operators' rows or of a daemon's settings.
 type Change struct {
-	// Daemon is whom it reaches, everybody for the operators' rows.
+	// Daemon is the daemon whose settings changed, or Everybody for the operators' rows.
 	Daemon string
-	// From is when it was about to be sent, To when the store had accepted it or the daemon was signalled.
+	// From is just before the change was sent, To when the store had accepted it or the daemon was signalled.
 	From, To time.Time
 }
 
-// Leaving is an endpoint that said it would leave, or whose entry is gone for good.
+// Leaving is an endpoint that announced that it leaves, or whose entry was removed for good.
 type Leaving struct {
 	Endpoint string
 	At       time.Time
@@ -124,25 +125,25 @@
 // Stop is a graceful shutdown of a daemon.
 type Stop struct {
 	Daemon string
-	// From is the signal, To the end of the process.
+	// From is the time of the signal, To the end of the process.
 	From, To time.Time
-	// Killed is true if it did not end within its grace.
+	// Killed is true if the process did not end within its grace period.
 	Killed bool
 }
 
-// Held is memory that an engine still has set aside after all load has ended.
+// Held is memory that an engine still has reserved after all load has ended.
 type Held struct {
 	Endpoint string
 	Tokens   int
 }
 
-// Death is a process that ended although nobody had ended it.
+// Death is a process that ended although the soak had not ended it.
 type Death struct {
 	Process string
 	Error   string
 }
 
-// History is all that a soak saw.
+// History is everything that a soak recorded.
 type History struct {
 	Calls       []Call
 	Arrivals    []Arrival
@@ -154,27 +155,27 @@
 	Stops       []Stop
 	Held        []Held
 	Deaths      []Death
-	// Calm is when the last fault was over.
+	// Calm is the time when the last fault ended.
 	Calm time.Time
 }
 
-// calm is true if a daemon had all it needs for the whole time before a moment in which its bounds
-// begin to hold, and until then.
-func (history *History) calm(daemon string, from, until time.Time, stability time.Duration) bool {
-	return history.free(from.Add(-stability), until, func(fault *Fault) bool {
+// daemonUnaffected reports whether no fault affected a daemon between from, less stability, and until.
+func (history *History) daemonUnaffected(daemon string, from, until time.Time, stability time.Duration) bool {
+	return history.noFault(from.Add(-stability), until, func(fault *Fault) bool {
 		return fault.Daemon == daemon || fault.Daemon == Everybody
 	})
 }
 
-// prompt is true if nothing held requests up on their way to an endpoint.
-func (history *History) prompt(endpoint string, from, until time.Time) bool {
-	return history.free(from, until, func(fault *Fault) bool { return fault.Endpoint == endpoint })
+// endpointUnaffected reports whether no fault delayed requests to an endpoint between from and until.
+func (history *History) endpointUnaffected(endpoint string, from, until time.Time) bool {
+	return history.noFault(from, until, func(fault *Fault) bool { return fault.Endpoint == endpoint })
 }
 
-func (history *History) free(from, until time.Time, concerns func(fault *Fault) bool) bool {
+// noFault reports whether no fault that matches overlaps the period between from and until.
+func (history *History) noFault(from, until time.Time, matches func(fault *Fault) bool) bool {
 	for i := range history.Faults {
 		fault := &history.Faults[i]
-		if concerns(fault) && fault.From.Before(until) && fault.To.After(from) {
+		if matches(fault) && fault.From.Before(until) && fault.To.After(from) {
 			return false
 		}
 	}
--- a/dogwoodload/dogwoodsoakcheck/limits.go
+++ b/dogwoodload/dogwoodsoakcheck/limits.go
@@ -6,60 +6,60 @@
 	"time"
 )
 
-// retryBudget counts arrivals beyond the first of each request, over all daemons, in each window that
-// ends with such an arrival.
-func retryBudget(judged *judged) []Finding {
+// retryBudget counts repeated arrivals, that is all after the first of each request, over all daemons, in each
+// window that ends with such an arrival.
+func retryBudget(analysis *analysis) []Finding {
 	repeats := map[string][]time.Time{}
-	for i := range judged.Arrivals {
-		arrival := &judged.Arrivals[i]
-		if judged.arrivals[arrival.RequestID][0] != arrival {
+	for i := range analysis.Arrivals {
+		arrival := &analysis.Arrivals[i]
+		if analysis.arrivals[arrival.RequestID][0] != arrival {
 			repeats[arrival.Service] = append(repeats[arrival.Service], arrival.At)
 		}
 	}
 	var findings []Finding
 	for service, moments := range repeats {
 		for i, moment := range moments {
-			window := judged.bounds.RetryWindow
+			window := analysis.bounds.RetryWindow
 			first, _ := slices.BinarySearchFunc(moments, moment.Add(-window), time.Time.Compare)
 			count := i - first + 1
-			allowed := judged.bounds.RetryRatio*float64(judged.requests(service, moment)) + judged.bounds.RetryAllowance
+			allowed := analysis.bounds.RetryRatio*float64(analysis.maxRequests(service, moment)) + analysis.bounds.RetryAllowance
 			if float64(count) > allowed {
 				findings = append(findings, Finding{Detail: fmt.Sprintf("%d repeats at %s within %s, %.0f allowed", count, service, window, allowed), At: moment})
-				break // the first of a burst says it
+				break // one finding for each service is enough
 			}
 		}
 	}
 	return findings
 }
 
-// requests counts a service's requests in the window before a moment, or in the window before that,
-// or in the one between, whichever has most.
-func (judged *judged) requests(service string, moment time.Time) int {
-	window, most := judged.bounds.RetryWindow, 0
-	for _, back := range []time.Duration{0, window / 2, window} {
-		count, until := 0, moment.Add(-back)
-		for i := range judged.Calls {
-			call := &judged.Calls[i]
+// maxRequests returns the largest count of a service's requests in a window that ends at moment, half a
+// window before it or a whole window before it.
+func (analysis *analysis) maxRequests(service string, moment time.Time) int {
+	window, maxCount := analysis.bounds.RetryWindow, 0
+	for _, offset := range []time.Duration{0, window / 2, window} {
+		count, until := 0, moment.Add(-offset)
+		for i := range analysis.Calls {
+			call := &analysis.Calls[i]
 			if call.Service == service && call.Sent.After(until.Add(-window)) && !call.Sent.After(until) {
 				count++
 			}
 		}
-		most = max(most, count)
+		maxCount = max(maxCount, count)
 	}
-	return most
+	return maxCount
 }
 
-func coldLimit(judged *judged) []Finding {
+func coldLimit(analysis *analysis) []Finding {
 	recent := map[string][]time.Time{}
-	allowed := judged.bounds.ColdPerSecond*judged.bounds.ColdOvershoot + judged.bounds.ColdSlack
+	allowed := analysis.bounds.ColdPerSecond*analysis.bounds.ColdOvershoot + analysis.bounds.ColdSlack
 	var findings []Finding
-	for i := range judged.Arrivals {
-		arrival := &judged.Arrivals[i]
-		if !arrival.Cold || !judged.prompt(arrival.Endpoint, arrival.At.Add(-time.Second), arrival.At) {
-			continue // what was held up on its way arrives at once
+	for i := range analysis.Arrivals {
+		arrival := &analysis.Arrivals[i]
+		if !arrival.Cold || !analysis.endpointUnaffected(arrival.Endpoint, arrival.At.Add(-time.Second), arrival.At) {
+			continue // requests that were delayed on their way arrive together
 		}
-		kept := slices.DeleteFunc(recent[arrival.Endpoint], func(moment time.Time) bool { return arrival.At.Sub(moment) >= time.Second })
-		recent[arrival.Endpoint] = append(kept, arrival.At)
+		recentArrivals := slices.DeleteFunc(recent[arrival.Endpoint], func(moment time.Time) bool { return arrival.At.Sub(moment) >= time.Second })
+		recent[arrival.Endpoint] = append(recentArrivals, arrival.At)
 		if count := len(recent[arrival.Endpoint]); float64(count) > allowed {
 			findings = append(findings, Finding{Detail: fmt.Sprintf("%d requests within a second reached %s, which was cold and bears %.1f", count, arrival.Endpoint, allowed), RequestID: arrival.RequestID, At: arrival.At})
 		}
@@ -67,9 +67,9 @@
 	return findings
 }
 
-func memoryHeld(judged *judged) []Finding {
+func memoryHeld(analysis *analysis) []Finding {
 	var findings []Finding
-	for _, held := range judged.Held {
+	for _, held := range analysis.Held {
 		if held.Tokens > 0 {
 			findings = append(findings, Finding{Detail: fmt.Sprintf("%s has memory for %d tokens set aside after all requests have ended", held.Endpoint, held.Tokens)})
 		}
--- a/dogwoodload/dogwoodsoakcheck/requests.go
+++ b/dogwoodload/dogwoodsoakcheck/requests.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-func twiceRun(judged *judged) []Finding {
-	return judged.byCall(func(call *Call) string {
-		runs := judged.runs[call.ID]
+func twiceRun(analysis *analysis) []Finding {
+	return analysis.checkCalls(func(call *Call) string {
+		runs := analysis.runs[call.ID]
 		if call.Kind != Once || len(runs) < 2 {
 			return ""
 		}
@@ -16,9 +16,9 @@
 	})
 }
 
-func falseNotRun(judged *judged) []Finding {
-	return judged.byCall(func(call *Call) string {
-		runs := judged.runs[call.ID]
+func falseNotRun(analysis *analysis) []Finding {
+	return analysis.checkCalls(func(call *Call) string {
+		runs := analysis.runs[call.ID]
 		if call.Kind != Once || !call.NotRun || len(runs) == 0 {
 			return ""
 		}
@@ -26,8 +26,8 @@
 	})
 }
 
-func wrongAnswer(judged *judged) []Finding {
-	return judged.byCall(func(call *Call) string {
+func wrongAnswer(analysis *analysis) []Finding {
+	return analysis.checkCalls(func(call *Call) string {
 		switch {
 		case !call.Whole || call.Status != 200:
 			return ""
@@ -39,19 +39,19 @@
 	})
 }
 
-func unaskedRun(judged *judged) []Finding {
+func unaskedRun(analysis *analysis) []Finding {
 	var findings []Finding
-	for i := range judged.Arrivals {
-		arrival := &judged.Arrivals[i]
-		if arrival.Ran && judged.calls[arrival.RequestID] == nil {
+	for i := range analysis.Arrivals {
+		arrival := &analysis.Arrivals[i]
+		if arrival.Ran && analysis.calls[arrival.RequestID] == nil {
 			findings = append(findings, Finding{Detail: "ran on " + arrival.Endpoint + ", but no caller sent it", RequestID: arrival.RequestID, At: arrival.At})
 		}
 	}
 	return findings
 }
 
-func keyPassedOn(judged *judged) []Finding {
-	return judged.byArrival(func(arrival *Arrival, _ *Call) string {
+func keyPassedOn(analysis *analysis) []Finding {
+	return analysis.checkArrivals(func(arrival *Arrival, _ *Call) string {
 		if !arrival.KeySeen {
 			return ""
 		}
@@ -59,26 +59,26 @@
 	})
 }
 
-func answeredLate(judged *judged) []Finding {
-	return judged.byCall(func(call *Call) string {
-		over := call.Ended.Sub(call.Sent) - call.Wait - judged.bounds.AnswerSlack
-		if over <= 0 || !judged.calm(call.Daemon, call.Sent, call.Ended, judged.bounds.Stability) {
+func answeredLate(analysis *analysis) []Finding {
+	return analysis.checkCalls(func(call *Call) string {
+		excess := call.Ended.Sub(call.Sent) - call.Wait - analysis.bounds.AnswerSlack
+		if excess <= 0 || !analysis.daemonUnaffected(call.Daemon, call.Sent, call.Ended, analysis.bounds.Stability) {
 			return ""
 		}
-		return fmt.Sprintf("had neither an answer nor an end %s after its time limit of %s", (over + judged.bounds.AnswerSlack).Round(time.Millisecond), call.Wait)
+		return fmt.Sprintf("had neither an answer nor an end %s after its time limit of %s", (excess + analysis.bounds.AnswerSlack).Round(time.Millisecond), call.Wait)
 	})
 }
 
-// cutByStop looks for requests that a daemon had taken before or just after its signal to stop, and that
-// ended without an answer although nothing else was broken on their way.
-func cutByStop(judged *judged) []Finding {
-	return judged.byCall(func(call *Call) string {
+// cutByStop finds requests that a daemon accepted before or shortly after its signal to stop, and that ended
+// without an answer although nothing but the shutdown can explain it.
+func cutByStop(analysis *analysis) []Finding {
+	return analysis.checkCalls(func(call *Call) string {
 		if call.Whole {
 			return ""
 		}
-		for _, stop := range judged.Stops {
-			taken := stop.Daemon == call.Daemon && call.Sent.Before(stop.From.Add(judged.bounds.TakesFor)) && call.Ended.After(stop.From)
-			if taken && !stop.Killed && !judged.brokenOtherwise(call) {
+		for _, stop := range analysis.Stops {
+			accepted := stop.Daemon == call.Daemon && call.Sent.Before(stop.From.Add(analysis.bounds.TakesFor)) && call.Ended.After(stop.From)
+			if accepted && !stop.Killed && !analysis.hasOtherCause(call) {
 				return fmt.Sprintf("was cut by the shutdown of %s, %s after the signal: %s", call.Daemon, call.Ended.Sub(stop.From).Round(time.Millisecond), call.Error)
 			}
 		}
@@ -86,11 +86,11 @@
 	})
 }
 
-// cutByChange looks for requests that ended without an answer beside a change.
-func cutByChange(judged *judged) []Finding {
-	return judged.byCall(func(call *Call) string {
-		change := judged.changeBeside(call)
-		if change == nil || !judged.cutUnbroken(call) {
+// cutByChange finds requests that ended without an answer during a change, although no fault explains it.
+func cutByChange(analysis *analysis) []Finding {
+	return analysis.checkCalls(func(call *Call) string {
+		change := analysis.concurrentChange(call)
+		if change == nil || !analysis.cutWithoutFault(call) {
 			return ""
 		}
 		return fmt.Sprintf("was cut by %s after %s, beside a change for %s that was sent %s before: %s", call.Daemon,
@@ -98,51 +98,51 @@
 	})
 }
 
-// cutWithoutCause looks for those that nothing explains, not even a change.
-func cutWithoutCause(judged *judged) []Finding {
-	return judged.byCall(func(call *Call) string {
-		if judged.changeBeside(call) != nil || !judged.cutUnbroken(call) {
+// cutWithoutCause finds requests that ended without an answer although neither a fault nor a change explains it.
+func cutWithoutCause(analysis *analysis) []Finding {
+	return analysis.checkCalls(func(call *Call) string {
+		if analysis.concurrentChange(call) != nil || !analysis.cutWithoutFault(call) {
 			return ""
 		}
 		return fmt.Sprintf("was cut by %s after %s: %s", call.Daemon, call.Ended.Sub(call.Sent).Round(time.Millisecond), call.Error)
 	})
 }
 
-// changeBeside is the latest change while which a request was under way, nil if there is none.
-func (judged *judged) changeBeside(call *Call) *Change {
+// concurrentChange returns the latest change that overlaps a request, or nil.
+func (analysis *analysis) concurrentChange(call *Call) *Change {
 	var latest *Change
-	for i := range judged.Changes {
-		change := &judged.Changes[i]
-		bound := judged.bounds.Configuration
+	for i := range analysis.Changes {
+		change := &analysis.Changes[i]
+		bound := analysis.bounds.Configuration
 		if change.Daemon == Everybody {
-			bound += judged.bounds.TextSlack
+			bound += analysis.bounds.TextSlack
 		}
-		concerned := change.Daemon == call.Daemon || change.Daemon == Everybody
-		beside := call.Sent.Before(change.To.Add(bound)) && call.Ended.After(change.From)
-		if concerned && beside && (latest == nil || change.From.After(latest.From)) {
+		affected := change.Daemon == call.Daemon || change.Daemon == Everybody
+		concurrent := call.Sent.Before(change.To.Add(bound)) && call.Ended.After(change.From)
+		if affected && concurrent && (latest == nil || change.From.After(latest.From)) {
 			latest = change
 		}
 	}
 	return latest
 }
 
-// cutUnbroken is true for a request that ended without an answer although its daemon had all it needs
-// and nothing was broken on its way.
-func (judged *judged) cutUnbroken(call *Call) bool {
-	return !call.Whole && !judged.brokenOtherwise(call) && judged.calm(call.Daemon, call.Sent, call.Ended, judged.bounds.Stability)
+// cutWithoutFault reports whether a request ended without an answer although no fault affected its daemon or an
+// endpoint that it reached.
+func (analysis *analysis) cutWithoutFault(call *Call) bool {
+	return !call.Whole && !analysis.hasOtherCause(call) && analysis.daemonUnaffected(call.Daemon, call.Sent, call.Ended, analysis.bounds.Stability)
 }
 
-// brokenOtherwise is true if something else than a shutdown may have ended a request.
-func (judged *judged) brokenOtherwise(call *Call) bool {
+// hasOtherCause reports whether something other than a graceful shutdown may have ended a request.
+func (analysis *analysis) hasOtherCause(call *Call) bool {
 	if call.Ended.Sub(call.Sent) >= call.Wait {
 		return true
 	}
-	if !judged.free(call.Sent.Add(-judged.bounds.Stability), call.Ended, func(fault *Fault) bool {
+	if !analysis.noFault(call.Sent.Add(-analysis.bounds.Stability), call.Ended, func(fault *Fault) bool {
 		return !fault.Planned && (fault.Daemon == call.Daemon || fault.Daemon == Everybody)
 	}) {
 		return true
 	}
-	return slices.ContainsFunc(judged.arrivals[call.ID], func(arrival *Arrival) bool {
-		return !judged.prompt(arrival.Endpoint, call.Sent, call.Ended)
+	return slices.ContainsFunc(analysis.arrivals[call.ID], func(arrival *Arrival) bool {
+		return !analysis.endpointUnaffected(arrival.Endpoint, call.Sent, call.Ended)
 	})
 }
--- a/dogwoodload/dogwoodsoakcheck/summary.go
+++ b/dogwoodload/dogwoodsoakcheck/summary.go
@@ -4,16 +4,17 @@
 	"time"
 )
 
-// Summary is what a soak did, in counts.
+// Summary counts the requests of a soak by outcome.
 type Summary struct {
 	Sent, Served, RefusedNotRun, Failed, Broken int
-	// Runs are the requests that endpoints began to work on, repeats included.
+	// Runs counts the runs at endpoints, including repeated ones of one request.
 	Runs int
-	// LongestEnd is how much after its time limit the latest request ended; negative if none did.
+	// LongestEnd is the largest time by which a request ended after its time limit; it is negative if all ended
+	// before theirs.
 	LongestEnd time.Duration
 }
 
-// Summarise counts.
+// Summarise returns the counts of a history.
 func Summarise(history *History) Summary {
 	summary := Summary{LongestEnd: -time.Hour}
 	for i := range history.Calls {
--- a/dogwoodload/dogwoodsoakplan/plan.go
+++ b/dogwoodload/dogwoodsoakplan/plan.go
@@ -1,5 +1,5 @@
-// Package dogwoodsoakplan draws from a seed what breaks in a soak, and when. It touches nothing; the
-// same seed and shape give the same steps.
+// Package dogwoodsoakplan draws the steps of a soak from a seed: which faults and changes occur, and when. It has no
+// side effects; the same seed and shape give the same steps.
 package dogwoodsoakplan
 
 import (
@@ -9,48 +9,48 @@
 	"time"
 )
 
-// Kind is what a step does.
+// Kind is the kind of fault or change that a step makes.
 type Kind string
 
-// The kinds of steps. Those that last end after the step's duration.
+// The kinds of steps. A step that has a duration ends after it.
 const (
 	// DaemonKilled kills a daemon's process and starts it again.
 	DaemonKilled Kind = "DaemonKilled"
 	// DaemonStopped shuts a daemon down gracefully and starts it again.
 	DaemonStopped Kind = "DaemonStopped"
-	// DaemonFrozen has a daemon's process get no processor for a while.
+	// DaemonFrozen suspends a daemon's process for a while.
 	DaemonFrozen Kind = "DaemonFrozen"
-	// DaemonReloaded changes a daemon's settings file and signals that.
+	// DaemonReloaded changes a daemon's settings file and signals the daemon to reload it.
 	DaemonReloaded Kind = "DaemonReloaded"
-	// StoreUnreachable breaks the connections between a daemon and the store, and new ones.
+	// StoreUnreachable resets a daemon's connections to the store and refuses new ones.
 	StoreUnreachable Kind = "StoreUnreachable"
-	// StoreMute has a daemon's connections to the store go silent, without being closed.
+	// StoreMute makes a daemon's connections to the store fall silent without closing them.
 	StoreMute Kind = "StoreMute"
-	// StoreOneWay has questions arrive at the store and no answer come back.
+	// StoreOneWay lets a daemon's queries reach the store but holds back the answers.
 	StoreOneWay Kind = "StoreOneWay"
-	// CallersReset breaks the connections of a daemon's callers.
+	// CallersReset resets the connections of a daemon's callers.
 	CallersReset Kind = "CallersReset"
-	// CallersMute has the connections of a daemon's callers go silent.
+	// CallersMute makes the connections of a daemon's callers fall silent.
 	CallersMute Kind = "CallersMute"
 	// EndpointKilled kills an endpoint's process and starts it again, cold.
 	EndpointKilled Kind = "EndpointKilled"
-	// EndpointReplaced has an endpoint leave in order, and a new one come.
+	// EndpointReplaced shuts an endpoint down gracefully and starts a new one.
 	EndpointReplaced Kind = "EndpointReplaced"
-	// EndpointFrozen has an endpoint's process get no processor for a while.
+	// EndpointFrozen suspends an endpoint's process for a while.
 	EndpointFrozen Kind = "EndpointFrozen"
-	// EndpointReset breaks all connections to an endpoint once.
+	// EndpointReset resets all connections to an endpoint once.
 	EndpointReset Kind = "EndpointReset"
-	// EndpointMute has the connections to an endpoint go silent.
+	// EndpointMute makes the connections to an endpoint fall silent.
 	EndpointMute Kind = "EndpointMute"
-	// EndpointOneWay has requests arrive at an endpoint and no answer come back.
+	// EndpointOneWay lets requests reach an endpoint but holds back the answers.
 	EndpointOneWay Kind = "EndpointOneWay"
-	// EndpointSlow delays all that an endpoint's connections carry.
+	// EndpointSlow delays all data on an endpoint's connections.
 	EndpointSlow Kind = "EndpointSlow"
-	// EndpointBusy has an endpoint write nothing for a while and then go on; that is no fault.
+	// EndpointBusy makes an endpoint send nothing for a while and then continue, which doesn't count as a fault.
 	EndpointBusy Kind = "EndpointBusy"
-	// EntryLapsed removes an endpoint's entry and has it back after the duration.
+	// EntryLapsed removes an endpoint's entry and restores it after the duration.
 	EntryLapsed Kind = "EntryLapsed"
-	// StoreDown, StoreSilent, StoreSlow and StoreLosing are faults of the store for all.
+	// StoreDown, StoreSilent, StoreSlow and StoreLosing are faults of the store that affect all daemons.
 	StoreDown   Kind = "StoreDown"
 	StoreSilent Kind = "StoreSilent"
 	StoreSlow   Kind = "StoreSlow"
@@ -59,13 +59,13 @@
 	StoreForgets Kind = "StoreForgets"
 	// TextChanged publishes a new version of the operators' text.
 	TextChanged Kind = "TextChanged"
-	// KeyWithdrawn takes a customer's key away and gives it back after the duration.
+	// KeyWithdrawn withdraws a customer's key and restores it after the duration.
 	KeyWithdrawn Kind = "KeyWithdrawn"
-	// TakenOut takes a data centre out and brings it back after the duration.
+	// TakenOut takes a data centre out of service and brings it back after the duration.
 	TakenOut Kind = "TakenOut"
 )
 
-// Subject is what a kind of step is done to.
+// Subject is what a kind of step acts on.
 type Subject int
 
 // The subjects.
@@ -77,20 +77,20 @@
 	DataCentre
 )
 
-// traits say how often a kind is drawn, on what, and how long it lasts.
+// traits hold how often a kind is drawn, what it acts on and how long it lasts.
 type traits struct {
-	kind        Kind
-	subject     Subject
-	weight      int
-	least, most time.Duration
-	// apart is the time between two steps of a series; 0 if the kind comes alone.
-	apart time.Duration
+	kind                     Kind
+	subject                  Subject
+	weight                   int
+	minDuration, maxDuration time.Duration
+	// seriesInterval is the time between two steps of a series; 0 if the kind never occurs in a series.
+	seriesInterval time.Duration
 }
 
 const second = time.Second
 
-// kinds lists all kinds. Times go beyond the bounds of 4 and 5 seconds that daemons keep, so that
-// some steps are over before these and some after.
+// kinds lists all kinds but those in busyKinds. Many durations range to both sides of the daemons' bounds of 4 and 5
+// seconds, so that some steps end before these bounds and some after.
 var kinds = []traits{
 	{DaemonKilled, Daemon, 6, second / 2, 3 * second, second / 2},
 	{DaemonStopped, Daemon, 6, second / 2, 2 * second, second},
@@ -119,12 +119,12 @@
 	{TakenOut, DataCentre, 2, 6 * second, 10 * second, 0},
 }
 
-// busy is drawn beside the others.
-var busy = []traits{
+// busyKinds lists the kinds that are drawn independently of kinds.
+var busyKinds = []traits{
 	{EndpointBusy, Endpoint, 1, second, 3 * second, second / 10},
 }
 
-// Shape is how much there is to break.
+// Shape holds the number of subjects of each type.
 type Shape struct {
 	Daemons, Endpoints, Keys, DataCentres int
 }
@@ -144,58 +144,58 @@
 	}
 }
 
-// Step is one thing that breaks.
+// Step is one fault or change.
 type Step struct {
 	At  time.Duration
 	For time.Duration
-	// Kind is done to the subject of that number.
+	// Kind is the kind of the step, Target the number of the subject that it acts on.
 	Kind   Kind
 	Target int
 }
 
 const (
-	// stepEvery is the mean time between two draws. Many steps last longer, so that they overlap.
-	stepEvery = 1500 * time.Millisecond
-	// seriesShare is the part of the draws that hit several subjects one after the other.
+	// stepInterval is the mean time between two draws. Many steps last longer, so that they overlap.
+	stepInterval = 1500 * time.Millisecond
+	// seriesShare is the share of the draws that make a series, which acts on several subjects one after another.
 	seriesShare = 0.25
-	// seriesMost bounds such a series.
-	seriesMost = 4
-	// busyEvery and busySeriesShare are the same for endpoints that are busy.
-	busyEvery       = 4 * time.Second
+	// maxSeries bounds the number of steps in a series.
+	maxSeries = 4
+	// busyInterval and busySeriesShare are the same for busyKinds.
+	busyInterval    = 4 * time.Second
 	busySeriesShare = 0.5
 )
 
-// Draw returns the steps of a seed in their order, all of them over by the end.
+// Draw returns the steps of a seed in order of time. All of them start and end between from and until.
 func Draw(seed uint64, shape Shape, from, until time.Duration) []Step {
-	faults := sequence{rand.New(rand.NewPCG(seed, seed)), kinds, stepEvery, seriesShare}
-	pauses := sequence{rand.New(rand.NewPCG(seed, ^seed)), busy, busyEvery, busySeriesShare}
+	faults := sequence{rand.New(rand.NewPCG(seed, seed)), kinds, stepInterval, seriesShare}
+	pauses := sequence{rand.New(rand.NewPCG(seed, ^seed)), busyKinds, busyInterval, busySeriesShare}
 	steps := append(faults.draw(shape, from, until), pauses.draw(shape, from, until)...)
-	slices.SortStableFunc(steps, func(one, other Step) int { return cmp.Compare(one.At, other.At) })
+	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	return steps
 }
 
-// sequence draws steps independently of others.
+// sequence draws steps independently of other sequences.
 type sequence struct {
 	random      *rand.Rand
 	kinds       []traits
-	every       time.Duration
+	interval    time.Duration
 	seriesShare float64
 }
 
 func (sequence *sequence) draw(shape Shape, from, until time.Duration) []Step {
 	random := sequence.random
 	var steps []Step
-	for at := from; at < until; at += time.Duration(random.ExpFloat64() * float64(sequence.every)) {
+	for at := from; at < until; at += time.Duration(random.ExpFloat64() * float64(sequence.interval)) {
 		traits := pick(random, sequence.kinds)
 		series := 1
-		if traits.apart > 0 && random.Float64() < sequence.seriesShare {
-			series = 2 + random.IntN(seriesMost-1)
+		if traits.seriesInterval > 0 && random.Float64() < sequence.seriesShare {
+			series = 2 + random.IntN(maxSeries-1)
 		}
 		first := random.IntN(shape.count(traits.subject))
-		lasts := traits.least + time.Duration(random.Float64()*float64(traits.most-traits.least))
+		duration := traits.minDuration + time.Duration(random.Float64()*float64(traits.maxDuration-traits.minDuration))
 		for number := range series {
 			step := Step{
-				At: at + time.Duration(number)*traits.apart, For: lasts,
+				At: at + time.Duration(number)*traits.seriesInterval, For: duration,
 				Kind: traits.kind, Target: (first + number) % shape.count(traits.subject),
 			}
 			if step.At+step.For <= until {
@@ -208,23 +208,23 @@
 
 func pick(random *rand.Rand, kinds []traits) traits {
 	sum := 0
-	for _, each := range kinds {
-		sum += each.weight
+	for _, candidate := range kinds {
+		sum += candidate.weight
 	}
 	drawn := random.IntN(sum)
-	for _, each := range kinds {
-		if drawn -= each.weight; drawn < 0 {
-			return each
+	for _, candidate := range kinds {
+		if drawn -= candidate.weight; drawn < 0 {
+			return candidate
 		}
 	}
 	return kinds[len(kinds)-1]
 }
 
-// SubjectOf returns what a kind is done to.
+// SubjectOf returns what a kind of step acts on.
 func SubjectOf(kind Kind) Subject {
-	for _, each := range slices.Concat(kinds, busy) {
-		if each.kind == kind {
-			return each.subject
+	for _, candidate := range slices.Concat(kinds, busyKinds) {
+		if candidate.kind == kind {
+			return candidate.subject
 		}
 	}
 	return Store
--- a/dogwoodload/dogwoodsoakplan/plan_test.go
+++ b/dogwoodload/dogwoodsoakplan/plan_test.go
@@ -13,8 +13,8 @@
 	until = 40 * time.Second
 )
 
-// A seed that found something must find it again: the same steps, whatever else has run.
-func TestASeedGivesTheSameSteps(t *testing.T) {
+// A finding must be reproducible from its seed: the same seed gives the same steps, whatever has run before.
+func TestDrawIsDeterministic(t *testing.T) {
 	for seed := range uint64(20) {
 		got, want := Draw(seed, shape, from, until), Draw(seed, shape, from, until)
 		if !slices.Equal(got, want) {
@@ -26,8 +26,8 @@
 	}
 }
 
-// Callers must have time to recover after the last step, and each step needs somebody to be done to.
-func TestStepsKeepToTheirTimesAndTargets(t *testing.T) {
+// All steps must end by until, so that time to recover remains, and each step needs an existing target.
+func TestStepTimesAndTargets(t *testing.T) {
 	drawn := map[Kind]bool{}
 	for seed := range uint64(200) {
 		steps := Draw(seed, shape, from, until)
@@ -36,32 +36,32 @@
 			if step.At < from || step.At+step.For > until {
 				t.Errorf("seed %d: %+v is not between %s and %s", seed, step, from, until)
 			}
-			if most := shape.count(SubjectOf(step.Kind)); step.Target < 0 || step.Target >= most {
-				t.Errorf("seed %d: %+v has a target beyond %d", seed, step, most)
+			if count := shape.count(SubjectOf(step.Kind)); step.Target < 0 || step.Target >= count {
+				t.Errorf("seed %d: %+v has a target beyond %d", seed, step, count)
 			}
 			if i > 0 && step.At < steps[i-1].At {
 				t.Errorf("seed %d: %+v comes after %+v", seed, step, steps[i-1])
 			}
 		}
 	}
-	for _, each := range slices.Concat(kinds, busy) {
-		if !drawn[each.kind] {
-			t.Errorf("no seed of 200 draws %s", each.kind)
+	for _, candidate := range slices.Concat(kinds, busyKinds) {
+		if !drawn[candidate.kind] {
+			t.Errorf("no seed of 200 draws %s", candidate.kind)
 		}
 	}
 }
 
-// Some steps overlap in time and some hit several daemons one after the other.
-func TestStepsOverlapAndComeInSeries(t *testing.T) {
+// Some steps overlap in time and some form series that act on several subjects one after another.
+func TestStepsOverlapAndFormSeries(t *testing.T) {
 	overlaps, series := 0, 0
 	for seed := range uint64(20) {
 		steps := Draw(seed, shape, from, until)
 		for i := 1; i < len(steps); i++ {
-			before := steps[i-1]
-			if before.At+before.For > steps[i].At {
+			previous := steps[i-1]
+			if previous.At+previous.For > steps[i].At {
 				overlaps++
 			}
-			if before.Kind == steps[i].Kind && before.For == steps[i].For && before.Target != steps[i].Target {
+			if previous.Kind == steps[i].Kind && previous.For == steps[i].For && previous.Target != steps[i].Target {
 				series++
 			}
 		}
--- a/dogwoodload/dogwoodsoakprocess/process.go
+++ b/dogwoodload/dogwoodsoakprocess/process.go
@@ -1,4 +1,5 @@
-// Package dogwoodsoakprocess starts the soak's processes and ends them, by their ids alone.
+// Package dogwoodsoakprocess starts the processes of a soak and ends them. It signals only processes that it started,
+// by process id.
 package dogwoodsoakprocess
 
 import (
@@ -15,18 +16,18 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("process")
 
-// Spec is what is started.
+// Spec describes a process to start.
 type Spec struct {
 	Name      string
 	Path      string
 	Arguments []string
-	// Environment is added to the path variable; nothing else is passed on.
+	// Environment is the environment of the process, besides PATH. No other variables are inherited.
 	Environment []string
 	// Log is the file to which the process's output is appended.
 	Log string
 }
 
-// Process is a process that was started.
+// Process is a started process.
 type Process struct {
 	name    string
 	command *exec.Cmd
@@ -36,33 +37,33 @@
 	err   error
 }
 
-// Group is the processes of a soak. It is safe for concurrent use.
+// Group holds the processes of a soak. It is safe for concurrent use.
 type Group struct {
-	waiting errgroup.Group
+	waiters errgroup.Group
 
 	mutex   sync.Mutex
 	started []*Process
 }
 
-// Start starts a process.
+// Start starts a process. It keeps running when the context ends; End kills it.
 func (group *Group) Start(ctx context.Context, spec Spec) (*Process, error) {
 	log, err := os.OpenFile(spec.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	defer func() { _ = log.Close() }() // the process has its own
-	// The end of the context ends the soak's work first; End then ends the processes.
+	defer func() { _ = log.Close() }() // the process has a duplicate of it
+	// The context's end must not kill the process: the soak's work ends first, then End ends the processes.
 	command := exec.CommandContext(context.WithoutCancel(ctx), spec.Path, spec.Arguments...) //nolint:gosec // G204: the soak's own programs
 	command.Env = append([]string{"PATH=" + os.Getenv("PATH")}, spec.Environment...)
 	command.Stdout, command.Stderr = log, log
-	// A soak that crashes takes its processes with it, and the terminal's interrupt reaches only
-	// the soak, which ends them in its own order.
+	// The processes die if the soak crashes. An interrupt from the terminal reaches only the soak, which then ends
+	// them in order.
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	if err := command.Start(); err != nil {
 		return nil, Error.New("%s: %w", spec.Name, err)
 	}
 	process := &Process{name: spec.Name, command: command, ended: make(chan struct{})}
-	group.waiting.Go(func() error {
+	group.waiters.Go(func() error {
 		err := command.Wait()
 		process.mutex.Lock()
 		process.err = err
@@ -76,20 +77,20 @@
 	return process, nil
 }
 
-// End kills all processes that still run and waits for them.
+// End kills all running processes and waits for them.
 func (group *Group) End() {
 	group.mutex.Lock()
 	started := group.started
 	group.mutex.Unlock()
 	for _, process := range started {
 		if process.Running() {
-			_ = process.Signal(syscall.SIGKILL) // it may end by itself at this moment
+			_ = process.Signal(syscall.SIGKILL) // the process may have just ended
 		}
 	}
-	_ = group.waiting.Wait() // the waits return no error
+	_ = group.waiters.Wait() // the waits return no error
 }
 
-// Signal sends a signal.
+// Signal sends a signal to the process.
 func (process *Process) Signal(signal syscall.Signal) error {
 	if err := process.command.Process.Signal(signal); err != nil {
 		return Error.New("%s: %w", process.name, err)
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// Running is false once the process has ended.
+// Running reports whether the process has not ended yet.
 func (process *Process) Running() bool {
 	select {
 	case <-process.ended:
@@ -107,7 +108,7 @@
 	}
 }
 
-// Wait returns when the process has ended, with false if the context ends first.
+// Wait waits for the process to end. It returns false if the context ends first.
 func (process *Process) Wait(ctx context.Context) bool {
 	select {
 	case <-process.ended:
@@ -117,7 +118,7 @@
 	}
 }
 
-// Err is how the process ended: nil for a success, and while it runs.
+// Err returns the error with which the process ended. It is nil after a success and while the process runs.
 func (process *Process) Err() error {
 	process.mutex.Lock()
 	defer process.mutex.Unlock()
--- a/dogwoodload/dogwoodsoakprocess/process_test.go
+++ b/dogwoodload/dogwoodsoakprocess/process_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// The soak ends with processes that run, that are frozen and that have ended by themselves. None of
-// them is left, and what they wrote is in their logs.
-func TestEndLeavesNoProcess(t *testing.T) {
+// End kills running and frozen processes and copes with those that have already ended. The output of a process is in
+// its log.
+func TestEndKillsAllProcesses(t *testing.T) {
 	directory := t.TempDir()
 	var group Group
 	start := func(name, command string) *Process {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestAProgramThatIsNotThere(t *testing.T) {
+func TestMissingProgram(t *testing.T) {
 	var group Group
 	_, err := group.Start(t.Context(), Spec{Name: "none", Path: "/no/such/program", Log: filepath.Join(t.TempDir(), "log")})
 	if err == nil || !strings.Contains(err.Error(), "none") {
--- a/dogwoodload/dogwoodsoakproxy/proxy.go
+++ b/dogwoodload/dogwoodsoakproxy/proxy.go
@@ -1,5 +1,5 @@
-// Package dogwoodsoakproxy is a proxy on loopback that breaks the connections which it carries: it
-// resets them, has them go silent both ways or one way without closing them, or delays them.
+// Package dogwoodsoakproxy is a TCP proxy on loopback that injects faults into its connections: it resets them, holds
+// back their data in one or both directions without closing them, or delays the data.
 package dogwoodsoakproxy
 
 import (
@@ -20,37 +20,37 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("proxy")
 
-// Fault is how connections are carried. The zero value carries all at once.
+// Fault is the fault that a proxy injects. The zero value forwards everything without delay.
 type Fault struct {
 	// Refused resets new connections.
 	Refused bool
-	// Mute holds all bytes back, both ways.
+	// Mute holds back all data in both directions.
 	Mute bool
-	// MuteBack holds back only what the target sends.
+	// MuteBack holds back only the data that the target sends.
 	MuteBack bool
-	// Delay is added to each piece.
+	// Delay is the delay of each chunk of data.
 	Delay time.Duration
 }
 
 const (
-	// pieceBytes is the most that is carried at once.
-	pieceBytes = 16 << 10
-	dialWithin = time.Second
+	// chunkBytes is the maximum size of a chunk.
+	chunkBytes  = 16 << 10
+	dialTimeout = time.Second
 )
 
-// Proxy carries connections to a target. It is safe for concurrent use.
+// Proxy forwards connections to a target. It is safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 	target   netip.AddrPort
 	group    *errgroup.Group
 
-	mutex   sync.Mutex
-	fault   Fault
-	changed chan struct{} // closed when the fault changes
-	carried map[net.Conn]struct{}
+	mutex       sync.Mutex
+	fault       Fault
+	changed     chan struct{} // closed when the fault changes
+	connections map[net.Conn]struct{}
 }
 
-// Start listens on a port of its own and carries connections until the context ends.
+// Start listens on a free port and forwards connections until the context ends.
 func Start(ctx context.Context, target netip.AddrPort) (*Proxy, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", "127.0.0.1:0")
@@ -58,24 +58,24 @@
 		return nil, Error.Wrap(err)
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	proxy := &Proxy{listener: listener, target: target, group: group, changed: make(chan struct{}), carried: map[net.Conn]struct{}{}}
+	proxy := &Proxy{listener: listener, target: target, group: group, changed: make(chan struct{}), connections: map[net.Conn]struct{}{}}
 	context.AfterFunc(ctx, func() {
-		_ = listener.Close() // it ends Accept, which reports it
+		_ = listener.Close() // Accept returns net.ErrClosed
 		proxy.Reset()
 	})
 	group.Go(func() error { return proxy.accept(ctx) })
 	return proxy, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address at which the proxy listens.
 func (proxy *Proxy) Address() netip.AddrPort {
 	return netip.MustParseAddrPort(proxy.listener.Addr().String())
 }
 
-// Wait returns when all connections have ended.
+// Wait waits until the proxy has stopped and all connections have ended.
 func (proxy *Proxy) Wait() error { return proxy.group.Wait() }
 
-// Set has all connections be carried otherwise from now on.
+// Set sets the fault that is injected into all connections from now on.
 func (proxy *Proxy) Set(fault Fault) {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
@@ -84,40 +84,40 @@
 	proxy.changed = make(chan struct{})
 }
 
-// Reset breaks all connections.
+// Reset resets all connections.
 func (proxy *Proxy) Reset() {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
-	for connection := range proxy.carried {
+	for connection := range proxy.connections {
 		reset(connection)
 	}
 }
 
-// reset closes a connection so that its other end sees a reset, not an end.
+// reset closes a connection so that the peer sees a reset and not an orderly end.
 func reset(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // it may be closed already
+		_ = tcp.SetLinger(0) // the connection may be closed already
 	}
 	_ = connection.Close() // as above
 }
 
-func (proxy *Proxy) now() (Fault, <-chan struct{}) {
+func (proxy *Proxy) current() (Fault, <-chan struct{}) {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
 	return proxy.fault, proxy.changed
 }
 
-func (proxy *Proxy) keep(connection net.Conn) {
+func (proxy *Proxy) add(connection net.Conn) {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
-	proxy.carried[connection] = struct{}{}
+	proxy.connections[connection] = struct{}{}
 }
 
-func (proxy *Proxy) drop(connection net.Conn) {
+func (proxy *Proxy) remove(connection net.Conn) {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
-	delete(proxy.carried, connection)
-	_ = connection.Close() // it may have been reset
+	delete(proxy.connections, connection)
+	_ = connection.Close() // the connection may have been reset
 }
 
 func (proxy *Proxy) accept(ctx context.Context) error {
@@ -130,48 +130,48 @@
 			return Error.Wrap(err)
 		}
 		proxy.group.Go(func() error {
-			proxy.carry(ctx, connection)
+			proxy.forward(ctx, connection)
 			return nil
 		})
 	}
 }
 
-// carry joins a connection with one to the target.
-func (proxy *Proxy) carry(ctx context.Context, from net.Conn) {
-	proxy.keep(from)
-	defer proxy.drop(from)
-	if fault, _ := proxy.now(); fault.Refused {
+// forward connects to the target and copies data between the two connections until they end.
+func (proxy *Proxy) forward(ctx context.Context, from net.Conn) {
+	proxy.add(from)
+	defer proxy.remove(from)
+	if fault, _ := proxy.current(); fault.Refused {
 		reset(from)
 		return
 	}
-	dialer := net.Dialer{Timeout: dialWithin}
+	dialer := net.Dialer{Timeout: dialTimeout}
 	to, err := dialer.DialContext(ctx, "tcp", proxy.target.String())
 	if err != nil {
 		reset(from) // as if the target had refused it
 		return
 	}
-	proxy.keep(to)
-	defer proxy.drop(to)
+	proxy.add(to)
+	defer proxy.remove(to)
 	if ctx.Err() != nil {
 		return
 	}
 	var group errgroup.Group
 	group.Go(func() error { return proxy.copy(ctx, to, from, false) })
 	group.Go(func() error { return proxy.copy(ctx, from, to, true) })
-	_ = group.Wait() // how a connection ended is for its two ends to see
+	_ = group.Wait() // the copies return no error; the peers see how the connection ended
 }
 
-// copy carries bytes one way. An end is passed on as an end, a reset as a reset.
-func (proxy *Proxy) copy(ctx context.Context, to, from net.Conn, back bool) error {
-	piece := make([]byte, pieceBytes)
+// copy forwards data in one direction. It forwards an orderly end as such, and an error as a reset.
+func (proxy *Proxy) copy(ctx context.Context, to, from net.Conn, fromTarget bool) error {
+	chunk := make([]byte, chunkBytes)
 	for {
-		count, err := from.Read(piece)
-		if !proxy.pass(ctx, back) {
+		count, err := from.Read(chunk)
+		if !proxy.waitToForward(ctx, fromTarget) {
 			reset(to)
 			return nil
 		}
 		if count > 0 {
-			if _, writeErr := to.Write(piece[:count]); writeErr != nil {
+			if _, writeErr := to.Write(chunk[:count]); writeErr != nil {
 				reset(from)
 				return nil
 			}
@@ -179,7 +179,7 @@
 		switch {
 		case errors.Is(err, io.EOF):
 			if tcp, ok := to.(*net.TCPConn); ok {
-				_ = tcp.CloseWrite() // the other end may be gone
+				_ = tcp.CloseWrite() // the peer may be gone
 			}
 			return nil
 		case err != nil:
@@ -189,11 +189,11 @@
 	}
 }
 
-// pass waits until bytes may go on. It returns false if the proxy ends first.
-func (proxy *Proxy) pass(ctx context.Context, back bool) bool {
+// waitToForward waits until data may be forwarded. It returns false if the context ends first.
+func (proxy *Proxy) waitToForward(ctx context.Context, fromTarget bool) bool {
 	for {
-		fault, changed := proxy.now()
-		if !fault.Mute && (!fault.MuteBack || !back) {
+		fault, changed := proxy.current()
+		if !fault.Mute && (!fault.MuteBack || !fromTarget) {
 			return fault.Delay == 0 || dogwoodkernel.Sleep(ctx, fault.Delay)
 		}
 		select {
--- a/dogwoodload/dogwoodsoakproxy/proxy_test.go
+++ b/dogwoodload/dogwoodsoakproxy/proxy_test.go
@@ -14,14 +14,13 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// notWithin is how long a test looks for bytes that must not come, within how long it waits for those
-// that must.
+// silenceTimeout is how long a test waits for data that must not arrive, readTimeout how long for data that must.
 const (
-	notWithin = 100 * time.Millisecond
-	within    = 5 * time.Second
+	silenceTimeout = 100 * time.Millisecond
+	readTimeout    = 5 * time.Second
 )
 
-// startEcho listens and sends each line back.
+// startEcho starts a server that sends all data back.
 func startEcho(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,11 +32,11 @@
 		for {
 			connection, err := listener.Accept()
 			if err != nil {
-				return nil // it was closed
+				return nil // the listener was closed
 			}
 			group.Go(func() error {
 				defer func() { _ = connection.Close() }()
-				_, _ = io.Copy(connection, connection) // the tests break it
+				_, _ = io.Copy(connection, connection) // the tests break the connection
 				return nil
 			})
 		}
@@ -49,13 +48,13 @@
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-// line is a connection by way of a proxy.
-type line struct {
+// client is a connection through a proxy.
+type client struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-func startProxy(t *testing.T) (*Proxy, *line) {
+func startProxy(t *testing.T) (*Proxy, *client) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	proxy, err := Start(ctx, startEcho(t))
@@ -71,7 +70,7 @@
 	return proxy, dial(t, proxy)
 }
 
-func dial(t *testing.T, proxy *Proxy) *line {
+func dial(t *testing.T, proxy *Proxy) *client {
 	t.Helper()
 	connected, err := tryDial(t, proxy)
 	if err != nil {
@@ -80,96 +79,95 @@
 	return connected
 }
 
-func tryDial(t *testing.T, proxy *Proxy) (*line, error) {
+func tryDial(t *testing.T, proxy *Proxy) (*client, error) {
 	t.Helper()
 	connection, err := net.Dial("tcp", proxy.Address().String())
 	if err != nil {
 		return nil, err
 	}
 	t.Cleanup(func() { _ = connection.Close() })
-	return &line{Conn: connection, reader: bufio.NewReader(connection)}, nil
+	return &client{Conn: connection, reader: bufio.NewReader(connection)}, nil
 }
 
-// say sends a line and returns the next one that comes back.
-func (line *line) say(words string, wait time.Duration) (string, error) {
-	if _, err := io.WriteString(line, words+"\n"); err != nil {
+// exchange sends a line and returns the next one that is received.
+func (client *client) exchange(text string, timeout time.Duration) (string, error) {
+	if _, err := io.WriteString(client, text+"\n"); err != nil {
 		return "", err
 	}
-	return line.hear(wait)
+	return client.read(timeout)
 }
 
-func (line *line) hear(wait time.Duration) (string, error) {
-	if err := line.SetReadDeadline(time.Now().Add(wait)); err != nil {
+func (client *client) read(timeout time.Duration) (string, error) {
+	if err := client.SetReadDeadline(time.Now().Add(timeout)); err != nil {
 		return "", err
 	}
-	return line.reader.ReadString('\n')
+	return client.reader.ReadString('\n')
 }
 
-// Bytes that a silent connection holds back come when it speaks again, in their order: a cut that ends
-// loses nothing.
-func TestMutedBytesComeLater(t *testing.T) {
+// Data that a fault holds back arrives when the fault ends: no data is lost.
+func TestHeldBackDataArrivesLater(t *testing.T) {
 	for _, fault := range []Fault{{Mute: true}, {MuteBack: true}} {
-		proxy, line := startProxy(t)
-		if got, err := line.say("one", within); err != nil || got != "one\n" {
+		proxy, client := startProxy(t)
+		if got, err := client.exchange("one", readTimeout); err != nil || got != "one\n" {
 			t.Fatalf("got %q and %v, want the line", got, err)
 		}
 		proxy.Set(fault)
-		if got, err := line.say("two", notWithin); err == nil {
+		if got, err := client.exchange("two", silenceTimeout); err == nil {
 			t.Errorf("%+v: got %q, want nothing", fault, got)
 		}
 		proxy.Set(Fault{})
-		if got, err := line.hear(within); err != nil || got != "two\n" {
+		if got, err := client.read(readTimeout); err != nil || got != "two\n" {
 			t.Errorf("%+v: got %q and %v, want the line that was held back", fault, got, err)
 		}
 	}
 }
 
-// A reset is seen as a reset, not as an end: an answer that has no length must not look whole.
-func TestAResetIsNoEnd(t *testing.T) {
-	proxy, line := startProxy(t)
-	if _, err := line.say("one", within); err != nil {
+// A reset reaches the peer as a reset and not as an orderly end: an answer without a length must not look complete.
+func TestResetIsNotOrderlyEnd(t *testing.T) {
+	proxy, client := startProxy(t)
+	if _, err := client.exchange("one", readTimeout); err != nil {
 		t.Fatal(err)
 	}
 	proxy.Reset()
-	if got, err := line.hear(within); !errors.Is(err, syscall.ECONNRESET) {
+	if got, err := client.read(readTimeout); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("got %q and %v, want a reset", got, err)
 	}
-	if got, err := dial(t, proxy).say("two", within); err != nil || got != "two\n" {
+	if got, err := dial(t, proxy).exchange("two", readTimeout); err != nil || got != "two\n" {
 		t.Errorf("a new connection: got %q and %v, want the line", got, err)
 	}
 	proxy.Set(Fault{Refused: true})
 	refused, err := tryDial(t, proxy)
 	if err != nil {
-		return // the reset came before the connection was made
+		return // the connection was reset before it was established
 	}
-	if got, err := refused.say("three", within); err == nil {
+	if got, err := refused.exchange("three", readTimeout); err == nil {
 		t.Errorf("a refused connection: got %q, want an error", got)
 	}
 }
 
-// One end closes its sending side; the other goes on, and its end is passed on, too.
-func TestAnEndIsPassedOn(t *testing.T) {
-	_, line := startProxy(t)
-	if _, err := io.WriteString(line, "last\n"); err != nil {
+// If the client closes its sending side, it still receives data, and the server's end is forwarded, too.
+func TestEndIsForwarded(t *testing.T) {
+	_, client := startProxy(t)
+	if _, err := io.WriteString(client, "last\n"); err != nil {
 		t.Fatal(err)
 	}
-	if err := line.Conn.(*net.TCPConn).CloseWrite(); err != nil {
+	if err := client.Conn.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := line.hear(within); err != nil || got != "last\n" {
+	if got, err := client.read(readTimeout); err != nil || got != "last\n" {
 		t.Errorf("got %q and %v, want the line", got, err)
 	}
-	if _, err := line.hear(within); !errors.Is(err, io.EOF) {
+	if _, err := client.read(readTimeout); !errors.Is(err, io.EOF) {
 		t.Errorf("got %v, want the end", err)
 	}
 }
 
 func TestDelay(t *testing.T) {
-	proxy, line := startProxy(t)
+	proxy, client := startProxy(t)
 	const delay = 60 * time.Millisecond
 	proxy.Set(Fault{Delay: delay})
 	sent := time.Now()
-	if got, err := line.say("late", within); err != nil || got != "late\n" {
+	if got, err := client.exchange("late", readTimeout); err != nil || got != "late\n" {
 		t.Fatalf("got %q and %v, want the line", got, err)
 	}
 	if took := time.Since(sent); took < 2*delay {
--- a/dogwoodload/dogwoodstandinrun/run.go
+++ b/dogwoodload/dogwoodstandinrun/run.go
@@ -1,5 +1,5 @@
-// Package dogwoodstandinrun is the verb "standin": it runs one stand-in of the users' platform in a
-// process of its own. The soak starts it; it is of no use by itself.
+// Package dogwoodstandinrun is the subcommand "standin": it runs one stand-in of the users' platform as a separate
+// process. Only the soak uses it.
 package dogwoodstandinrun
 
 import (
@@ -22,10 +22,10 @@
 	"dogwoodmux.example/platform/dogwoodstandin"
 )
 
-// Verb is the verb's name.
+// Verb is the name of the subcommand.
 const Verb = "standin"
 
-// The flags' names, for the soak that gives them.
+// The names of the flags, which the soak sets.
 const (
 	FlagListen     = "listen"
 	FlagStore      = "store"
@@ -41,21 +41,22 @@
 	FlagDrain      = "drain"
 )
 
-// headerWithin bounds how long a daemon takes to send its headers.
-const headerWithin = 8 * time.Second
+// headerTimeout bounds how long a daemon may take to send the headers of a request.
+const headerTimeout = 8 * time.Second
 
-// Options are the flags. Without a store it is the store.
+// Options are the flags and dependencies of the subcommand. If Store is not set, the stand-in is the store, else an
+// endpoint.
 type Options struct {
 	Factory *dogwoodfactory.Factory
 
 	Listen, Store, Announced netip.AddrPort
 	Record                   string
-	// Drain is how long an endpoint serves on after it has said that it leaves.
+	// Drain is how long an endpoint keeps serving after it has announced that it leaves.
 	Drain    time.Duration
 	Endpoint dogwoodstandin.EndpointOptions
 }
 
-// New returns the verb.
+// New returns the subcommand.
 func New(factory *dogwoodfactory.Factory) *dogwoodsubcommand.Command {
 	options := &Options{Factory: factory}
 	return dogwoodverb.New(dogwoodsubcommand.Spec{
@@ -90,7 +91,7 @@
 	flags.DurationVar(&options.Drain, FlagDrain, 0, "`time` that it serves on when it leaves")
 }
 
-// Run runs the stand-in until it is told to end.
+// Run runs the store until the context ends, or an endpoint until it has left after SIGTERM.
 func Run(ctx context.Context, options *Options) error {
 	if !options.Store.IsValid() {
 		store := dogwoodstandin.NewStore()
@@ -105,8 +106,8 @@
 		return dogwoodverb.Error.Wrap(err)
 	}
 	running := &running{
-		options: options, recorder: recorder, control: dogwoodstandin.NewStoreControl(options.Store), broken: make(chan error, 1),
-		signals: make(chan os.Signal, 4), //nolint:mnd // room for a signal of each kind while one is handled
+		options: options, recorder: recorder, control: dogwoodstandin.NewStoreControl(options.Store), recordErrors: make(chan error, 1),
+		signals: make(chan os.Signal, 4), //nolint:mnd // room for signals of both kinds while one is handled
 	}
 	options.Endpoint.Announced = options.Announced
 	options.Endpoint.EventEvery, options.Endpoint.MemoryTokens = options.Endpoint.Work, dogwoodstandin.EngineMemoryTokens
@@ -114,18 +115,18 @@
 	running.endpoint = dogwoodstandin.NewEndpoint(options.Endpoint)
 	signal.Notify(running.signals, syscall.SIGTERM, syscall.SIGHUP)
 	defer signal.Stop(running.signals)
-	err = serve(ctx, options.Listen, running.endpoint.ControlledHandler(), running.untilLeft)
+	err = serve(ctx, options.Listen, running.endpoint.ControlledHandler(), running.runUntilLeft)
 	return errors.Join(err, recorder.Close())
 }
 
-// serve listens while the work runs.
+// serve serves HTTP until work returns.
 func serve(ctx context.Context, listen netip.AddrPort, handler http.Handler, work func(ctx context.Context) error) error {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", listen.String())
 	if err != nil {
 		return dogwoodverb.Error.Wrap(err)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerWithin}
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -140,29 +141,30 @@
 	return group.Wait()
 }
 
-// running is an endpoint at work.
+// running is a running endpoint.
 type running struct {
-	options  *Options
-	endpoint *dogwoodstandin.Endpoint
-	recorder *dogwoodstandin.Recorder
-	control  *dogwoodstandin.StoreControl
-	broken   chan error
-	signals  chan os.Signal
+	options      *Options
+	endpoint     *dogwoodstandin.Endpoint
+	recorder     *dogwoodstandin.Recorder
+	control      *dogwoodstandin.StoreControl
+	recordErrors chan error
+	signals      chan os.Signal
 }
 
-// record ends the endpoint if what it saw can't be kept: a soak that misses arrivals proves nothing.
+// record writes a record. If that fails, the endpoint ends, because a soak that misses arrivals proves nothing.
 func (running *running) record(record dogwoodstandin.Record) {
 	if err := running.recorder.Write(record); err != nil {
 		select {
-		case running.broken <- err:
-		default: // it ends already
+		case running.recordErrors <- err:
+		default: // the endpoint is ending already
 		}
 	}
 }
 
-// untilLeft announces the endpoint and follows signals until it has left.
-func (running *running) untilLeft(ctx context.Context) error {
-	ctx = context.WithoutCancel(ctx) // SIGTERM ends the context, but not at once the endpoint
+// runUntilLeft announces the endpoint and handles signals until it has left. The endpoint is announced again on SIGHUP
+// and when it is no longer cold.
+func (running *running) runUntilLeft(ctx context.Context) error {
+	ctx = context.WithoutCancel(ctx) // SIGTERM ends the context, but the endpoint has to drain first
 	if err := running.endpoint.Announce(ctx, running.control, false); err != nil {
 		return dogwoodverb.Error.Wrap(err)
 	}
@@ -174,7 +176,7 @@
 				return running.leave(ctx)
 			}
 		case <-warm:
-		case err := <-running.broken:
+		case err := <-running.recordErrors:
 			return err
 		}
 		if err := running.endpoint.Announce(ctx, running.control, false); err != nil {
