--- a/dogwoodload/dogwoodchart/chart.go
+++ b/dogwoodload/dogwoodchart/chart.go
@@ -1,5 +1,5 @@
-// Package dogwoodchart draws results: the first token by prompt length, and service over
-// time with what was done to the system.
+// Package dogwoodchart draws charts of results: the time to the first token by prompt length, and the
+// outcomes over time with the steps carried out on the system.
 package dogwoodchart
 
 import (
@@ -27,16 +27,16 @@
 	height = 12 * vg.Centimeter
 )
 
-// FirstToken draws, for each result, the 50th and 95th percentile of the time to the first
-// token by prompt length. Both axes are logarithmic: prompts and times each span three
-// powers of ten.
+// FirstToken draws, for each result, the 50th and 95th percentile of the time to the first token by
+// prompt length. Both axes are logarithmic, because prompt lengths and times each span three orders
+// of magnitude.
 func FirstToken(writer io.Writer, format string, results ...*dogwoodresult.Result) error {
 	drawing := plot.New()
 	drawing.Title.Text = "Time to first token by prompt length"
 	drawing.X.Label.Text = "prompt tokens, up to"
 	drawing.Y.Label.Text = "seconds"
 	drawing.X.Scale, drawing.Y.Scale = plot.LogScale{}, plot.LogScale{}
-	drawing.X.Tick.Marker, drawing.Y.Tick.Marker = decades{}, decades{}
+	drawing.X.Tick.Marker, drawing.Y.Tick.Marker = decadeTicks{}, decadeTicks{}
 	drawing.Legend.Top, drawing.Legend.Left = true, true
 	drawing.Add(plotter.NewGrid())
 	for index, result := range results {
@@ -55,11 +55,11 @@
 		{"P50", func(class dogwoodresult.FirstToken) dogwoodresult.Duration { return class.P50 }},
 		{"P95", func(class dogwoodresult.FirstToken) dogwoodresult.Duration { return class.P95 }},
 	}
-	for dash, quantile := range quantiles {
+	for dashes, quantile := range quantiles {
 		var values plotter.XYs
 		for _, class := range result.FirstToken {
 			seconds := time.Duration(quantile.of(class)).Seconds()
-			values = append(values, plotter.XY{X: float64(class.UpTo), Y: math.Max(seconds, leastSeconds)})
+			values = append(values, plotter.XY{X: float64(class.UpTo), Y: math.Max(seconds, minSeconds)})
 		}
 		if len(values) == 0 {
 			continue
@@ -69,7 +69,7 @@
 			return Error.Wrap(err)
 		}
 		line.Color, marks.Color = plotutil.Color(index), plotutil.Color(index)
-		line.Dashes = plotutil.Dashes(dash)
+		line.Dashes = plotutil.Dashes(dashes)
 		marks.Shape = plotutil.Shape(index)
 		drawing.Add(line, marks)
 		drawing.Legend.Add(fmt.Sprintf("%s %s", result.Policy, quantile.name), line, marks)
@@ -77,17 +77,17 @@
 	return nil
 }
 
-// decades puts ticks at 1, 2 and 5 in each power of ten; plot.LogTicks labels the powers
-// alone, of which an axis from one to nine seconds has a single one.
-type decades struct{}
+// decadeTicks places ticks at 1, 2 and 5 times each power of ten. plot.LogTicks labels only the powers
+// of ten, so an axis from one to nine seconds would have a single label.
+type decadeTicks struct{}
 
-// Ticks returns the ticks between two values.
-func (decades) Ticks(least, most float64) []plot.Tick {
+// Ticks returns the ticks from low to high.
+func (decadeTicks) Ticks(low, high float64) []plot.Tick {
 	var ticks []plot.Tick
-	for power := math.Floor(math.Log10(least)); power <= math.Ceil(math.Log10(most)); power++ {
+	for power := math.Floor(math.Log10(low)); power <= math.Ceil(math.Log10(high)); power++ {
 		for _, digit := range []float64{1, 2, 5} {
 			value := digit * math.Pow(10, power)
-			if value >= least && value <= most {
+			if value >= low && value <= high {
 				ticks = append(ticks, plot.Tick{Value: value, Label: strconv.FormatFloat(value, 'f', -1, 64)})
 			}
 		}
@@ -95,11 +95,11 @@
 	return ticks
 }
 
-// leastSeconds keeps the logarithm finite.
-const leastSeconds = 1e-4
+// minSeconds replaces shorter times, so that their logarithm is finite.
+const minSeconds = 1e-4
 
-// Service draws the outcomes by the second in which requests were sent, with a line at each
-// event of the scenario.
+// Service draws the outcomes by the second in which the requests were sent, with a vertical line at
+// each event.
 func Service(writer io.Writer, format string, result *dogwoodresult.Result) error {
 	drawing := plot.New()
 	drawing.Title.Text = fmt.Sprintf("Service over time: %s, policy %s, seed %d", result.Scenario, result.Policy, result.Seed)
@@ -137,7 +137,8 @@
 	return write(writer, drawing, format)
 }
 
-// headroom leaves the top of the drawing to the legend and the events' names.
+// headroom is the height of the Y axis relative to the highest value. The space above that value is
+// for the legend and the names of the events.
 const headroom = 1.75
 
 func addEvents(drawing *plot.Plot, events []dogwoodresult.Event) error {
@@ -150,9 +151,9 @@
 			return Error.Wrap(err)
 		}
 		line.Color, line.Dashes = color.Gray{Y: 90}, plotutil.Dashes(1)
-		// Names take turns in height, so that near events can both be read.
-		place := plotter.XY{X: at, Y: top * (1.05 + 0.07*float64(i%6))}
-		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{place}, Labels: []string{" " + event.What}})
+		// The heights of the names alternate, so that the names of events close in time don't overlap.
+		position := plotter.XY{X: at, Y: top * (1.05 + 0.07*float64(i%6))}
+		labels, err := plotter.NewLabels(plotter.XYLabels{XYs: plotter.XYs{position}, Labels: []string{" " + event.What}})
 		if err != nil {
 			return Error.Wrap(err)
 		}
--- a/dogwoodload/dogwoodchart/chart_test.go
+++ b/dogwoodload/dogwoodchart/chart_test.go
@@ -9,9 +9,9 @@
 	"dogwoodmux.example/dogwoodload/dogwoodresult"
 )
 
-func TestTicksStandInEachDecade(t *testing.T) {
+func TestTicksCoverEachDecade(t *testing.T) {
 	var got []string
-	for _, tick := range (decades{}).Ticks(0.9, 12) {
+	for _, tick := range (decadeTicks{}).Ticks(0.9, 12) {
 		got = append(got, tick.Label)
 	}
 	if want := []string{"1", "2", "5", "10"}; !slices.Equal(got, want) {
--- a/dogwoodload/dogwoodcompare/compare.go
+++ b/dogwoodload/dogwoodcompare/compare.go
@@ -1,4 +1,4 @@
-// Package dogwoodcompare is the verb "compare": two results side by side.
+// Package dogwoodcompare implements the subcommand "compare": it prints two results side by side.
 package dogwoodcompare
 
 import (
@@ -11,14 +11,14 @@
 	"dogwoodmux.example/dogwoodload/dogwoodverb"
 )
 
-// Options are the arguments.
+// Options are the arguments and dependencies of the subcommand.
 type Options struct {
 	Factory *dogwoodfactory.Factory
 
 	First, Second string
 }
 
-// New returns the verb. Tests give their own run; nil means the real one.
+// New returns the subcommand. Tests pass a replacement for run; nil means Run.
 func New(factory *dogwoodfactory.Factory, run func(options *Options) error) *dogwoodsubcommand.Command {
 	if run == nil {
 		run = Run
@@ -38,7 +38,7 @@
 	})
 }
 
-// Run reads both files and writes the table.
+// Run reads both files and prints the table.
 func Run(options *Options) error {
 	first, err := dogwoodverb.ReadResult(options.First)
 	if err != nil {
--- a/dogwoodload/dogwoodfactory/factory.go
+++ b/dogwoodload/dogwoodfactory/factory.go
@@ -1,4 +1,5 @@
-// Package dogwoodfactory holds what every command is made with. Tests make one with buffers.
+// Package dogwoodfactory holds the dependencies of the subcommands. Tests create a Factory with
+// buffers.
 package dogwoodfactory
 
 import (
@@ -8,20 +9,20 @@
 	"golang.org/x/term"
 )
 
-// Streams are where a command reads and writes.
+// Streams are the output streams of a subcommand.
 type Streams struct {
 	Out io.Writer
 	Err io.Writer
-	// Progress is true when Err is a terminal: a bar is then drawn on it.
+	// Progress is true if a progress bar is drawn on Err, which requires a terminal.
 	Progress bool
 }
 
-// Factory makes what commands need.
+// Factory holds the dependencies of subcommands.
 type Factory struct {
 	Streams Streams
 }
 
-// New returns the factory of a real process.
+// New returns a Factory with the standard streams of the process.
 func New() *Factory {
 	return &Factory{Streams: Streams{
 		Out:      os.Stdout,
--- a/dogwoodload/dogwoodfleetrun/fleet.go
+++ b/dogwoodload/dogwoodfleetrun/fleet.go
@@ -1,5 +1,6 @@
-// Package dogwoodfleetrun is the verb "fleet": it starts fleets of several sizes in this
-// process and prints what each daemon costs, idle and under load; docs/slopes.txt keeps them.
+// Package dogwoodfleetrun implements the subcommand "fleet": it starts fleets of several sizes in
+// this process and prints the resources used per daemon, idle and under load. docs/slopes.txt holds
+// the printed values.
 package dogwoodfleetrun
 
 import (
@@ -26,7 +27,7 @@
 	"dogwoodmux.example/dogwoodlocal/dogwoodsite"
 )
 
-// Options are the flags.
+// Options are the flags and dependencies of the subcommand.
 type Options struct {
 	Factory *dogwoodfactory.Factory
 
@@ -35,10 +36,10 @@
 	Seed     uint64
 }
 
-// settle is how long a fleet runs before it is measured idle.
-const settle = 5 * time.Second
+// settleTime is how long a fleet runs before its idle state is measured.
+const settleTime = 5 * time.Second
 
-// New returns the verb. Tests give their own run; nil means the real one.
+// New returns the subcommand. Tests pass a replacement for run; nil means Run.
 func New(factory *dogwoodfactory.Factory, run func(ctx context.Context, options *Options) error) *dogwoodsubcommand.Command {
 	options := &Options{Factory: factory}
 	if run == nil {
@@ -60,24 +61,24 @@
 	})
 }
 
-// row is what one fleet cost, for each daemon.
+// row holds the resources used per daemon in one state of a fleet.
 type row struct {
-	daemons        int
-	state          string
-	processor      float64 // milliseconds a second
-	heap           float64 // MiB
-	goroutines     int
-	peerBytes      float64 // a second, sent and received
-	platformBytes  float64
-	endpointBytes  float64
-	tableReads     float64
-	tableWrites    float64
-	requestsSecond float64
-	// calls are by method, a second.
+	daemons       int
+	state         string
+	cpu           float64 // milliseconds per second
+	heap          float64 // MiB
+	goroutines    int
+	peerBytes     float64 // per second, sent and received
+	platformBytes float64
+	endpointBytes float64
+	tableReads    float64
+	tableWrites   float64
+	requestRate   float64
+	// calls holds the calls per second by method.
 	calls map[string]float64
 }
 
-// Run measures all sizes and prints a table.
+// Run measures fleets of all sizes and prints a table.
 func Run(ctx context.Context, options *Options) error {
 	table := tablewriter.NewWriter(options.Factory.Streams.Out)
 	table.Header("Daemons", "State", "Requests/s", "CPU ms/s", "Heap MiB", "Goroutines", "Peer B/s", "Platform B/s", "Endpoint B/s", "Table reads/s", "Table writes/s")
@@ -102,7 +103,7 @@
 	return dogwoodverb.Error.Wrap(table.Render())
 }
 
-// peerCalls are the calls between daemons by method, as this process counts them.
+// peerCalls returns the number of calls between daemons in this process by method.
 func peerCalls() map[string]int64 {
 	counts := map[string]int64{}
 	if calls, published := expvar.Get("PeerCalls").(*expvar.Map); published {
@@ -115,7 +116,7 @@
 	return counts
 }
 
-// writeCalls prints the calls a second that each daemon made.
+// writeCalls prints the calls per second and daemon by method.
 func (row *row) writeCalls(writer io.Writer) error {
 	for _, method := range slices.Sorted(maps.Keys(row.calls)) {
 		if _, err := fmt.Fprintf(writer, "%d daemons, %s: %s %.2f calls/s a daemon\n", row.daemons, row.state, method, row.calls[method]); err != nil {
@@ -128,7 +129,7 @@
 func (row *row) cells() []string {
 	number := func(value float64) string { return fmt.Sprintf("%.2f", value) }
 	return []string{
-		strconv.Itoa(row.daemons), row.state, number(row.requestsSecond * float64(row.daemons)), number(row.processor), number(row.heap),
+		strconv.Itoa(row.daemons), row.state, number(row.requestRate * float64(row.daemons)), number(row.cpu), number(row.heap),
 		strconv.Itoa(row.goroutines), number(row.peerBytes), number(row.platformBytes), number(row.endpointBytes),
 		number(row.tableReads), number(row.tableWrites),
 	}
@@ -140,33 +141,33 @@
 		return nil, dogwoodverb.Error.Wrap(err)
 	}
 	meter := newMeter()
-	run, err := dogwoodscenario.Begin(ctx, dogwoodscenario.Options{
+	fleet, err := dogwoodscenario.Begin(ctx, dogwoodscenario.Options{
 		Scenario: scenario, Seed: options.Seed, Policy: dogwoodscenario.PolicyProduct, Daemons: daemons,
 		Base: meter, Begin: func(int) {}, Done: func() {},
 	})
 	if err != nil {
 		return nil, dogwoodverb.Error.Wrap(err)
 	}
-	site := run.Site()
-	time.Sleep(settle)
-	before := look(meter, site)
+	site := fleet.Site()
+	time.Sleep(settleTime)
+	before := takeSnapshot(meter, site)
 	time.Sleep(options.Duration)
-	after := look(meter, site)
+	after := takeSnapshot(meter, site)
 	idle := newRow(daemons, "idle", before, after, 0)
-	before = look(meter, site)
-	sent := run.Send(ctx)
-	after = look(meter, site)
+	before = takeSnapshot(meter, site)
+	sent := fleet.Send(ctx)
+	after = takeSnapshot(meter, site)
 	loaded := newRow(daemons, "loaded", before, after, sent)
-	return []*row{idle, loaded}, dogwoodverb.Error.Wrap(run.End(ctx))
+	return []*row{idle, loaded}, dogwoodverb.Error.Wrap(fleet.End(ctx))
 }
 
-func look(meter *meter, site *dogwoodsite.Site) moment {
+func takeSnapshot(meter *meter, site *dogwoodsite.Site) snapshot {
 	var usage syscall.Rusage
-	// It fails only for an unknown process, which this one is not.
+	// Getrusage can't fail for the calling process.
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
-	return moment{
+	return snapshot{
 		at:          time.Now(),
-		processor:   time.Duration(usage.Utime.Nano() + usage.Stime.Nano()),
+		cpu:         time.Duration(usage.Utime.Nano() + usage.Stime.Nano()),
 		traffic:     meter.read(site),
 		tableReads:  site.Platform.Reads(),
 		tableWrites: site.Platform.Writes(),
@@ -174,31 +175,31 @@
 	}
 }
 
-func newRow(daemons int, state string, before, after moment, requests int) *row {
+func newRow(daemons int, state string, before, after snapshot, requests int) *row {
 	seconds := after.at.Sub(before.at).Seconds()
-	each := func(value int64) float64 { return float64(value) / seconds / float64(daemons) }
+	perDaemonSecond := func(value int64) float64 { return float64(value) / seconds / float64(daemons) }
 	runtime.GC()
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	calls := map[string]float64{}
 	for method, count := range after.calls {
 		if count > before.calls[method] {
-			calls[method] = each(count - before.calls[method])
+			calls[method] = perDaemonSecond(count - before.calls[method])
 		}
 	}
 	return &row{
 		calls:      calls,
 		daemons:    daemons,
 		state:      state,
-		processor:  each((after.processor - before.processor).Microseconds()) / 1000,
+		cpu:        perDaemonSecond((after.cpu - before.cpu).Microseconds()) / 1000,
 		heap:       float64(memory.HeapAlloc) / (1 << 20) / float64(daemons),
 		goroutines: runtime.NumGoroutine() / daemons,
-		// Each byte between daemons is sent by one and received by another.
-		peerBytes:      2 * each(after.traffic.peers-before.traffic.peers),
-		platformBytes:  each(after.traffic.platform - before.traffic.platform),
-		endpointBytes:  each(after.traffic.endpoints - before.traffic.endpoints),
-		tableReads:     each(int64(after.tableReads - before.tableReads)),
-		tableWrites:    each(int64(after.tableWrites - before.tableWrites)),
-		requestsSecond: each(int64(requests)),
+		// Each byte between daemons counts twice: one daemon sends it and another receives it.
+		peerBytes:     2 * perDaemonSecond(after.traffic.peers-before.traffic.peers),
+		platformBytes: perDaemonSecond(after.traffic.platform - before.traffic.platform),
+		endpointBytes: perDaemonSecond(after.traffic.endpoints - before.traffic.endpoints),
+		tableReads:    perDaemonSecond(int64(after.tableReads - before.tableReads)),
+		tableWrites:   perDaemonSecond(int64(after.tableWrites - before.tableWrites)),
+		requestRate:   perDaemonSecond(int64(requests)),
 	}
 }
--- a/dogwoodload/dogwoodfleetrun/meter.go
+++ b/dogwoodload/dogwoodfleetrun/meter.go
@@ -11,8 +11,8 @@
 	"dogwoodmux.example/dogwoodlocal/dogwoodsite"
 )
 
-// meter is the loopback with a count of the bytes to and from each address. A byte
-// is counted once, at the end that dialled.
+// meter is the loopback network with a counter of the bytes to and from each address. A byte is
+// counted once, at the end that dialed.
 type meter struct {
 	mutex  sync.Mutex
 	counts map[netip.AddrPort]*atomic.Int64
@@ -24,23 +24,23 @@
 
 // Listen listens on an address of the loopback.
 func (meter *meter) Listen(ctx context.Context, address netip.AddrPort) (net.Listener, error) {
-	return dogwoodsite.Loopback().Listen(ctx, address) //nolint:wrapcheck // a pass-through
+	return dogwoodsite.Loopback().Listen(ctx, address) //nolint:wrapcheck // forwards the call
 }
 
-// DialContext connects and counts.
+// DialContext returns a connection that counts its bytes.
 func (meter *meter) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := dogwoodsite.Loopback().DialContext(ctx, network, address)
 	if err != nil {
-		return nil, err // unwrapped: net/http looks for the errors of net
+		return nil, err // unwrapped, because net/http checks for the errors of net
 	}
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return conn, nil //nolint:nilerr // a name has no place to be counted under
+		return conn, nil //nolint:nilerr // only numeric addresses have counters
 	}
-	return &metered{Conn: conn, count: meter.of(parsed)}, nil
+	return &metered{Conn: conn, count: meter.counter(parsed)}, nil
 }
 
-func (meter *meter) of(address netip.AddrPort) *atomic.Int64 {
+func (meter *meter) counter(address netip.AddrPort) *atomic.Int64 {
 	meter.mutex.Lock()
 	defer meter.mutex.Unlock()
 	found := meter.counts[address]
@@ -51,35 +51,36 @@
 	return found
 }
 
+// metered is a connection that counts its bytes.
 type metered struct {
 	net.Conn
 	count *atomic.Int64
 }
 
-// Read counts what comes back.
+// Read reads from the connection and counts the bytes.
 func (metered *metered) Read(data []byte) (int, error) {
 	read, err := metered.Conn.Read(data)
 	metered.count.Add(int64(read))
-	return read, err //nolint:wrapcheck // a pass-through
+	return read, err //nolint:wrapcheck // forwards the call
 }
 
-// Write counts what goes out.
+// Write writes to the connection and counts the bytes.
 func (metered *metered) Write(data []byte) (int, error) {
 	written, err := metered.Conn.Write(data)
 	metered.count.Add(int64(written))
-	return written, err //nolint:wrapcheck // a pass-through
+	return written, err //nolint:wrapcheck // forwards the call
 }
 
-// traffic is bytes by whom they go to.
+// traffic holds the bytes exchanged with each kind of address.
 type traffic struct {
 	peers, platform, endpoints int64
 }
 
-// read adds the counts up by kind of address.
+// read sums the counters by kind of address.
 func (meter *meter) read(site *dogwoodsite.Site) traffic {
 	var sum traffic
 	add := func(address netip.AddrPort, bytes *int64) {
-		*bytes += meter.of(address).Load()
+		*bytes += meter.counter(address).Load()
 	}
 	for _, daemon := range site.Daemons() {
 		add(daemon.Peer, &sum.peers)
@@ -97,10 +98,10 @@
 	return sum
 }
 
-// moment is the process at one time.
-type moment struct {
+// snapshot holds the counters of the process at one time.
+type snapshot struct {
 	at          time.Time
-	processor   time.Duration
+	cpu         time.Duration
 	traffic     traffic
 	tableReads  int
 	tableWrites int
--- a/dogwoodload/dogwoodjudge/judge.go
+++ b/dogwoodload/dogwoodjudge/judge.go
@@ -1,5 +1,5 @@
-// Package dogwoodjudge turns what callers received and what stand-ins ran into a result. It
-// hears no daemon.
+// Package dogwoodjudge computes a result from what callers received and what stand-ins ran. It uses
+// no data from daemons.
 package dogwoodjudge
 
 import (
@@ -14,12 +14,12 @@
 	"dogwoodmux.example/dogwoodload/dogwoodtrace"
 )
 
-// slack is how much later than its deadline an outcome may reach the caller. The deadline is
-// a duration that the daemon counts from the request's arrival, which on a busy machine is
-// some time after the caller began to send.
-const slack = 250 * time.Millisecond
+// deadlineTolerance is how long after its deadline an outcome may reach the caller without being
+// late. The deadline is a duration that the daemon counts from the arrival of the request, which on
+// a busy machine is later than the time when the caller began to send.
+const deadlineTolerance = 250 * time.Millisecond
 
-// Outcome is how one request ended. Each request has just one.
+// Outcome is how a request ended. Each request has exactly one.
 type Outcome string
 
 // The outcomes.
@@ -35,7 +35,7 @@
 func OutcomeOf(sample *dogwoodsender.Sample) Outcome {
 	switch {
 	case sample.Problem != nil:
-		return ofProblem(sample.Problem)
+		return problemOutcome(sample.Problem)
 	case !sample.Whole:
 		return Lost
 	case sample.Status < http.StatusMultipleChoices:
@@ -45,7 +45,7 @@
 	}
 }
 
-func ofProblem(problem *dogwoodproblem.Problem) Outcome {
+func problemOutcome(problem *dogwoodproblem.Problem) Outcome {
 	switch problem.NotRun {
 	case dogwoodproblem.True:
 		return RefusedNotRun
@@ -56,28 +56,28 @@
 	}
 }
 
-// Late is true if the request had no outcome by its deadline.
+// Late reports whether the request had no outcome by its deadline plus deadlineTolerance.
 func Late(sample *dogwoodsender.Sample) bool {
-	return sample.Took > time.Duration(sample.Arrival.Deadline)+slack
+	return sample.Took > time.Duration(sample.Arrival.Deadline)+deadlineTolerance
 }
 
-// Ran is what the stand-ins ran.
+// Ran holds what the stand-ins ran.
 type Ran struct {
-	// Runs counts runs by load id and RunsOfKey by idempotency key, over all stand-ins.
+	// Runs counts runs by load ID and RunsOfKey by idempotency key, over all stand-ins.
 	Runs      map[string]int
 	RunsOfKey map[string]int
-	// LastRun is when each load id was last run.
+	// LastRun is the time of the latest run of each load ID.
 	LastRun map[string]time.Time
-	// LeakedMemory and the overruns are summed over the engines and servers.
+	// LeakedMemory and the overruns are sums over all engines and servers.
 	LeakedMemory       int
 	ColdOverruns       int
 	UntoldColdOverruns int
 }
 
-// ran tells whether what the caller was answered about was run. A call with a key is one
-// call however often it is sent. A request without one that was sent again is two: the
-// answer is about the second, whatever became of the first.
-func (ran *Ran) ran(sample *dogwoodsender.Sample) bool {
+// wasRun reports whether the request that the caller's answer refers to was run. Sendings with the
+// same idempotency key are one request. A request without a key that was sent again counts as two:
+// the answer refers to the second sending, and runs of the first are ignored.
+func (ran *Ran) wasRun(sample *dogwoodsender.Sample) bool {
 	id := sample.Arrival.LoadID
 	if sample.Resent.IsZero() || sample.Arrival.Key != "" {
 		return ran.Runs[id] > 0
@@ -85,20 +85,20 @@
 	return ran.LastRun[id].After(sample.Resent)
 }
 
-// Speed is that of an idle engine, in tokens a second.
+// Speed is the speed of an idle engine, in tokens a second.
 type Speed struct {
 	Prefill float64
 	Decode  float64
 }
 
-// Judge fills a result in from what was sent and what was run.
+// Judge fills in the result from the samples and from what the stand-ins ran.
 func Judge(result *dogwoodresult.Result, samples []dogwoodsender.Sample, ran *Ran, speed Speed) {
 	result.Sent = len(samples)
-	keys := map[string]bool{}
+	doubledKeys := map[string]bool{}
 	for i := range samples {
 		sample := &samples[i]
 		outcome := OutcomeOf(sample)
-		count(result, outcome)
+		countOutcome(result, outcome)
 		if Late(sample) {
 			result.Late++
 		}
@@ -111,11 +111,11 @@
 		if sample.Wrong != nil {
 			result.Crossed++
 		}
-		if outcome == RefusedNotRun && ran.ran(sample) {
+		if outcome == RefusedNotRun && ran.wasRun(sample) {
 			result.FalseNotRun++
 		}
-		if key := sample.Arrival.Key; key != "" && ran.RunsOfKey[key] > 1 && !keys[key] {
-			keys[key] = true
+		if key := sample.Arrival.Key; key != "" && ran.RunsOfKey[key] > 1 && !doubledKeys[key] {
+			doubledKeys[key] = true
 			result.Doubled++
 		}
 	}
@@ -124,13 +124,13 @@
 	result.UntoldColdOverruns = ran.UntoldColdOverruns
 	result.FirstToken = firstTokens(samples)
 	result.ShortSlowdownP50, result.ShortSlowdownP99 = shortSlowdown(samples, speed)
-	result.InTimeByCustomer = byCustomer(samples)
+	result.InTimeByCustomer = customerShares(samples)
 	result.Reasons = reasons(samples)
 	result.Timeline = timeline(samples)
 	result.Examples = examples(samples, ran)
 }
 
-func count(result *dogwoodresult.Result, outcome Outcome) {
+func countOutcome(result *dogwoodresult.Result, outcome Outcome) {
 	switch outcome {
 	case Answered:
 		result.Answered++
@@ -149,45 +149,45 @@
 	return OutcomeOf(sample) == Answered && sample.Wrong == nil && !Late(sample)
 }
 
-// Stop is a graceful shutdown of the daemon at an address.
+// Stop is a graceful shutdown of the daemon at the address Entry.
 type Stop struct {
 	Entry    string
 	From, To time.Time
 }
 
-// CutBy counts requests that were under way at a daemon while it stopped gracefully and that
-// ended there without an answer or a true "not run", also if the caller sent them again.
+// CutBy counts requests that were in progress at a daemon during its graceful shutdown and that ended
+// there neither answered nor refused as not run, including those that the caller then sent again.
 func CutBy(stops []Stop, samples []dogwoodsender.Sample) int {
-	cut := 0
+	count := 0
 	for i := range samples {
 		sample := &samples[i]
 		outcome := OutcomeOf(sample)
 		ended := sample.Sent.Add(sample.Took)
-		broken := outcome != Answered && outcome != RefusedNotRun
+		failed := outcome != Answered && outcome != RefusedNotRun
 		if slices.ContainsFunc(stops, func(stop Stop) bool {
-			return broken && stop.overlaps(sample.Entry, sample.Sent, ended) ||
+			return failed && stop.overlaps(sample.Entry, sample.Sent, ended) ||
 				!sample.Resent.IsZero() && stop.overlaps(sample.BrokenEntry, sample.Sent, sample.Resent)
 		}) {
-			cut++
+			count++
 		}
 	}
-	return cut
+	return count
 }
 
 func (stop Stop) overlaps(entry netip.AddrPort, from, to time.Time) bool {
 	return entry.String() == stop.Entry && from.Before(stop.To) && to.After(stop.From)
 }
 
-// Kill is the death of the daemon at an address.
+// Kill is an abrupt end of the daemon at the address Entry.
 type Kill struct {
 	Entry string
 	At    time.Time
 }
 
-// LostWith counts lost requests that were at a daemon when it was killed. Their callers saw
-// the connection break; no daemon is left that could tell them more.
+// LostWith counts lost requests that were in progress at a daemon when it was killed. Their callers
+// saw a broken connection, since no daemon remained to answer them.
 func LostWith(kills []Kill, samples []dogwoodsender.Sample) int {
-	lost := 0
+	count := 0
 	for i := range samples {
 		sample := &samples[i]
 		if OutcomeOf(sample) != Lost {
@@ -196,16 +196,17 @@
 		if slices.ContainsFunc(kills, func(kill Kill) bool {
 			return Stop{Entry: kill.Entry, From: kill.At, To: kill.At}.overlaps(sample.Entry, sample.Sent, sample.Sent.Add(sample.Took))
 		}) {
-			lost++
+			count++
 		}
 	}
-	return lost
+	return count
 }
 
-// isShort is true for prompts that the slowdown of short requests counts.
+// isShort reports whether the request counts in the slowdown of short requests.
 func isShort(arrival *dogwoodtrace.Arrival) bool {
-	return arrival.Kind == dogwoodtrace.Chat && arrival.PromptTokens <= shortTokens && arrival.Poison == ""
+	return arrival.Kind == dogwoodtrace.Chat && arrival.PromptTokens <= maxShortPromptTokens && arrival.Poison == ""
 }
 
-// shortTokens is the longest prompt that counts as short: a listing's vehicle sheet.
-const shortTokens = 4000
+// maxShortPromptTokens is the longest prompt that counts as short. The vehicle sheet of a listing
+// fits in it.
+const maxShortPromptTokens = 4000
--- a/dogwoodload/dogwoodjudge/judge_test.go
+++ b/dogwoodload/dogwoodjudge/judge_test.go
@@ -28,7 +28,7 @@
 	return &dogwoodproblem.Problem{NotRun: notRun, Reason: "Deadline"}
 }
 
-func TestEachRequestHasJustOneOutcome(t *testing.T) {
+func TestEachRequestHasExactlyOneOutcome(t *testing.T) {
 	samples := []dogwoodsender.Sample{
 		{Arrival: arrival("answered", ""), Whole: true, Status: 200, Took: time.Second, FirstToken: time.Second},
 		{Arrival: arrival("answered late", ""), Whole: true, Status: 200, Took: 11 * time.Second, FirstToken: time.Second},
@@ -81,7 +81,8 @@
 	}
 }
 
-// resent was sent to one entry, broken there after a second and answered by the other.
+// resent returns a sample whose connection to the first entry broke after a second and that the
+// second entry answered.
 func resent(first, second netip.AddrPort, start time.Time) dogwoodsender.Sample {
 	return dogwoodsender.Sample{
 		Arrival: arrival("x", ""), Sent: start, BrokenEntry: first, Resent: start.Add(time.Second),
@@ -89,8 +90,9 @@
 	}
 }
 
-// A caller's connection breaks and its second sending is refused as not run. The first may
-// have run: of a prompt the refusal is true all the same, of a hold with its key it is not.
+// A caller's connection breaks and its second sending is refused as not run, although the first may
+// have run. For a prompt the refusal is true, because it refers to the second sending alone. For a
+// hold it is false, because both sendings have the same idempotency key.
 func TestRefusalOfASecondSending(t *testing.T) {
 	start := time.Date(2026, 3, 1, 10, 0, 0, 0, time.UTC)
 	tests := []struct {
@@ -114,25 +116,25 @@
 	}
 }
 
-func TestCutByShutdownCountsOnlyWhatWasUnderWay(t *testing.T) {
+func TestCutByShutdownCountsOnlyRequestsInProgress(t *testing.T) {
 	start := time.Date(2026, 3, 1, 10, 0, 0, 0, time.UTC)
-	here, there := netip.MustParseAddrPort("192.0.2.1:1"), netip.MustParseAddrPort("192.0.2.2:1")
+	stopped, other := netip.MustParseAddrPort("192.0.2.1:1"), netip.MustParseAddrPort("192.0.2.2:1")
 	sample := func(entry netip.AddrPort, sent, took time.Duration, problem *dogwoodproblem.Problem) dogwoodsender.Sample {
 		return dogwoodsender.Sample{Arrival: arrival("x", ""), Entry: entry, Sent: start.Add(sent), Took: took, Problem: problem}
 	}
-	stops := []Stop{{Entry: here.String(), From: start, To: start.Add(5 * time.Second)}}
+	stops := []Stop{{Entry: stopped.String(), From: start, To: start.Add(5 * time.Second)}}
 	tests := []struct {
 		name   string
 		sample dogwoodsender.Sample
 		want   int
 	}{
-		{"lost while it stopped", sample(here, -time.Second, 2*time.Second, nil), 1},
-		{"failed while it stopped", sample(here, time.Second, time.Second, problem("false")), 1},
-		{"refused while it stopped", sample(here, time.Second, time.Second, problem("true")), 0},
-		{"lost before", sample(here, -3*time.Second, time.Second, nil), 0},
-		{"cut there and answered elsewhere", resent(here, there, start), 1},
-		{"cut elsewhere and answered there", resent(there, here, start), 0},
-		{"lost elsewhere", sample(there, time.Second, time.Second, nil), 0},
+		{"lost while it stopped", sample(stopped, -time.Second, 2*time.Second, nil), 1},
+		{"failed while it stopped", sample(stopped, time.Second, time.Second, problem("false")), 1},
+		{"refused while it stopped", sample(stopped, time.Second, time.Second, problem("true")), 0},
+		{"lost before", sample(stopped, -3*time.Second, time.Second, nil), 0},
+		{"cut by the stopped daemon and answered elsewhere", resent(stopped, other, start), 1},
+		{"cut elsewhere and answered by the stopped daemon", resent(other, stopped, start), 0},
+		{"lost elsewhere", sample(other, time.Second, time.Second, nil), 0},
 	}
 	for _, test := range tests {
 		if got := CutBy(stops, []dogwoodsender.Sample{test.sample}); got != test.want {
@@ -143,23 +145,23 @@
 
 func TestLostWithAKilledDaemon(t *testing.T) {
 	start := time.Date(2026, 3, 1, 10, 0, 0, 0, time.UTC)
-	here, there := netip.MustParseAddrPort("192.0.2.1:1"), netip.MustParseAddrPort("192.0.2.2:1")
+	killed, other := netip.MustParseAddrPort("192.0.2.1:1"), netip.MustParseAddrPort("192.0.2.2:1")
 	lost := func(entry netip.AddrPort, sent time.Duration) dogwoodsender.Sample {
 		return dogwoodsender.Sample{Arrival: arrival("x", ""), Entry: entry, Sent: start.Add(sent), Took: 2 * time.Second}
 	}
-	answered := lost(here, -time.Second)
+	answered := lost(killed, -time.Second)
 	answered.Whole, answered.Status = true, 200
-	kills := []Kill{{Entry: here.String(), At: start}}
+	kills := []Kill{{Entry: killed.String(), At: start}}
 	tests := []struct {
 		name   string
 		sample dogwoodsender.Sample
 		want   int
 	}{
-		{"at the daemon", lost(here, -time.Second), 1},
-		{"answered all the same", answered, 0},
-		{"elsewhere", lost(there, -time.Second), 0},
-		{"long before", lost(here, -5*time.Second), 0},
-		{"sent later", lost(here, time.Second), 0},
+		{"at the daemon", lost(killed, -time.Second), 1},
+		{"answered despite the kill", answered, 0},
+		{"elsewhere", lost(other, -time.Second), 0},
+		{"long before", lost(killed, -5*time.Second), 0},
+		{"sent later", lost(killed, time.Second), 0},
 	}
 	for _, test := range tests {
 		if got := LostWith(kills, []dogwoodsender.Sample{test.sample}); got != test.want {
--- a/dogwoodload/dogwoodjudge/measure.go
+++ b/dogwoodload/dogwoodjudge/measure.go
@@ -13,24 +13,25 @@
 	"dogwoodmux.example/dogwoodload/dogwoodsender"
 )
 
-// lengths are the classes of prompts that first tokens are reported by.
-var lengths = []int{1000, 4000, 16_000, 64_000, 256_000, 1_000_000}
+// promptLengths are the upper bounds, in tokens, of the classes that times to the first token are
+// reported by.
+var promptLengths = []int{1000, 4000, 16_000, 64_000, 256_000, 1_000_000}
 
 const (
-	// longestTime is the largest time that a histogram tells apart.
-	longestTime = 10 * time.Minute
-	// slowdownScale keeps three digits behind the point in a histogram of whole numbers.
+	// maxRecordedTime is the largest time that a histogram records; longer times count as this one.
+	maxRecordedTime = 10 * time.Minute
+	// slowdownScale converts slowdowns to integers with three decimal places, for a histogram.
 	slowdownScale = 1000
-	// digits is how many significant digits histograms keep.
-	digits = 3
+	// significantDigits is the precision of the histograms.
+	significantDigits = 3
 )
 
-func newTimes() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, longestTime.Microseconds(), digits)
+func newHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxRecordedTime.Microseconds(), significantDigits)
 }
 
 func record(histogram *hdrhistogram.Histogram, value int64) {
-	// Values beyond the histogram's bounds are counted at the bound.
+	// Values outside the histogram's bounds are recorded as the nearest bound.
 	_ = histogram.RecordValue(min(max(value, histogram.LowestTrackableValue()), histogram.HighestTrackableValue()))
 }
 
@@ -38,18 +39,18 @@
 	return dogwoodresult.Duration(time.Duration(histogram.ValueAtQuantile(percent)) * time.Microsecond)
 }
 
-// firstTokens gives the times to the first token by prompt length, of streamed answers.
+// firstTokens returns the times to the first token of streamed answers by prompt length.
 func firstTokens(samples []dogwoodsender.Sample) []dogwoodresult.FirstToken {
-	histograms := make([]*hdrhistogram.Histogram, len(lengths))
+	histograms := make([]*hdrhistogram.Histogram, len(promptLengths))
 	for i := range samples {
 		sample := &samples[i]
 		if sample.FirstToken == 0 {
 			continue
 		}
-		class, _ := slices.BinarySearch(lengths, sample.Arrival.PromptTokens)
-		class = min(class, len(lengths)-1)
+		class, _ := slices.BinarySearch(promptLengths, sample.Arrival.PromptTokens)
+		class = min(class, len(promptLengths)-1)
 		if histograms[class] == nil {
-			histograms[class] = newTimes()
+			histograms[class] = newHistogram()
 		}
 		record(histograms[class], sample.FirstToken.Microseconds())
 	}
@@ -59,7 +60,7 @@
 			continue
 		}
 		result = append(result, dogwoodresult.FirstToken{
-			UpTo:  lengths[class],
+			UpTo:  promptLengths[class],
 			Count: int(histogram.TotalCount()),
 			P50:   quantile(histogram, 50),
 			P95:   quantile(histogram, 95),
@@ -69,10 +70,10 @@
 	return result
 }
 
-// shortSlowdown is the time of answered short prompts over their time on an idle engine,
-// which follows from the stand-in's stated speed.
+// shortSlowdown returns percentiles of the time of answered short prompts divided by their time on
+// an idle engine, which is computed from the speed configured for the stand-ins.
 func shortSlowdown(samples []dogwoodsender.Sample, speed Speed) (p50, p99 float64) {
-	histogram := newTimes()
+	histogram := newHistogram()
 	for i := range samples {
 		sample := &samples[i]
 		if !isShort(sample.Arrival) || OutcomeOf(sample) != Answered {
@@ -81,13 +82,13 @@
 		idle := float64(sample.Arrival.PromptTokens)/speed.Prefill + float64(sample.Arrival.MaxTokens)/speed.Decode
 		record(histogram, int64(slowdownScale*sample.Took.Seconds()/idle))
 	}
-	scale := func(percent float64) float64 {
+	slowdown := func(percent float64) float64 {
 		return float64(histogram.ValueAtQuantile(percent)) / slowdownScale
 	}
-	return scale(50), scale(99)
+	return slowdown(50), slowdown(99)
 }
 
-func byCustomer(samples []dogwoodsender.Sample) []dogwoodresult.CustomerShare {
+func customerShares(samples []dogwoodsender.Sample) []dogwoodresult.CustomerShare {
 	shares := map[dogwoodfleet.Customer]*dogwoodresult.CustomerShare{}
 	for i := range samples {
 		customer := samples[i].Arrival.Customer
@@ -107,7 +108,7 @@
 	return result
 }
 
-// reasons counts what callers were told when they got no answer.
+// reasons counts requests that were not answered by outcome and reason.
 func reasons(samples []dogwoodsender.Sample) []dogwoodresult.ReasonCount {
 	counts := map[string]int{}
 	for i := range samples {
@@ -135,17 +136,17 @@
 	return fmt.Sprint(sample.Status)
 }
 
-// timeline gives the outcomes by the second in which requests were sent.
+// timeline returns the outcomes by the second in which the requests were sent.
 func timeline(samples []dogwoodsender.Sample) []dogwoodresult.Second {
 	var seconds []dogwoodresult.Second
-	var times []*hdrhistogram.Histogram
+	var firstTokenTimes []*hdrhistogram.Histogram
 	for i := range samples {
 		sample := &samples[i]
 		at := int(time.Duration(sample.Arrival.At) / time.Second)
 		for len(seconds) <= at {
 			second := dogwoodresult.Second{At: dogwoodresult.Duration(time.Duration(len(seconds)) * time.Second)}
 			seconds = append(seconds, second)
-			times = append(times, newTimes())
+			firstTokenTimes = append(firstTokenTimes, newHistogram())
 		}
 		second := &seconds[at]
 		second.Sent++
@@ -158,25 +159,26 @@
 			second.Bad++
 		}
 		if sample.FirstToken > 0 {
-			record(times[at], sample.FirstToken.Microseconds())
+			record(firstTokenTimes[at], sample.FirstToken.Microseconds())
 		}
 	}
 	for at := range seconds {
-		seconds[at].FirstTokenP95 = quantile(times[at], 95)
+		seconds[at].FirstTokenP95 = quantile(firstTokenTimes[at], 95)
 	}
 	return seconds
 }
 
-// mostExamples bounds the requests that a result shows.
-const mostExamples = 12
+// maxExamples bounds the number of requests that a result shows as examples.
+const maxExamples = 12
 
-// examples describes the first requests that went wrong.
+// examples describes the first requests that were lost, late, crossed, doubled or falsely reported
+// as not run.
 func examples(samples []dogwoodsender.Sample, ran *Ran) []string {
 	var examples []string
 	for i := range samples {
 		sample := &samples[i]
 		fault := faultOf(sample, ran)
-		if fault == "" || len(examples) == mostExamples {
+		if fault == "" || len(examples) == maxExamples {
 			continue
 		}
 		detail := ""
@@ -203,7 +205,7 @@
 		return "Late " + string(outcome)
 	case sample.Wrong != nil:
 		return "Crossed (" + sample.Wrong.Error() + ")"
-	case outcome == RefusedNotRun && ran.ran(sample):
+	case outcome == RefusedNotRun && ran.wasRun(sample):
 		return "FalseNotRun"
 	case sample.Arrival.Key != "" && ran.RunsOfKey[sample.Arrival.Key] > 1:
 		return "Doubled"
--- a/dogwoodload/dogwoodlocalrun/local.go
+++ b/dogwoodload/dogwoodlocalrun/local.go
@@ -1,5 +1,5 @@
-// Package dogwoodlocalrun is the verb "local": it starts stand-ins and daemons in its own
-// process, runs one scenario against them and reports.
+// Package dogwoodlocalrun implements the subcommand "local": it starts stand-ins and daemons in this
+// process, runs one scenario against them and prints the result.
 package dogwoodlocalrun
 
 import (
@@ -21,7 +21,7 @@
 	"dogwoodmux.example/dogwoodload/dogwoodverb"
 )
 
-// Options are the flags.
+// Options are the flags and dependencies of the subcommand.
 type Options struct {
 	Factory *dogwoodfactory.Factory
 
@@ -34,7 +34,7 @@
 	Log      string
 }
 
-// New returns the verb. Tests give their own run; nil means the real one.
+// New returns the subcommand. Tests pass a replacement for run; nil means Run.
 func New(factory *dogwoodfactory.Factory, run func(ctx context.Context, options *Options) error) *dogwoodsubcommand.Command {
 	options := &Options{Factory: factory}
 	if run == nil {
@@ -69,7 +69,7 @@
 	if options.Policy != dogwoodscenario.PolicyProduct && options.Policy != dogwoodscenario.PolicyBaseline {
 		return dogwoodsubcommand.NewUsageError("no policy %q; there are product and baseline", options.Policy)
 	}
-	recorded, err := options.recorded()
+	recorded, err := options.readTrace()
 	if err != nil {
 		return err
 	}
@@ -81,8 +81,8 @@
 		Daemons:  options.Daemons,
 		Recorded: recorded,
 		Logger:   options.logger(),
-		Begin:    func(requests int) { bar = options.bar(requests) },
-		Done:     func() { _ = bar.Add(1) }, // a bar that can't be drawn is not worth a run
+		Begin:    func(requests int) { bar = options.newProgressBar(requests) },
+		Done:     func() { _ = bar.Add(1) }, // a failure to draw the bar must not abort the run
 	})
 	if err != nil {
 		return dogwoodverb.Error.Wrap(err)
@@ -93,15 +93,15 @@
 	return dogwoodresult.Table(options.Factory.Streams.Out, result)
 }
 
-func (options *Options) recorded() (*dogwoodtrace.Trace, error) {
+func (options *Options) readTrace() (*dogwoodtrace.Trace, error) {
 	if options.Trace == "" {
-		return nil, nil //nolint:nilnil // no recorded trace is a usual case
+		return nil, nil //nolint:nilnil // nil means that no recorded trace is used
 	}
 	file, err := os.Open(options.Trace)
 	if err != nil {
 		return nil, dogwoodverb.Error.Wrap(err)
 	}
-	defer func() { _ = file.Close() }() // nothing was written
+	defer func() { _ = file.Close() }() // read only, so no data is lost
 	trace, err := dogwoodtrace.Read(file)
 	return trace, dogwoodverb.Error.Wrap(err)
 }
@@ -113,16 +113,16 @@
 	return hclog.New(&hclog.LoggerOptions{Level: hclog.LevelFromString(options.Log), Output: options.Factory.Streams.Err})
 }
 
-// barInterval is how often the bar is drawn anew.
-const barInterval = 200 * time.Millisecond
+// barRedrawInterval is the minimum time between redraws of the progress bar.
+const barRedrawInterval = 200 * time.Millisecond
 
-func (options *Options) bar(requests int) *progressbar.ProgressBar {
+func (options *Options) newProgressBar(requests int) *progressbar.ProgressBar {
 	return progressbar.NewOptions(requests,
 		progressbar.OptionSetWriter(options.Factory.Streams.Err),
 		progressbar.OptionSetVisibility(options.Factory.Streams.Progress),
 		progressbar.OptionSetDescription(options.Scenario+" "+options.Policy),
 		progressbar.OptionShowCount(),
-		progressbar.OptionThrottle(barInterval),
+		progressbar.OptionThrottle(barRedrawInterval),
 		progressbar.OptionClearOnFinish(),
 	)
 }
--- a/dogwoodload/dogwoodplot/plot.go
+++ b/dogwoodload/dogwoodplot/plot.go
@@ -1,4 +1,4 @@
-// Package dogwoodplot is the verb "plot": it draws results into files.
+// Package dogwoodplot implements the subcommand "plot": it draws a chart of results into a file.
 package dogwoodplot
 
 import (
@@ -17,13 +17,13 @@
 	"dogwoodmux.example/dogwoodload/dogwoodverb"
 )
 
-// The charts.
+// The values of the flag -chart.
 const (
 	chartFirstToken = "firsttoken"
 	chartService    = "service"
 )
 
-// Options are the flags and arguments.
+// Options are the flags, arguments and dependencies of the subcommand.
 type Options struct {
 	Factory *dogwoodfactory.Factory
 
@@ -32,7 +32,7 @@
 	Results []string
 }
 
-// New returns the verb. Tests give their own run; nil means the real one.
+// New returns the subcommand. Tests pass a replacement for run; nil means Run.
 func New(factory *dogwoodfactory.Factory, run func(options *Options) error) *dogwoodsubcommand.Command {
 	options := &Options{Factory: factory}
 	if run == nil {
@@ -55,7 +55,7 @@
 	})
 }
 
-// Run reads the results and writes the chart.
+// Run reads the results, writes the chart and prints the name of its file.
 func Run(options *Options) error {
 	format := strings.TrimPrefix(filepath.Ext(options.Output), ".")
 	if format != "svg" && format != "png" {
--- a/dogwoodload/dogwoodrecord/record.go
+++ b/dogwoodload/dogwoodrecord/record.go
@@ -1,5 +1,5 @@
-// Package dogwoodrecord is the verb "record": it writes a scenario's trace to a file, which
-// "local -trace" reads.
+// Package dogwoodrecord implements the subcommand "record": it prints a scenario's trace in the format
+// that "local -trace" reads.
 package dogwoodrecord
 
 import (
@@ -14,7 +14,7 @@
 	"dogwoodmux.example/dogwoodload/dogwoodverb"
 )
 
-// Options are the flags.
+// Options are the flags and dependencies of the subcommand.
 type Options struct {
 	Factory *dogwoodfactory.Factory
 
@@ -22,7 +22,7 @@
 	Seed     uint64
 }
 
-// New returns the verb. Tests give their own run; nil means the real one.
+// New returns the subcommand. Tests pass a replacement for run; nil means Run.
 func New(factory *dogwoodfactory.Factory, run func(options *Options) error) *dogwoodsubcommand.Command {
 	options := &Options{Factory: factory}
 	if run == nil {
--- a/dogwoodload/dogwoodresult/result.go
+++ b/dogwoodload/dogwoodresult/result.go
@@ -1,4 +1,4 @@
-// Package dogwoodresult holds what one run of a scenario found, and writes it.
+// Package dogwoodresult defines the result of one run of a scenario and prints it.
 package dogwoodresult
 
 import (
@@ -16,11 +16,11 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("result")
 
-// Duration is a time.Duration written as it prints itself.
+// Duration is a time.Duration that JSON encodes as text, such as "1.5s".
 type Duration = dogwoodsettings.Duration
 
-// Result is what callers received and what the stand-ins ran, never a daemon's own word but
-// for ConfigSpread, which daemons alone can tell.
+// Result summarizes what callers received and what the stand-ins ran. Daemons report none of it but
+// ConfigSpread, which can't be measured without them.
 type Result struct {
 	Scenario  string
 	Seed      uint64
@@ -34,53 +34,58 @@
 	RefusedNotRun int
 	Failed        int
 	Unknown       int
-	// Late are requests that were neither answered nor refused or failed by their deadline.
+	// Late counts requests that were neither answered nor refused or failed by their deadline.
 	Late int
-	// Lost got no answer of any kind, or one that ended without its end.
+	// Lost counts requests that got no answer of any kind, or a truncated one.
 	Lost int
-	// LostWithEntry are those of Lost that were at a daemon when it was killed: the caller saw
-	// its connection break.
+	// LostWithEntry counts those of Lost that were in progress at a daemon when it was killed:
+	// the caller saw a broken connection.
 	LostWithEntry int
-	// Doubled are calls that may not be repeated and that ran more than once.
+	// Doubled counts calls that must run at most once and that ran more often.
 	Doubled int
-	// Crossed are answers whose bytes are not wholly the request's own.
+	// Crossed counts answers with content that does not belong to the request.
 	Crossed int
-	// FalseNotRun are refusals that say not run although a stand-in ran the request.
+	// FalseNotRun counts refusals that report "not run" although a stand-in ran the request.
 	FalseNotRun int
-	// LeakedMemory is in tokens, on any engine 5 s after the load ended.
+	// LeakedMemory is the memory, in tokens, that all engines together still hold 5 s after the
+	// load has ended.
 	LeakedMemory int
-	// ColdOverruns are the times an endpoint got more than it bears while cold, after any
-	// answer of it could tell.
+	// ColdOverruns counts how often an endpoint got more work than its cold limit allows after
+	// one of its answers could have reported that it is cold.
 	ColdOverruns int
-	// UntoldColdOverruns are those before: each time a warm engine turns cold, what arrives
-	// until its first answer has begun.
+	// UntoldColdOverruns counts the overruns before that: each time a warm engine turns cold,
+	// those until its first answer has begun.
 	UntoldColdOverruns int
-	// NewWorkAfterTakeOut is how long after an accepted take-out new work still arrived.
+	// NewWorkAfterTakeOut is the longest time after an accepted take-out at which new work still
+	// arrived.
 	NewWorkAfterTakeOut Duration
-	// ConfigSpread is the worst time from an accepted change to the last daemon that had it.
+	// ConfigSpread is the longest time from the acceptance of a change until every daemon had it
+	// in force.
 	ConfigSpread Duration
-	// Resent are requests whose connection broke and that their callers sent once more. Each
+	// Resent counts requests that their callers sent once more after the connection broke. Each
 	// has the outcome of its second sending.
 	Resent int
-	// CutByShutdown are requests that a graceful shutdown cut.
+	// CutByShutdown counts requests that a graceful shutdown of a daemon interrupted.
 	CutByShutdown int
-	// ShortSlowdown is the time of a short request over its time on an idle engine.
+	// ShortSlowdownP50 and ShortSlowdownP99 are percentiles of the time of a short request
+	// divided by its time on an idle engine.
 	ShortSlowdownP50 float64
 	ShortSlowdownP99 float64
 	FirstToken       []FirstToken
 
-	// InTime are requests answered by their deadline.
+	// InTime counts requests answered correctly by their deadline.
 	InTime int
-	// InTimeByCustomer is the share of each customer's requests answered by their deadline.
+	// InTimeByCustomer counts the requests of each customer, and those answered by their deadline.
 	InTimeByCustomer []CustomerShare `json:",omitempty"`
-	// Reasons counts refusals and failures by the reason that callers were told.
+	// Reasons counts requests that were not answered by outcome and by the reason that callers
+	// received.
 	Reasons []ReasonCount `json:",omitempty"`
-	// Events are what was done to the system, and Timeline how service went, by second.
+	// Events are the steps carried out on the system. Timeline holds the outcomes by second.
 	Events   []Event  `json:",omitempty"`
 	Timeline []Second `json:",omitempty"`
-	// StepsFailed are what the scenario could not do, or found wrong.
+	// StepsFailed describes steps that could not be carried out and checks that failed.
 	StepsFailed []string `json:",omitempty"`
-	// Examples are a few requests that went wrong, for a first look.
+	// Examples describes a few requests that went wrong.
 	Examples []string `json:",omitempty"`
 }
 
@@ -91,7 +96,7 @@
 	P50, P95, P99 Duration
 }
 
-// CustomerShare is one customer's part of a result.
+// CustomerShare holds the counts of one customer.
 type CustomerShare struct {
 	Customer dogwoodfleet.Customer
 	Sent     int
@@ -104,7 +109,7 @@
 	Count  int
 }
 
-// Event is something that the scenario did.
+// Event is a step of the scenario, or a remark on one.
 type Event struct {
 	At   Duration
 	What string
@@ -116,12 +121,12 @@
 	Sent          int
 	InTime        int
 	RefusedNotRun int
-	// Bad are those late, failed, unknown or lost.
+	// Bad counts requests that were late, failed, unknown, lost or crossed.
 	Bad           int
 	FirstTokenP95 Duration
 }
 
-// Read reads a result as Write writes it.
+// Read reads a result in the format that Write writes.
 func Read(reader io.Reader) (*Result, error) {
 	var result Result
 	if err := json.NewDecoder(reader).Decode(&result); err != nil {
@@ -137,7 +142,7 @@
 	return Error.Wrap(encoder.Encode(result))
 }
 
-// Breaches lists what must never be, in words. Measures show how well; these show whether.
+// Breaches describes the requirements that the result violates.
 func (result *Result) Breaches() []string {
 	var breaches []string
 	check := func(name string, count int) {
@@ -154,10 +159,10 @@
 	check("LeakedMemory", result.LeakedMemory)
 	check("ColdOverruns", result.ColdOverruns)
 	check("CutByShutdown", result.CutByShutdown)
-	if time.Duration(result.NewWorkAfterTakeOut) > longestTakeOut {
+	if time.Duration(result.NewWorkAfterTakeOut) > maxNewWorkAfterTakeOut {
 		breaches = append(breaches, "NewWorkAfterTakeOut "+time.Duration(result.NewWorkAfterTakeOut).String())
 	}
-	if time.Duration(result.ConfigSpread) > longestSpread {
+	if time.Duration(result.ConfigSpread) > maxConfigSpread {
 		breaches = append(breaches, "ConfigSpread "+time.Duration(result.ConfigSpread).String())
 	}
 	if sum := result.Answered + result.RefusedNotRun + result.Failed + result.Unknown + result.Lost; sum != result.Sent {
@@ -170,8 +175,9 @@
 }
 
 const (
-	// longestTakeOut is "a few seconds" for new work in a place that was taken out.
-	longestTakeOut = 3 * time.Second
-	// longestSpread is how long a change may take to be in force everywhere.
-	longestSpread = 3 * time.Second
+	// maxNewWorkAfterTakeOut bounds the time in which new work may still arrive at a data centre
+	// that was taken out of service. The requirement is "a few seconds".
+	maxNewWorkAfterTakeOut = 3 * time.Second
+	// maxConfigSpread bounds the time until a change is in force on every daemon.
+	maxConfigSpread = 3 * time.Second
 )
--- a/dogwoodload/dogwoodresult/result_test.go
+++ b/dogwoodload/dogwoodresult/result_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func sample() *Result {
+func testResult() *Result {
 	return &Result{
 		Scenario: "mixed", Seed: 3, Policy: "product", Sent: 10, Answered: 9, Lost: 1, InTime: 9,
 		ConfigSpread: Duration(40 * time.Millisecond),
@@ -18,7 +18,7 @@
 
 func TestResultIsReadBack(t *testing.T) {
 	var buffer bytes.Buffer
-	if err := Write(&buffer, sample()); err != nil {
+	if err := Write(&buffer, testResult()); err != nil {
 		t.Fatal(err)
 	}
 	if text := buffer.String(); !strings.Contains(text, `"ConfigSpread": "40ms"`) {
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want := sample(); !reflect.DeepEqual(got, want) {
+	if want := testResult(); !reflect.DeepEqual(got, want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
@@ -39,12 +39,12 @@
 		change func(*Result)
 		want   string
 	}{
-		{"as it is", func(*Result) {}, "Lost 1"},
+		{"unchanged", func(*Result) {}, "Lost 1"},
 		{"a request without an outcome", func(result *Result) { result.Sent++ }, "Lost 1, the outcomes add up to 10 of 11 sent"},
 		{"a slow change", func(result *Result) { result.ConfigSpread = Duration(4 * time.Second) }, "Lost 1, ConfigSpread 4s"},
 	}
 	for _, test := range tests {
-		result := sample()
+		result := testResult()
 		test.change(result)
 		if got := strings.Join(result.Breaches(), ", "); got != test.want {
 			t.Errorf("%s: got %q, want %q", test.name, got, test.want)
@@ -52,12 +52,12 @@
 	}
 }
 
-func TestCompareSaysWhichIsBetter(t *testing.T) {
-	worse := sample()
+func TestCompareMarksBetterMeasures(t *testing.T) {
+	worse := testResult()
 	worse.Policy = "baseline"
 	worse.FirstToken[0].P99 = Duration(3 * time.Second)
 	var buffer bytes.Buffer
-	if err := Compare(&buffer, worse, sample()); err != nil {
+	if err := Compare(&buffer, worse, testResult()); err != nil {
 		t.Fatal(err)
 	}
 	for _, got := range strings.Split(buffer.String(), "\n") {
--- a/dogwoodload/dogwoodresult/table.go
+++ b/dogwoodload/dogwoodresult/table.go
@@ -9,24 +9,24 @@
 	"github.com/olekukonko/tablewriter"
 )
 
-// line is one measure of a result.
-type line struct {
+// measure is one row of the tables.
+type measure struct {
 	name  string
 	value float64
 	text  string
-	// less is true if a smaller value is better.
-	less bool
+	// lessIsBetter is true if a smaller value is better.
+	lessIsBetter bool
 }
 
-// lines are the measures in the order in which tables show them.
-func (result *Result) lines() []line {
-	count := func(name string, value int, less bool) line {
-		return line{name: name, value: float64(value), text: strconv.Itoa(value), less: less}
+// measures returns the measures in the order of the tables.
+func (result *Result) measures() []measure {
+	count := func(name string, value int, lessIsBetter bool) measure {
+		return measure{name: name, value: float64(value), text: strconv.Itoa(value), lessIsBetter: lessIsBetter}
 	}
-	took := func(name string, value Duration) line {
-		return line{name: name, value: time.Duration(value).Seconds(), text: Round(value), less: true}
+	duration := func(name string, value Duration) measure {
+		return measure{name: name, value: time.Duration(value).Seconds(), text: Round(value), lessIsBetter: true}
 	}
-	lines := []line{
+	measures := []measure{
 		count("Sent", result.Sent, false),
 		count("Answered", result.Answered, false),
 		count("InTime", result.InTime, false),
@@ -40,26 +40,26 @@
 		count("FalseNotRun", result.FalseNotRun, true),
 		count("LeakedMemory", result.LeakedMemory, true),
 		count("ColdOverruns", result.ColdOverruns, true),
-		took("NewWorkAfterTakeOut", result.NewWorkAfterTakeOut),
-		took("ConfigSpread", result.ConfigSpread),
+		duration("NewWorkAfterTakeOut", result.NewWorkAfterTakeOut),
+		duration("ConfigSpread", result.ConfigSpread),
 		count("Resent", result.Resent, false),
 		count("CutByShutdown", result.CutByShutdown, true),
-		{name: "ShortSlowdownP50", value: result.ShortSlowdownP50, text: fmt.Sprintf("%.2f", result.ShortSlowdownP50), less: true},
-		{name: "ShortSlowdownP99", value: result.ShortSlowdownP99, text: fmt.Sprintf("%.2f", result.ShortSlowdownP99), less: true},
+		{name: "ShortSlowdownP50", value: result.ShortSlowdownP50, text: fmt.Sprintf("%.2f", result.ShortSlowdownP50), lessIsBetter: true},
+		{name: "ShortSlowdownP99", value: result.ShortSlowdownP99, text: fmt.Sprintf("%.2f", result.ShortSlowdownP99), lessIsBetter: true},
 	}
 	for _, class := range result.FirstToken {
 		name := fmt.Sprintf("FirstToken to %d, ", class.UpTo)
-		lines = append(lines, took(name+"P50", class.P50), took(name+"P95", class.P95), took(name+"P99", class.P99))
+		measures = append(measures, duration(name+"P50", class.P50), duration(name+"P95", class.P95), duration(name+"P99", class.P99))
 	}
-	return lines
+	return measures
 }
 
-// Round prints a duration to a tenth of a millisecond.
+// Round formats a duration, rounded to a tenth of a millisecond.
 func Round(duration Duration) string {
 	return time.Duration(duration).Round(100 * time.Microsecond).String()
 }
 
-// Table writes the result for a terminal.
+// Table writes the result as a table, followed by notes.
 func Table(writer io.Writer, result *Result) error {
 	if _, err := fmt.Fprintf(writer, "%s, seed %d, policy %s, %d daemons, %d endpoints\n",
 		result.Scenario, result.Seed, result.Policy, result.Daemons, result.Endpoints); err != nil {
@@ -67,8 +67,8 @@
 	}
 	table := tablewriter.NewWriter(writer)
 	table.Header("Measure", "Value")
-	for _, line := range result.lines() {
-		if err := table.Append(line.name, line.text); err != nil {
+	for _, measure := range result.measures() {
+		if err := table.Append(measure.name, measure.text); err != nil {
 			return Error.Wrap(err)
 		}
 	}
@@ -102,20 +102,20 @@
 	return nil
 }
 
-// Compare writes two results side by side, with the second's ratio to the first.
+// Compare writes two results side by side, with the ratio of the second to the first.
 func Compare(writer io.Writer, first, second *Result) error {
 	table := tablewriter.NewWriter(writer)
 	table.Header("Measure", title(first), title(second), "Ratio", "")
-	others := map[string]line{}
-	for _, line := range second.lines() {
-		others[line.name] = line
+	secondMeasures := map[string]measure{}
+	for _, measure := range second.measures() {
+		secondMeasures[measure.name] = measure
 	}
-	for _, line := range first.lines() {
-		other, known := others[line.name]
-		if !known {
+	for _, measure := range first.measures() {
+		secondMeasure, found := secondMeasures[measure.name]
+		if !found {
 			continue
 		}
-		if err := table.Append(line.name, line.text, other.text, ratio(line, other), verdict(line, other)); err != nil {
+		if err := table.Append(measure.name, measure.text, secondMeasure.text, ratio(measure, secondMeasure), betterOrWorse(measure, secondMeasure)); err != nil {
 			return Error.Wrap(err)
 		}
 	}
@@ -126,18 +126,18 @@
 	return fmt.Sprintf("%s %s seed %d", result.Scenario, result.Policy, result.Seed)
 }
 
-func ratio(first, second line) string {
+func ratio(first, second measure) string {
 	if first.value == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%.2f", second.value/first.value)
 }
 
-func verdict(first, second line) string {
+func betterOrWorse(first, second measure) string {
 	switch {
 	case first.name == "Sent" || first.value == second.value:
 		return ""
-	case (second.value < first.value) == first.less:
+	case (second.value < first.value) == first.lessIsBetter:
 		return "better"
 	default:
 		return "worse"
--- a/dogwoodload/dogwoodroot/root.go
+++ b/dogwoodload/dogwoodroot/root.go
@@ -1,4 +1,4 @@
-// Package dogwoodroot puts the verbs together and runs the one that was asked for.
+// Package dogwoodroot registers the subcommands and runs the requested one.
 package dogwoodroot
 
 import (
@@ -21,7 +21,7 @@
 
 const program = "dogwoodload"
 
-// Run parses the arguments, runs the verb and returns the process's exit code.
+// Run parses the arguments, runs the subcommand and returns the exit code of the process.
 func Run(ctx context.Context, factory *dogwoodfactory.Factory, arguments []string) int {
 	flags := flag.NewFlagSet(program, flag.ContinueOnError)
 	flags.SetOutput(factory.Streams.Err)
--- a/dogwoodload/dogwoodscenario/faults.go
+++ b/dogwoodload/dogwoodscenario/faults.go
@@ -7,10 +7,10 @@
 	"dogwoodmux.example/dogwoodload/dogwoodjudge"
 )
 
-// do is what a step does.
-type do = func(ctx context.Context, stage *Stage) error
+// stepFunc carries out a step of a scenario.
+type stepFunc = func(ctx context.Context, stage *Stage) error
 
-func slow(factor float64, engines ...int) do {
+func slowEngines(factor float64, engines ...int) stepFunc {
 	return func(_ context.Context, stage *Stage) error {
 		for _, engine := range engines {
 			stage.site.Engines[engine].Slow(factor)
@@ -19,7 +19,7 @@
 	}
 }
 
-func turnCold(engines ...int) do {
+func turnEnginesCold(engines ...int) stepFunc {
 	return func(_ context.Context, stage *Stage) error {
 		for _, engine := range engines {
 			stage.site.Engines[engine].TurnCold()
@@ -28,14 +28,14 @@
 	}
 }
 
-func turnServerCold(server int) do {
+func turnServerCold(server int) stepFunc {
 	return func(_ context.Context, stage *Stage) error {
 		stage.site.Plain[server].TurnCold()
 		return nil
 	}
 }
 
-func dieEngines(engines ...int) do {
+func killEngines(engines ...int) stepFunc {
 	return func(_ context.Context, stage *Stage) error {
 		for _, engine := range engines {
 			stage.site.Engines[engine].Die()
@@ -44,7 +44,7 @@
 	}
 }
 
-func reviveEngines(engines ...int) do {
+func reviveEngines(engines ...int) stepFunc {
 	return func(ctx context.Context, stage *Stage) error {
 		for _, engine := range engines {
 			if err := stage.site.Engines[engine].Revive(ctx); err != nil {
@@ -55,20 +55,20 @@
 	}
 }
 
-func dieServer(server int) do {
+func killServer(server int) stepFunc {
 	return func(_ context.Context, stage *Stage) error {
 		stage.site.Plain[server].Die()
 		return nil
 	}
 }
 
-func reviveServer(server int) do {
+func reviveServer(server int) stepFunc {
 	return func(ctx context.Context, stage *Stage) error {
 		return Error.Wrap(stage.site.Plain[server].Revive(ctx))
 	}
 }
 
-func silence(engines ...int) do {
+func silenceEngines(engines ...int) stepFunc {
 	return func(_ context.Context, stage *Stage) error {
 		for _, engine := range engines {
 			stage.site.Engines[engine].Silence(true)
@@ -77,31 +77,31 @@
 	}
 }
 
-func silenceServer(server int) do {
+func silenceServer(server int) stepFunc {
 	return func(_ context.Context, stage *Stage) error {
 		stage.site.Plain[server].Silence(true)
 		return nil
 	}
 }
 
-func killDaemon(daemon int) do {
+func killDaemon(daemon int) stepFunc {
 	return func(_ context.Context, stage *Stage) error {
 		killed := stage.site.Daemons()[daemon]
 		stage.mutex.Lock()
 		stage.kills = append(stage.kills, dogwoodjudge.Kill{Entry: killed.Serve.String(), At: time.Now()})
 		stage.mutex.Unlock()
-		killed.Kill() //nolint:contextcheck,nolintlint // a crash waits for nothing; seen only when all modules are linted together
+		killed.Kill() //nolint:contextcheck,nolintlint // a simulated crash does not wait; reported only when all modules are linted together
 		return nil
 	}
 }
 
-func restartDaemon(daemon int) do {
+func restartDaemon(daemon int) stepFunc {
 	return func(ctx context.Context, stage *Stage) error {
 		return Error.Wrap(stage.site.Daemons()[daemon].Restart(ctx))
 	}
 }
 
-func storeDown(down bool) do {
+func storeDown(down bool) stepFunc {
 	return func(_ context.Context, stage *Stage) error {
 		stage.site.Platform.Slow(0)
 		stage.site.Platform.Down(down)
@@ -109,14 +109,14 @@
 	}
 }
 
-func storeSlow(delay time.Duration) do {
+func storeSlow(delay time.Duration) stepFunc {
 	return func(_ context.Context, stage *Stage) error {
 		stage.site.Platform.Slow(delay)
 		return nil
 	}
 }
 
-func storeLosesAnswers(share float64) do {
+func storeLosesAnswers(share float64) stepFunc {
 	return func(_ context.Context, stage *Stage) error {
 		stage.site.Platform.Down(false)
 		stage.site.Platform.LoseAnswers(share)
--- a/dogwoodload/dogwoodscenario/operators.go
+++ b/dogwoodload/dogwoodscenario/operators.go
@@ -13,9 +13,9 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// crossingTexts applies two edits of the same text through two daemons at once. One must
-// be accepted and the other must be told of the conflict.
-func crossingTexts(ctx context.Context, stage *Stage) error {
+// applyConflictingTexts applies two edits of the same version of the operators' text through two
+// daemons at the same time. One edit must be accepted and the other rejected with a conflict.
+func applyConflictingTexts(ctx context.Context, stage *Stage) error {
 	base, err := stage.currentText(ctx)
 	if err != nil {
 		return err
@@ -46,17 +46,17 @@
 		return unexpected
 	}
 	if accepted != 1 || conflicts != editors-1 {
-		return Error.New("of two crossing texts %d were accepted and %d told of a conflict, want one each", accepted, conflicts)
+		return Error.New("of two concurrent edits of the text %d were accepted and %d rejected with a conflict, want one each", accepted, conflicts)
 	}
 	return nil
 }
 
 func (stage *Stage) currentText(ctx context.Context) (dogwoodadminapi.Text, error) {
-	daemon, err := stage.anyDaemon(0)
+	daemon, err := stage.runningDaemon(0)
 	if err != nil {
 		return dogwoodadminapi.Text{}, err
 	}
-	text, err := stage.operator(daemon).Text(ctx)
+	text, err := stage.adminClient(daemon).Text(ctx)
 	if err != nil {
 		return text, Error.Wrap(err)
 	}
@@ -67,53 +67,55 @@
 	return text, nil
 }
 
-// apply puts an edit of the text in force and waits until every daemon has it.
-func (stage *Stage) apply(ctx context.Context, through int, base dogwoodadminapi.Text) error {
-	daemon, err := stage.anyDaemon(through)
+// apply sends an edit of base to the given daemon and waits until the edit is in force on every daemon.
+func (stage *Stage) apply(ctx context.Context, daemonIndex int, base dogwoodadminapi.Text) error {
+	daemon, err := stage.runningDaemon(daemonIndex)
 	if err != nil {
 		return err
 	}
 	source := fmt.Sprintf("// edited through %s after version %d\n%s", daemon.VM, base.Version, base.Source)
-	accepted, err := stage.operator(daemon).Apply(ctx, dogwoodadminapi.Apply{
+	accepted, err := stage.adminClient(daemon).Apply(ctx, dogwoodadminapi.Apply{
 		ID: uuid.NewString(), BasedOn: base.Version, Author: "measure", Source: source,
 	})
 	if err != nil {
-		return err //nolint:wrapcheck // the caller asks for its type
+		return err //nolint:wrapcheck // the caller checks its type
 	}
 	at := time.Now()
 	stage.mutex.Lock()
-	stage.lastSource = source
+	stage.acceptedSource = source
 	stage.mutex.Unlock()
-	return stage.watchSpread(ctx, at, accepted.Version)
+	return stage.awaitPropagation(ctx, at, accepted.Version)
 }
 
-// crossingMoves takes a place out while texts cross.
-func crossingMoves(dataCentre dogwoodfleet.DataCentre) do {
+// takeOutWithConflictingTexts takes a data centre out of service while conflicting edits of the
+// operators' text are applied.
+func takeOutWithConflictingTexts(dataCentre dogwoodfleet.DataCentre) stepFunc {
 	return func(ctx context.Context, stage *Stage) error {
 		var group sync.WaitGroup
-		var texts error
-		group.Go(func() { texts = crossingTexts(ctx, stage) })
+		var textsErr error
+		group.Go(func() { textsErr = applyConflictingTexts(ctx, stage) })
 		err := stage.takeOut(ctx, 1, dataCentre)
 		group.Wait()
-		return errors.Join(err, texts)
+		return errors.Join(err, textsErr)
 	}
 }
 
-// nothingReverted checks that every daemon has the text accepted last and every change.
-func nothingReverted(ctx context.Context, stage *Stage) error {
+// checkNothingReverted returns an error unless every running daemon has the last accepted text and
+// every accepted change.
+func checkNothingReverted(ctx context.Context, stage *Stage) error {
 	stage.mutex.Lock()
-	source, accepted := stage.lastSource, stage.accepted
+	source, accepted := stage.acceptedSource, stage.acceptedVersion
 	stage.mutex.Unlock()
 	for _, daemon := range stage.site.Daemons() {
 		if !daemon.Alive() {
 			continue
 		}
-		text, err := stage.operator(daemon).Text(ctx)
+		text, err := stage.adminClient(daemon).Text(ctx)
 		if err != nil {
 			return Error.Wrap(err)
 		}
 		if text.Source != source {
-			return Error.New("%s has text version %d, which is not the one accepted last", daemon.VM, text.Version)
+			return Error.New("%s has text version %d, which is not the last accepted one", daemon.VM, text.Version)
 		}
 		if err := stage.awaitVersion(ctx, daemon, accepted); err != nil {
 			return err
--- a/dogwoodload/dogwoodscenario/run.go
+++ b/dogwoodload/dogwoodscenario/run.go
@@ -18,37 +18,38 @@
 )
 
 const (
-	// warmUp is longer than stand-ins are cold after their start.
+	// warmUp is longer than the cold phase of the stand-ins after their start.
 	warmUp = 3200 * time.Millisecond
-	// leakWait is how long after the load memory may still be held.
+	// leakWait is how long engines may still hold memory after the load has ended.
 	leakWait = 5 * time.Second
 )
 
-// Options say how a scenario is run.
+// Options configure a run of a scenario.
 type Options struct {
 	Scenario *Scenario
 	Seed     uint64
-	// Policy is "product" or "baseline".
+	// Policy is PolicyProduct or PolicyBaseline.
 	Policy string
-	// Daemons is how many; 0 is the site's default.
+	// Daemons is the number of daemons; 0 means the site's default.
 	Daemons int
 	// Recorded replaces the scenario's own trace.
 	Recorded *dogwoodtrace.Trace
 	Logger   hclog.Logger
-	// Base is the network below the site's; nil is the loopback.
+	// Base is the network that the site uses; nil means the loopback.
 	Base dogwoodsite.Base
-	// Begin is told the number of requests before the first; Done is called after each.
+	// Begin is called before the first request with the number of requests; Done is called after
+	// each request.
 	Begin func(requests int)
 	Done  func()
 }
 
-// The policies.
+// The values of Options.Policy.
 const (
 	PolicyProduct  = "product"
 	PolicyBaseline = "baseline"
 )
 
-// Run starts a site, runs the scenario against it and judges.
+// Run starts a site, runs the scenario against it and evaluates the outcomes.
 func Run(ctx context.Context, options Options) (*dogwoodresult.Result, error) {
 	trace, err := options.trace()
 	if err != nil {
@@ -59,8 +60,8 @@
 		return nil, Error.Wrap(err)
 	}
 	result, err := run(ctx, &options, site, trace)
-	if closing := site.Close(ctx); err == nil {
-		err = Error.Wrap(closing)
+	if closeErr := site.Close(ctx); err == nil {
+		err = Error.Wrap(closeErr)
 	}
 	return result, err
 }
@@ -106,25 +107,25 @@
 	sender := dogwoodsender.New(senderOptions(options, site, trace))
 	stage := newStage(site)
 	stage.start = time.Now()
-	var playing sync.WaitGroup
-	playing.Go(func() { stage.play(ctx, options.Scenario.Steps) })
+	var steps sync.WaitGroup
+	steps.Go(func() { stage.runSteps(ctx, options.Scenario.Steps) })
 	samples := sender.Send(ctx)
-	playing.Wait()
+	steps.Wait()
 	if err := wait(ctx, leakWait); err != nil {
 		return nil, err
 	}
-	stage.closeTakeOuts()
+	stage.finishTakeOuts()
 	return judge(options, stage, samples), nil
 }
 
-// Fleet is a site whose trace is sent when its caller says so.
+// Fleet is a running site with a trace that is sent on a call of Send.
 type Fleet struct {
 	options Options
 	site    *dogwoodsite.Site
 	trace   *dogwoodtrace.Trace
 }
 
-// Begin starts a site and sends nothing yet.
+// Begin starts a site without sending the trace.
 func Begin(ctx context.Context, options Options) (*Fleet, error) {
 	trace, err := options.trace()
 	if err != nil {
@@ -142,7 +143,7 @@
 	return fleet.site
 }
 
-// Send sends the trace and returns the number of requests when the last has ended.
+// Send sends the trace, waits until the last request has ended and returns the number of requests.
 func (fleet *Fleet) Send(ctx context.Context) int {
 	sender := dogwoodsender.New(senderOptions(&fleet.options, fleet.site, fleet.trace))
 	return len(sender.Send(ctx))
@@ -165,23 +166,23 @@
 }
 
 func senderOptions(options *Options, site *dogwoodsite.Site, trace *dogwoodtrace.Trace) dogwoodsender.Options {
-	made := dogwoodsender.Options{
+	result := dogwoodsender.Options{
 		Trace: trace,
 		Dial:  site.CallerDial,
-		Check: check,
+		Check: checkAnswer,
 		Done:  options.Done,
 	}
 	for _, daemon := range site.Daemons() {
-		made.Seeds = append(made.Seeds, daemon.Serve)
+		result.Seeds = append(result.Seeds, daemon.Serve)
 	}
 	for _, customer := range site.Shape.Customers {
-		made.Accounts = append(made.Accounts, dogwoodsender.Account{Customer: customer, Key: site.Keys(customer)})
+		result.Accounts = append(result.Accounts, dogwoodsender.Account{Customer: customer, Key: site.Keys(customer)})
 	}
-	return made
+	return result
 }
 
-// check returns an error if an answer is not wholly the arrival's own.
-func check(arrival *dogwoodtrace.Arrival, content string) error {
+// checkAnswer returns an error unless the content is exactly the answer to the arrival.
+func checkAnswer(arrival *dogwoodtrace.Arrival, content string) error {
 	if arrival.Kind == dogwoodtrace.Chat {
 		return dogwoodenginestandin.CheckAnswer(content, arrival.LoadID, arrival.MaxTokens)
 	}
@@ -203,12 +204,12 @@
 		Events:              stage.events,
 		StepsFailed:         stage.failures,
 	}
-	dogwoodjudge.Judge(result, samples, whatRan(site), dogwoodjudge.Speed{Prefill: enginePrefill, Decode: engineDecode})
+	dogwoodjudge.Judge(result, samples, collectRuns(site), dogwoodjudge.Speed{Prefill: enginePrefill, Decode: engineDecode})
 	return result
 }
 
-// whatRan asks the stand-ins.
-func whatRan(site *dogwoodsite.Site) *dogwoodjudge.Ran {
+// collectRuns reads from the stand-ins which requests they ran, and their counters.
+func collectRuns(site *dogwoodsite.Site) *dogwoodjudge.Ran {
 	ran := &dogwoodjudge.Ran{Runs: map[string]int{}, RunsOfKey: map[string]int{}, LastRun: map[string]time.Time{}}
 	for _, engine := range site.Engines {
 		for _, run := range engine.Ran() {
@@ -232,9 +233,9 @@
 	return ran
 }
 
-func later(one, other time.Time) time.Time {
-	if other.After(one) {
-		return other
+func later(a, b time.Time) time.Time {
+	if b.After(a) {
+		return b
 	}
-	return one
+	return a
 }
--- a/dogwoodload/dogwoodscenario/scenario.go
+++ b/dogwoodload/dogwoodscenario/scenario.go
@@ -1,5 +1,6 @@
-// Package dogwoodscenario holds the scenarios: what is sent, and what is done to the system
-// meanwhile. It runs them against a site in the same process.
+// Package dogwoodscenario defines the load scenarios and runs them against a site in the same
+// process. A scenario has a trace of requests and a list of steps, such as injected faults and
+// changes by operators, that are carried out while the trace is sent.
 package dogwoodscenario
 
 import (
@@ -16,37 +17,37 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("scenario")
 
-// Scenario is one story.
+// Scenario is a trace of requests and the steps that are carried out while it is sent.
 type Scenario struct {
 	Name string
-	// Story says in a sentence what happens.
+	// Story describes the scenario in one sentence.
 	Story string
-	// Shape is that of the site.
+	// Shape is the name of the site's shape.
 	Shape string
-	// Spec draws the trace; More adds arrivals to it.
+	// Spec adjusts the specification that the trace is drawn from; More returns arrivals to add.
 	Spec func(spec *dogwoodtrace.Spec)
 	More func(spec *dogwoodtrace.Spec) []dogwoodtrace.Arrival
-	// Prepare switches faults on before the trace starts.
+	// Prepare enables faults before the trace starts.
 	Prepare func(site *dogwoodsite.Site)
-	// Steps are what is done while the trace is sent.
+	// Steps are carried out while the trace is sent.
 	Steps []Step
 }
 
-// Step does something to the system at a time of the run.
+// Step is a change to the system at a time since the start of the trace.
 type Step struct {
 	At   time.Duration
 	What string
 	Do   func(ctx context.Context, stage *Stage) error
 }
 
-// The engines of all scenarios are small, so that a machine that also runs the daemons and
-// callers can bring them to their limits: 16 of them, each with four streams at 100 tokens a
+// Stand-in engines of all scenarios. They are small, so that one machine that also runs the daemons
+// and callers can load them to their limits: 16 engines, each with four streams at 100 tokens a
 // second, answer about 160 of the mixed requests a second.
 const (
 	engineBatch   = 4
 	engineDecode  = 100
 	enginePrefill = 200_000
-	// capacity is the requests a second that they bear.
+	// capacity is the number of requests a second that the engines can answer together.
 	capacity = 160.0
 )
 
@@ -58,13 +59,13 @@
 	}
 }
 
-// traceLength leaves room for the warm-up, the last deadlines and the wait for leaks within
-// 40 s.
+// traceLength is short enough that a run, with warm-up, the last deadlines and leakWait, takes less
+// than 40 s.
 const traceLength = 16 * time.Second
 
-// The classes of prompts. Of a hundred, two are over 16,000 tokens here; the machine would be
-// busy with their bytes alone if there were as many as at full size.
-var lengths = []dogwoodtrace.Length{
+// promptLengths are the classes of prompts. Only 4 % of the prompts exceed 16,000 tokens. With the
+// share of a full-size system, handling their bytes alone would saturate the machine.
+var promptLengths = []dogwoodtrace.Length{
 	{Share: 0.60, FromTokens: 200, ToTokens: 1000, MaxTokens: 32, Deadline: 3 * time.Second},
 	{Share: 0.26, FromTokens: 1001, ToTokens: 4000, MaxTokens: 48, Deadline: 4 * time.Second},
 	{Share: 0.10, FromTokens: 4001, ToTokens: 16_000, MaxTokens: 64, Deadline: 5 * time.Second},
@@ -73,10 +74,10 @@
 	{Share: 0.002, FromTokens: 256_001, ToTokens: 1_000_000, MaxTokens: 64, Deadline: 12 * time.Second},
 }
 
-// largeShares are the parts of the three large customers; the others share the rest.
-var largeShares = []float64{0.25, 0.18, 0.12}
+// largeCustomerShares are the shares of the three largest customers; the others split the rest evenly.
+var largeCustomerShares = []float64{0.25, 0.18, 0.12}
 
-// baseSpec is a calm day of a shape.
+// baseSpec returns the specification of a steady load at half the capacity.
 func baseSpec(shape *dogwoodsite.Shape, seed uint64) *dogwoodtrace.Spec {
 	spec := &dogwoodtrace.Spec{
 		Seed:          seed,
@@ -85,7 +86,7 @@
 		Engines:       shape.Pool,
 		Model:         shape.Model,
 		Plain:         shape.Plain,
-		Lengths:       lengths,
+		Lengths:       promptLengths,
 		LookupShare:   0.08,
 		HoldShare:     0.06,
 		HoldsAgain:    0.1,
@@ -97,8 +98,8 @@
 	rest := 1.0
 	for i, customer := range shape.Customers {
 		share := rest / float64(len(shape.Customers)-i)
-		if i < len(largeShares) {
-			share = largeShares[i]
+		if i < len(largeCustomerShares) {
+			share = largeCustomerShares[i]
 		}
 		rest -= share
 		spec.Senders = append(spec.Senders, dogwoodtrace.Sender{Customer: customer, Share: share})
--- a/dogwoodload/dogwoodscenario/scenarios.go
+++ b/dogwoodload/dogwoodscenario/scenarios.go
@@ -26,7 +26,7 @@
 	},
 	{
 		Name: "hotcustomer", Shape: dogwoodsite.Hinokuni,
-		Story: "One small customer sends forty times its part for eight seconds.",
+		Story: "One small customer sends forty times its usual rate for eight seconds.",
 		Spec: func(spec *dogwoodtrace.Spec) {
 			hot := spec.Senders[len(spec.Senders)-1].Customer
 			spec.Phases = []dogwoodtrace.Phase{{From: 4 * time.Second, To: 12 * time.Second, Factor: 40, Customer: hot}}
@@ -36,15 +36,15 @@
 		Name: "slowendpoint", Shape: dogwoodsite.Hinokuni,
 		Story: "Three engines become ten times slower.",
 		Steps: []Step{
-			{At: 4 * time.Second, What: "3 engines 10 times slower", Do: slow(10, 0, 5, 10)},
-			{At: 12 * time.Second, What: "engines at speed again", Do: slow(1, 0, 5, 10)},
+			{At: 4 * time.Second, What: "3 engines 10 times slower", Do: slowEngines(10, 0, 5, 10)},
+			{At: 12 * time.Second, What: "engines at speed again", Do: slowEngines(1, 0, 5, 10)},
 		},
 	},
 	{
 		Name: "longjobs", Shape: dogwoodsite.Hinokuni,
 		Story: "Prompts of 300,000 to a million tokens, which span engines, among short ones.",
 		Spec:  func(spec *dogwoodtrace.Spec) { spec.Rate = capacity / 3 },
-		More:  longJobs,
+		More:  longJobArrivals,
 	},
 	{
 		Name: "overload", Shape: dogwoodsite.Hinokuni,
@@ -63,21 +63,21 @@
 		Name: "coldstart", Shape: dogwoodsite.Hinokuni,
 		Story: "Warm engines and a server turn cold without a warning.",
 		Steps: []Step{
-			{At: 4 * time.Second, What: "5 engines cold", Do: turnCold(0, 1, 2, 3, 4)},
+			{At: 4 * time.Second, What: "5 engines cold", Do: turnEnginesCold(0, 1, 2, 3, 4)},
 			{At: 6 * time.Second, What: "a server cold", Do: turnServerCold(0)},
-			{At: 9 * time.Second, What: "6 engines cold", Do: turnCold(5, 6, 7, 8, 9, 10)},
+			{At: 9 * time.Second, What: "6 engines cold", Do: turnEnginesCold(5, 6, 7, 8, 9, 10)},
 		},
 	},
 	{
 		Name: "crash", Shape: dogwoodsite.Laurentide,
 		Story: "Engines, a server and daemons die and come back.",
 		Steps: []Step{
-			{At: 3 * time.Second, What: "engine 1 dies", Do: dieEngines(0)},
+			{At: 3 * time.Second, What: "engine 1 dies", Do: killEngines(0)},
 			{At: 4 * time.Second, What: "daemon 2 dies", Do: killDaemon(1)},
-			{At: 5 * time.Second, What: "engines 6, 7 die", Do: dieEngines(5, 6)},
+			{At: 5 * time.Second, What: "engines 6, 7 die", Do: killEngines(5, 6)},
 			{At: 6 * time.Second, What: "engine 1 back", Do: reviveEngines(0)},
 			{At: 7 * time.Second, What: "daemon 2 back", Do: restartDaemon(1)},
-			{At: 8 * time.Second, What: "server 1 dies", Do: dieServer(0)},
+			{At: 8 * time.Second, What: "server 1 dies", Do: killServer(0)},
 			{At: 9 * time.Second, What: "engines 6, 7 back", Do: reviveEngines(5, 6)},
 			{At: 10 * time.Second, What: "daemon 5 dies", Do: killDaemon(4)},
 			{At: 11 * time.Second, What: "server 1 back", Do: reviveServer(0)},
@@ -86,18 +86,18 @@
 	},
 	{
 		Name: "poison", Shape: dogwoodsite.Hinokuni,
-		Story:   "Two requests kill each engine that runs them; their callers send them again and again.",
+		Story:   "Two requests kill each engine that runs them; their callers send them repeatedly.",
 		Spec:    func(spec *dogwoodtrace.Spec) { spec.Rate = capacity / 3 },
-		More:    poison,
+		More:    poisonArrivals,
 		Prepare: killOnPoison,
 	},
 	{
 		Name: "silent", Shape: dogwoodsite.Laurentide,
 		Story: "Open connections to engines and a server go silent for good; new ones work.",
 		Steps: []Step{
-			{At: 4 * time.Second, What: "6 engines silent", Do: silence(0, 1, 2, 3, 4, 5)},
+			{At: 4 * time.Second, What: "6 engines silent", Do: silenceEngines(0, 1, 2, 3, 4, 5)},
 			{At: 6 * time.Second, What: "a server silent", Do: silenceServer(0)},
-			{At: 9 * time.Second, What: "6 engines silent", Do: silence(6, 7, 8, 9, 10, 11)},
+			{At: 9 * time.Second, What: "6 engines silent", Do: silenceEngines(6, 7, 8, 9, 10, 11)},
 		},
 	},
 	{
@@ -113,15 +113,15 @@
 	},
 	{
 		Name: "operators", Shape: dogwoodsite.Laurentide,
-		Story: "Operators apply texts and take places out at the same time through different daemons.",
+		Story: "Operators apply texts and take data centres out at the same time through different daemons.",
 		Steps: []Step{
-			{At: 3 * time.Second, What: "two texts cross", Do: crossingTexts},
-			{At: 5 * time.Second, What: "qc-est-a out, two texts cross", Do: crossingMoves("qc-est-a")},
+			{At: 3 * time.Second, What: "two texts cross", Do: applyConflictingTexts},
+			{At: 5 * time.Second, What: "qc-est-a out, two texts cross", Do: takeOutWithConflictingTexts("qc-est-a")},
 			{At: 8 * time.Second, What: "qc-est-a back", Do: bringBack("qc-est-a")},
-			{At: 9 * time.Second, What: "two texts cross", Do: crossingTexts},
+			{At: 9 * time.Second, What: "two texts cross", Do: applyConflictingTexts},
 			{At: 11 * time.Second, What: "qc-est-c out", Do: takeOut("qc-est-c")},
 			{At: 14 * time.Second, What: "qc-est-c back", Do: bringBack("qc-est-c")},
-			{At: 15 * time.Second, What: "nothing was reverted", Do: nothingReverted},
+			{At: 15 * time.Second, What: "nothing was reverted", Do: checkNothingReverted},
 		},
 	},
 	{
@@ -136,21 +136,23 @@
 	},
 	{
 		Name: "all", Shape: dogwoodsite.Hinokuni,
-		Story: "Engines die and turn cold, a daemon dies, the store goes down, a data centre leaves and a request kills engines.",
+		Story: "Engines die and turn cold, a daemon dies, the store goes down, a data centre is taken out and requests kill engines.",
 		Spec: func(spec *dogwoodtrace.Spec) {
 			spec.Rate = capacity / 3
 			spec.Phases = []dogwoodtrace.Phase{{From: 8 * time.Second, To: 9 * time.Second, Factor: 4}}
 		},
-		More:    func(spec *dogwoodtrace.Spec) []dogwoodtrace.Arrival { return append(poison(spec), longJobs(spec)...) },
+		More: func(spec *dogwoodtrace.Spec) []dogwoodtrace.Arrival {
+			return append(poisonArrivals(spec), longJobArrivals(spec)...)
+		},
 		Prepare: killOnPoison,
 		Steps: []Step{
-			{At: 2 * time.Second, What: "engine 3 dies", Do: dieEngines(2)},
+			{At: 2 * time.Second, What: "engine 3 dies", Do: killEngines(2)},
 			{At: 3 * time.Second, What: "oita-c out", Do: takeOut("oita-c")},
 			{At: 5 * time.Second, What: "store down", Do: storeDown(true)},
 			{At: 6 * time.Second, What: "daemon 2 dies", Do: killDaemon(1)},
-			{At: 7 * time.Second, What: "3 engines cold", Do: turnCold(3, 4, 6)},
+			{At: 7 * time.Second, What: "3 engines cold", Do: turnEnginesCold(3, 4, 6)},
 			{At: 8 * time.Second, What: "engine 3 back", Do: reviveEngines(2)},
-			{At: 9 * time.Second, What: "4 engines silent", Do: silence(7, 9, 10, 12)},
+			{At: 9 * time.Second, What: "4 engines silent", Do: silenceEngines(7, 9, 10, 12)},
 			{At: 10 * time.Second, What: "store up", Do: storeDown(false)},
 			{At: 11 * time.Second, What: "oita-c back", Do: bringBack("oita-c")},
 			{At: 12 * time.Second, What: "daemon 2 back", Do: restartDaemon(1)},
@@ -158,8 +160,8 @@
 	},
 }
 
-// longJobs are reviews that exceed one engine's memory, some of them at the same time.
-func longJobs(spec *dogwoodtrace.Spec) []dogwoodtrace.Arrival {
+// longJobArrivals returns prompts that exceed one engine's memory. They arrive in pairs.
+func longJobArrivals(spec *dogwoodtrace.Spec) []dogwoodtrace.Arrival {
 	const jobs = 10
 	random := rand.New(rand.NewPCG(spec.Seed, jobs))
 	var arrivals []dogwoodtrace.Arrival
@@ -184,14 +186,14 @@
 	return arrivals
 }
 
-// poison are two requests that kill engines, each sent again six times.
-func poison(spec *dogwoodtrace.Spec) []dogwoodtrace.Arrival {
+// poisonArrivals returns two requests that crash the engine that runs them, each with six repeats.
+func poisonArrivals(spec *dogwoodtrace.Spec) []dogwoodtrace.Arrival {
 	var arrivals []dogwoodtrace.Arrival
 	for body := range 2 {
-		for again := range 7 {
+		for repeat := range 7 {
 			arrivals = append(arrivals, dogwoodtrace.Arrival{
-				LoadID:       fmt.Sprintf("again-%d-%d", body, again),
-				At:           dogwoodsettings.Duration(time.Duration(3+3*body)*time.Second + time.Duration(again)*1200*time.Millisecond),
+				LoadID:       fmt.Sprintf("again-%d-%d", body, repeat),
+				At:           dogwoodsettings.Duration(time.Duration(3+3*body)*time.Second + time.Duration(repeat)*1200*time.Millisecond),
 				Kind:         dogwoodtrace.Chat,
 				Customer:     spec.Senders[body].Customer,
 				Service:      spec.Engines,
--- a/dogwoodload/dogwoodsender/addresses.go
+++ b/dogwoodload/dogwoodsender/addresses.go
@@ -16,30 +16,31 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// pathEntry answers which addresses to use.
+// pathEntry is the path of the query for the addresses to use.
 const pathEntry = "/v1/entry"
 
-// entryTimeout bounds one asking.
+// entryTimeout bounds one query to one address.
 const entryTimeout = 2 * time.Second
 
-// askAgain is how long callers go on with what they know after nobody answered.
-const askAgain = 250 * time.Millisecond
+// entryRetryInterval is how long callers use the cached addresses after a failed query before they
+// query again.
+const entryRetryInterval = 250 * time.Millisecond
 
-// addresses is what one customer's callers know of the system.
+// addresses caches the addresses that one customer's callers may connect to.
 type addresses struct {
 	key    string
 	client *resty.Client
-	// seeds are the addresses that callers have from their settings.
+	// seeds are the configured addresses.
 	seeds []netip.AddrPort
 
-	mutex  sync.Mutex
-	known  []netip.AddrPort
-	keep   time.Time
-	asking bool
-	asked  *sync.Cond
+	mutex     sync.Mutex
+	cached    []netip.AddrPort
+	expires   time.Time
+	querying  bool
+	queryDone *sync.Cond
 }
 
-// entry is the answer to asking.
+// entry is the answer to the query.
 type entry struct {
 	Addresses   []netip.AddrPort
 	KeepSeconds int
@@ -50,67 +51,67 @@
 	client.SetAuthToken(key)
 	client.SetRetryCount(0)
 	addresses := &addresses{key: key, client: client, seeds: seeds}
-	addresses.asked = sync.NewCond(&addresses.mutex)
+	addresses.queryDone = sync.NewCond(&addresses.mutex)
 	return addresses
 }
 
-// pick returns the addresses to try in turn, the first one first. Callers spread themselves
-// over what they were told.
+// pick returns the addresses to connect to, in the order to try them. The order is random, so that
+// callers distribute their requests evenly over the addresses.
 func (addresses *addresses) pick(ctx context.Context) []netip.AddrPort {
 	addresses.mutex.Lock()
 	defer addresses.mutex.Unlock()
-	for time.Now().After(addresses.keep) {
-		if addresses.asking {
-			addresses.asked.Wait()
+	for time.Now().After(addresses.expires) {
+		if addresses.querying {
+			addresses.queryDone.Wait()
 			continue
 		}
-		addresses.asking = true
+		addresses.querying = true
 		addresses.mutex.Unlock()
-		told, err := addresses.ask(ctx)
+		answer, err := addresses.query(ctx)
 		addresses.mutex.Lock()
-		addresses.asking = false
-		addresses.keep = time.Now().Add(askAgain)
+		addresses.querying = false
+		addresses.expires = time.Now().Add(entryRetryInterval)
 		if err == nil {
-			addresses.known = told.Addresses
-			addresses.keep = time.Now().Add(time.Duration(told.KeepSeconds) * time.Second)
+			addresses.cached = answer.Addresses
+			addresses.expires = time.Now().Add(time.Duration(answer.KeepSeconds) * time.Second)
 		}
-		addresses.asked.Broadcast()
+		addresses.queryDone.Broadcast()
 		break
 	}
-	picked := slices.Clone(addresses.known)
+	picked := slices.Clone(addresses.cached)
 	rand.Shuffle(len(picked), func(i, j int) { picked[i], picked[j] = picked[j], picked[i] })
 	return picked
 }
 
-// ask asks the addresses known before, then the seeds, until one answers.
-func (addresses *addresses) ask(ctx context.Context) (entry, error) {
-	var last error
-	for _, address := range append(addresses.shuffledKnown(), addresses.shuffledSeeds()...) {
+// query queries the cached addresses, then the seeds, until one returns addresses.
+func (addresses *addresses) query(ctx context.Context) (entry, error) {
+	var lastErr error
+	for _, address := range append(addresses.shuffledCached(), addresses.shuffledSeeds()...) {
 		response, err := addresses.client.R().SetContext(ctx).Get("http://" + address.String() + pathEntry)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
-		var told entry
+		var answer entry
 		if response.IsError() {
-			last = fmt.Errorf("%s answered %s", address, response.Status())
+			lastErr = fmt.Errorf("%s answered %s", address, response.Status())
 			continue
 		}
-		if err := json.Unmarshal(response.Body(), &told); err != nil {
-			last = err
+		if err := json.Unmarshal(response.Body(), &answer); err != nil {
+			lastErr = err
 			continue
 		}
-		if len(told.Addresses) > 0 {
-			return told, nil
+		if len(answer.Addresses) > 0 {
+			return answer, nil
 		}
 	}
-	return entry{}, Error.Wrap(last)
+	return entry{}, Error.Wrap(lastErr)
 }
 
-func (addresses *addresses) shuffledKnown() []netip.AddrPort {
+func (addresses *addresses) shuffledCached() []netip.AddrPort {
 	addresses.mutex.Lock()
 	defer addresses.mutex.Unlock()
-	return shuffled(addresses.known)
+	return shuffled(addresses.cached)
 }
 
 func (addresses *addresses) shuffledSeeds() []netip.AddrPort {
@@ -123,7 +124,7 @@
 	return values
 }
 
-// Account is a customer's key.
+// Account is a customer and its API key.
 type Account struct {
 	Customer dogwoodfleet.Customer
 	Key      string
--- a/dogwoodload/dogwoodsender/read.go
+++ b/dogwoodload/dogwoodsender/read.go
@@ -20,7 +20,8 @@
 	maxAnswer = 16 << 20
 )
 
-// read reads the answer to its end. It returns an error if the answer is broken.
+// read reads the whole answer into the sample. It returns an error if the answer is incomplete or
+// malformed.
 func (sender *Sender) read(sample *Sample, response *http.Response) error {
 	sample.Status = response.StatusCode
 	sample.RequestID = response.Header.Get(headerRequestID)
@@ -44,8 +45,8 @@
 	return nil
 }
 
-// errNoEnd is a stream that ended without [DONE] or an error event.
-var errNoEnd = errors.New("the stream ended without its end")
+// errTruncatedStream reports a stream that ended without [DONE] or an error event.
+var errTruncatedStream = errors.New("the stream ended without [DONE] or an error event")
 
 func (sender *Sender) readStream(sample *Sample, body io.Reader) error {
 	scanner := bufio.NewScanner(body)
@@ -74,10 +75,10 @@
 	if err := scanner.Err(); err != nil {
 		return Error.Wrap(err)
 	}
-	return Error.Wrap(errNoEnd)
+	return Error.Wrap(errTruncatedStream)
 }
 
-// chunk is a part of a streamed answer in the OpenAI style.
+// chunk is an event of a streamed answer, or a whole answer, in the format of the OpenAI API.
 type chunk struct {
 	Choices []struct {
 		Delta   struct{ Content string }
@@ -87,12 +88,12 @@
 }
 
 func (sample *Sample) addDelta(content *strings.Builder, data string) {
-	var part chunk
-	if err := json.Unmarshal([]byte(data), &part); err != nil {
+	var event chunk
+	if err := json.Unmarshal([]byte(data), &event); err != nil {
 		content.WriteString("(no JSON)")
 		return
 	}
-	for _, choice := range part.Choices {
+	for _, choice := range event.Choices {
 		text := choice.Delta.Content + choice.Text
 		if text != "" && sample.FirstToken == 0 {
 			sample.FirstToken = time.Since(sample.Sent)
@@ -112,7 +113,7 @@
 	}
 	var whole chunk
 	if err := json.Unmarshal(answer, &whole); err != nil || len(whole.Choices) == 0 {
-		return Error.New("the answer is no completion: %.80q", answer)
+		return Error.New("the answer is not a completion: %.80q", answer)
 	}
 	sender.finish(sample, whole.Choices[0].Message.Content)
 	return nil
--- a/dogwoodload/dogwoodsender/sample.go
+++ b/dogwoodload/dogwoodsender/sample.go
@@ -1,5 +1,5 @@
-// Package dogwoodsender sends a trace as callers do: it asks the system which addresses to
-// use, keeps the answer for as long as it may, connects there, and notes what came back.
+// Package dogwoodsender sends a trace as callers do: it queries the system for the addresses to use,
+// caches them for as long as the system allows, connects to them, and records the answers.
 package dogwoodsender
 
 import (
@@ -18,26 +18,27 @@
 // Sample is one request and what its caller received.
 type Sample struct {
 	Arrival *dogwoodtrace.Arrival
-	// Resent is when the caller sent it again because its connection broke without an
-	// answer; zero if it did not. What came back is then that of the second sending, and
-	// BrokenEntry is the address that the first went to.
+	// Resent is the time when the caller sent the request again because the first sending
+	// returned neither a whole answer nor a problem; zero if it was sent once. If it is not
+	// zero, the other fields are about the second sending, except that Sent is the time of the
+	// first and BrokenEntry the address that the first went to.
 	Resent      time.Time
 	BrokenEntry netip.AddrPort
-	// Entry is the address that took the request.
+	// Entry is the address that the request was sent to.
 	Entry     netip.AddrPort
 	RequestID string
 	Sent      time.Time
-	// FirstToken and Took count from Sent; FirstToken is 0 if none came.
+	// FirstToken and Took are measured from Sent; FirstToken is 0 if no token was received.
 	FirstToken time.Duration
 	Took       time.Duration
-	// Status is 0 if no status line came.
+	// Status is 0 if no status line was received.
 	Status int
-	// Problem is what a refusal or failure said, also one within a stream.
+	// Problem is the problem detail of a refusal or failure, including one within a stream.
 	Problem *dogwoodproblem.Problem
-	// Whole is true if the answer came to its end.
+	// Whole is true if the answer was received completely.
 	Whole bool
-	// Wrong says what is not the request's own in a whole answer.
+	// Wrong is non-nil if a whole answer has content that does not belong to the request.
 	Wrong error
-	// Broken is why there is no whole answer and no problem.
+	// Broken is the reason why there is neither a whole answer nor a problem.
 	Broken error
 }
--- a/dogwoodload/dogwoodsender/sender.go
+++ b/dogwoodload/dogwoodsender/sender.go
@@ -26,24 +26,24 @@
 )
 
 const (
-	// patience is how long beyond its deadline a caller waits before it gives up.
-	patience = 5 * time.Second
-	// dialTimeout bounds a connection attempt, after which the next address is tried.
+	// deadlineGrace is how long after the deadline of a request the caller abandons it.
+	deadlineGrace = 5 * time.Second
+	// dialTimeout bounds the dialing of one address, after which the next one is dialed.
 	dialTimeout = time.Second
-	// mostAtOnce bounds the requests in flight. A trace that needs more is sent late, which
-	// Behind then shows.
-	mostAtOnce = 8192
+	// maxConcurrentRequests bounds the requests in flight. If a trace needs more, requests are
+	// sent later than their arrival time.
+	maxConcurrentRequests = 8192
 )
 
-// Options are what a sender needs.
+// Options configure a sender.
 type Options struct {
 	Trace    *dogwoodtrace.Trace
 	Accounts []Account
-	// Seeds are addresses that callers know before they ask.
+	// Seeds are the addresses that callers use for their first query for addresses.
 	Seeds []netip.AddrPort
-	// Dial is the callers' network; nil means TCP.
+	// Dial connects callers to addresses; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Check returns an error if an answer's content is not wholly the arrival's own.
+	// Check returns an error unless the content is exactly the answer to the arrival.
 	Check func(arrival *dogwoodtrace.Arrival, content string) error
 	// Done is called after each request.
 	Done func()
@@ -56,7 +56,7 @@
 	addresses map[dogwoodfleet.Customer]*addresses
 }
 
-// New returns a sender.
+// New returns a sender of the trace in the options.
 func New(options Options) *Sender {
 	dial := options.Dial
 	if dial == nil {
@@ -83,12 +83,12 @@
 	return sender
 }
 
-// Send sends every arrival at its time and returns the samples in the order of the trace
-// when the last has ended. It does not wait for answers before it sends on.
+// Send sends every arrival at its time, without waiting for the answers to earlier ones. It returns
+// the samples in the order of the trace when the last request has ended.
 func (sender *Sender) Send(ctx context.Context) []Sample {
 	arrivals := sender.options.Trace.Arrivals
 	samples := make([]Sample, len(arrivals))
-	pool := pond.NewPool(mostAtOnce)
+	pool := pond.NewPool(maxConcurrentRequests)
 	start := time.Now()
 	for i := range arrivals {
 		if !waitUntil(ctx, start.Add(time.Duration(arrivals[i].At))) {
@@ -116,62 +116,63 @@
 	}
 }
 
-// send sends one request. If its connection breaks without an answer it is sent once more
-// through another entry, as the callers' page says: lookups and prompts may be repeated, and
-// a hold carries its key.
+// send sends one request. If that returns neither a whole answer nor a problem, it sends the request
+// once more to another address, as the documentation for callers requires: lookups and prompts may be
+// repeated, and a hold has an idempotency key.
 func (sender *Sender) send(ctx context.Context, arrival *dogwoodtrace.Arrival) Sample {
 	sample := Sample{Arrival: arrival, Sent: time.Now()}
-	bounded, cancel := context.WithTimeout(ctx, time.Duration(arrival.Deadline)+patience)
+	bounded, cancel := context.WithTimeout(ctx, time.Duration(arrival.Deadline)+deadlineGrace)
 	defer cancel()
-	known, authorised := sender.addresses[arrival.Customer]
+	customerAddresses, authorised := sender.addresses[arrival.Customer]
 	if !authorised {
 		sample.Broken = Error.New("no key for customer %s", arrival.Customer)
 		return sample
 	}
 	body := arrival.Body()
-	sender.sendOnce(bounded, &sample, known, body, netip.AddrPort{})
+	sender.sendOnce(bounded, &sample, customerAddresses, body, netip.AddrPort{})
 	if sender.mayResend(&sample) {
-		again := Sample{Arrival: arrival, Sent: sample.Sent, Resent: time.Now(), BrokenEntry: sample.Entry}
-		sender.sendOnce(bounded, &again, known, body, sample.Entry)
-		if !unconnected(again.Broken) {
-			sample = again
+		resent := Sample{Arrival: arrival, Sent: sample.Sent, Resent: time.Now(), BrokenEntry: sample.Entry}
+		sender.sendOnce(bounded, &resent, customerAddresses, body, sample.Entry)
+		if !failedToConnect(resent.Broken) {
+			sample = resent
 		}
 	}
 	sample.Took = time.Since(sample.Sent)
 	return sample
 }
 
-// mayResend is true if the connection broke and there is still time for an answer.
+// mayResend reports whether the caller received neither a whole answer nor a problem, and the deadline
+// has not passed.
 func (sender *Sender) mayResend(sample *Sample) bool {
 	broken := sample.Broken != nil && sample.Problem == nil && !sample.Whole
 	return broken && time.Since(sample.Sent) < time.Duration(sample.Arrival.Deadline)
 }
 
-// sendOnce sends to the first address that a connection comes about with, but not to the
-// one to avoid, so that nothing is sent twice.
-func (sender *Sender) sendOnce(ctx context.Context, sample *Sample, known *addresses, body string, avoid netip.AddrPort) {
+// sendOnce sends the request to the first address that accepts a connection, skipping the one to
+// avoid. It tries further addresses only after a failed dial, so the request is sent at most once.
+func (sender *Sender) sendOnce(ctx context.Context, sample *Sample, customerAddresses *addresses, body string, avoid netip.AddrPort) {
 	sample.Broken = errNoAddress
-	for _, address := range known.pick(ctx) {
+	for _, address := range customerAddresses.pick(ctx) {
 		if address == avoid {
 			continue
 		}
 		sample.Entry = address
-		sample.Broken = sender.exchange(ctx, sample, known.key, body)
-		if !unconnected(sample.Broken) {
+		sample.Broken = sender.exchange(ctx, sample, customerAddresses.key, body)
+		if !failedToConnect(sample.Broken) {
 			return
 		}
 	}
 }
 
-// exchange sends the request to the sample's entry and reads the answer. It returns an error
-// if no answer began.
+// exchange sends the request to the sample's entry and reads the answer. It returns an error if there
+// is neither a whole answer nor a problem.
 func (sender *Sender) exchange(ctx context.Context, sample *Sample, key, body string) error {
-	// What is sent again has only the time that is left.
-	left := time.Until(sample.Sent.Add(time.Duration(sample.Arrival.Deadline)))
+	// A resent request has only the time left until its original deadline.
+	remaining := time.Until(sample.Sent.Add(time.Duration(sample.Arrival.Deadline)))
 	if sample.Resent.IsZero() {
-		left = time.Duration(sample.Arrival.Deadline)
+		remaining = time.Duration(sample.Arrival.Deadline)
 	}
-	request, err := newRequest(ctx, sample.Arrival, sample.Entry, key, body, left)
+	request, err := newRequest(ctx, sample.Arrival, sample.Entry, key, body, remaining)
 	if err != nil {
 		return err
 	}
@@ -179,20 +180,20 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	defer func() { _ = response.Body.Close() }() // all that counts has been read
+	defer func() { _ = response.Body.Close() }() // the answer has been read
 	return sender.read(sample, response)
 }
 
 var errNoAddress = Error.New("no address to connect to")
 
-// unconnected is true if no connection came about.
-func unconnected(err error) bool {
-	var failed *net.OpError
-	return errors.Is(err, errNoAddress) || errors.As(err, &failed) && failed.Op == "dial"
+// failedToConnect reports whether no connection was established.
+func failedToConnect(err error) bool {
+	var operation *net.OpError
+	return errors.Is(err, errNoAddress) || errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// CheckPlain returns an error unless the content is the plain service's answer to the
-// arrival: a lookup's answer names it, a hold's is the hold that was sent.
+// CheckPlain returns an error unless the content is the plain service's answer to the arrival. The
+// answer to a lookup has its load ID, and the answer to a hold repeats the body that was sent.
 func CheckPlain(arrival *dogwoodtrace.Arrival, content string) error {
 	if arrival.Kind == dogwoodtrace.Hold {
 		if got, want := strings.TrimSpace(content), arrival.Body(); got != want {
@@ -212,7 +213,7 @@
 	if arrival.Kind == dogwoodtrace.Lookup {
 		method = http.MethodGet
 	}
-	// A reader without a known type can't be rewound, so net/http sends the body once.
+	// net/http can't rewind a reader of an unknown type and therefore sends the body only once.
 	var content io.Reader
 	if body != "" {
 		content = struct{ io.Reader }{strings.NewReader(body)}
@@ -225,8 +226,8 @@
 	request.Header.Set("Authorization", "Bearer "+key)
 	request.Header.Set(headerDeadline, deadline.String())
 	request.Header.Set("Content-Type", "application/json")
-	// A prompt carries its mark in its text, which shows a crossed body too; only where
-	// bodies are the same the header tells the tries apart.
+	// A prompt has its load ID in its text, which also reveals an answer to another prompt. The
+	// header distinguishes only requests without such a text, whose bodies may be the same.
 	if arrival.Kind != dogwoodtrace.Chat || arrival.Poison != "" {
 		request.Header.Set(headerLoadID, arrival.LoadID)
 	}
--- a/dogwoodload/dogwoodsender/sender_test.go
+++ b/dogwoodload/dogwoodsender/sender_test.go
@@ -15,8 +15,9 @@
 	"dogwoodmux.example/dogwoodload/dogwoodtrace"
 )
 
-// serve starts a system that answers prompts as given and says its own address as entry.
-func serve(t *testing.T, answer http.HandlerFunc) netip.AddrPort {
+// startServer starts a server that answers requests with the handler. Its entry path returns a dead
+// address and its own.
+func startServer(t *testing.T, answer http.HandlerFunc) netip.AddrPort {
 	t.Helper()
 	var address netip.AddrPort
 	mux := http.NewServeMux()
@@ -31,9 +32,9 @@
 	return address
 }
 
-var errOther = errors.New("another answer")
+var errOtherContent = errors.New("another answer")
 
-func sendOne(t *testing.T, arrival dogwoodtrace.Arrival, address netip.AddrPort) Sample {
+func sendArrival(t *testing.T, arrival dogwoodtrace.Arrival, address netip.AddrPort) Sample {
 	t.Helper()
 	arrival.Customer, arrival.LoadID = "a", "load-1"
 	arrival.Deadline = dogwoodsettings.Duration(10 * time.Second)
@@ -43,7 +44,7 @@
 		Seeds:    []netip.AddrPort{address},
 		Check: func(_ *dogwoodtrace.Arrival, content string) error {
 			if content != "mine" {
-				return errOther
+				return errOtherContent
 			}
 			return nil
 		},
@@ -52,7 +53,7 @@
 	return sender.Send(t.Context())[0]
 }
 
-func TestWhatACallerReceives(t *testing.T) {
+func TestSampleRecordsWhatTheCallerReceived(t *testing.T) {
 	event := func(text string) string {
 		return fmt.Sprintf("data: {\"choices\":[{\"delta\":{\"content\":%q}}]}\n\n", text)
 	}
@@ -68,20 +69,20 @@
 	}{
 		{name: "a whole stream", kind: "text/event-stream", status: 200, body: event("mi") + event("ne") + "data: [DONE]\n\n", whole: true},
 		{name: "another's bytes", kind: "text/event-stream", status: 200, body: event("yours") + "data: [DONE]\n\n", whole: true, wrong: true},
-		{name: "a stream without its end", kind: "text/event-stream", status: 200, body: event("mine"), broken: true},
+		{name: "a truncated stream", kind: "text/event-stream", status: 200, body: event("mine"), broken: true},
 		{name: "a stream that fails", kind: "text/event-stream", status: 200, body: event("mi") + "event: error\ndata: {\"NotRun\":\"false\"}\n\n", problem: "false"},
 		{name: "a refusal", kind: "application/problem+json", status: 429, body: `{"NotRun":"true"}`, problem: "true"},
 		{name: "one object", kind: "application/json", status: 200, body: `{"choices":[{"message":{"content":"mine"}}]}`, whole: true},
-		{name: "no completion", kind: "application/json", status: 200, body: `{}`, broken: true},
+		{name: "not a completion", kind: "application/json", status: 200, body: `{}`, broken: true},
 		{name: "an error without a problem", kind: "text/plain", status: 500, body: "oh", whole: true},
 	}
 	for _, test := range tests {
-		address := serve(t, func(writer http.ResponseWriter, _ *http.Request) {
+		address := startServer(t, func(writer http.ResponseWriter, _ *http.Request) {
 			writer.Header().Set("Content-Type", test.kind)
 			writer.WriteHeader(test.status)
 			_, _ = writer.Write([]byte(test.body))
 		})
-		got := sendOne(t, dogwoodtrace.Arrival{Kind: dogwoodtrace.Chat, PromptTokens: 100, MaxTokens: 5, Stream: true}, address)
+		got := sendArrival(t, dogwoodtrace.Arrival{Kind: dogwoodtrace.Chat, PromptTokens: 100, MaxTokens: 5, Stream: true}, address)
 		if got.Status != test.status || got.Whole != test.whole || (got.Wrong != nil) != test.wrong || (got.Broken != nil) != test.broken {
 			t.Errorf("%s: got status %d, whole %v, wrong %v, broken %v", test.name, got.Status, got.Whole, got.Wrong, got.Broken)
 		}
@@ -91,12 +92,12 @@
 	}
 }
 
-// The system closes a caller's kept connection just as the caller sends a hold on it. The HTTP
-// client would send a request with an Idempotency-Key again by itself; the measure would then
-// count the caller's own repeat as the system's.
+// The server closes a caller's idle connection just as the caller sends a hold on it. By default
+// net/http resends a request with an Idempotency-Key, and the result would count this repeat as one
+// by the system.
 func TestHoldIsSentOnce(t *testing.T) {
 	var holds atomic.Int32
-	address := serve(t, func(writer http.ResponseWriter, request *http.Request) {
+	address := startServer(t, func(writer http.ResponseWriter, request *http.Request) {
 		if !strings.HasSuffix(request.URL.Path, "/holds") || request.Header.Get("Idempotency-Key") != "key-1" {
 			t.Errorf("got %s with key %q", request.URL.Path, request.Header.Get("Idempotency-Key"))
 		}
@@ -108,7 +109,7 @@
 		}
 		_ = connection.Close()
 	})
-	got := sendOne(t, dogwoodtrace.Arrival{Kind: dogwoodtrace.Hold, Service: "lot-desk", Key: "key-1"}, address)
+	got := sendArrival(t, dogwoodtrace.Arrival{Kind: dogwoodtrace.Hold, Service: "lot-desk", Key: "key-1"}, address)
 	if got.Broken == nil {
 		t.Error("got an answer, want a broken connection")
 	}
--- a/dogwoodload/dogwoodsummary/summary.go
+++ b/dogwoodload/dogwoodsummary/summary.go
@@ -1,5 +1,5 @@
-// Package dogwoodsummary is the verb "summary": one page of all results in a folder, the
-// product beside the baseline.
+// Package dogwoodsummary implements the subcommand "summary": it prints a page with all results in a
+// folder, those of the product beside those of the baseline.
 package dogwoodsummary
 
 import (
@@ -20,7 +20,7 @@
 	"dogwoodmux.example/dogwoodload/dogwoodverb"
 )
 
-// Options are the flags and arguments.
+// Options are the flags, arguments and dependencies of the subcommand.
 type Options struct {
 	Factory *dogwoodfactory.Factory
 
@@ -30,7 +30,7 @@
 	Folder string
 }
 
-// New returns the verb. Tests give their own run; nil means the real one.
+// New returns the subcommand. Tests pass a replacement for run; nil means Run.
 func New(factory *dogwoodfactory.Factory, run func(options *Options) error) *dogwoodsubcommand.Command {
 	options := &Options{Factory: factory}
 	if run == nil {
@@ -57,7 +57,7 @@
 	})
 }
 
-// pair is a scenario's results; one is nil if that run left none.
+// pair holds a scenario's results under both policies; nil means that there is no result.
 type pair struct {
 	scenario          string
 	product, baseline *dogwoodresult.Result
@@ -83,7 +83,7 @@
 	return dogwoodverb.Error.Wrap(err)
 }
 
-// read returns nil if there is no whole result; the page says so.
+// read returns nil if there is no readable result; the page then shows "no result".
 func (options *Options) read(scenario, policy string) *dogwoodresult.Result {
 	path := filepath.Join(options.Folder, fmt.Sprintf("%s-%s-%d.json", scenario, policy, options.Seed))
 	if _, err := os.Stat(path); err != nil {
--- a/dogwoodload/dogwoodtrace/body.go
+++ b/dogwoodload/dogwoodtrace/body.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// bytesPerToken is what stand-ins and daemons count a token as.
+	// bytesPerToken is the size of a token that stand-ins and daemons assume.
 	bytesPerToken = 4
-	// minOwnTokens is room for a prompt's mark after its shared prefix.
-	minOwnTokens = 32
-	// Marker stands before the load id in a prompt; the engine stand-in echoes what follows.
+	// minUniqueTokens is the minimum length of a prompt after its shared prefix, so that its marker
+	// fits in.
+	minUniqueTokens = 32
+	// Marker precedes the load ID in a prompt; the engine stand-in repeats the load ID in its
+	// answer.
 	Marker = "load-id="
-	// PoisonMarker stands in prompts that kill engines.
+	// PoisonMarker marks prompts that crash the engine that runs them.
 	PoisonMarker = "poison-"
 )
 
 const filler = "the engine reads this word and the next one and goes on "
 
-// Prompt returns the text of a prompt, of just PromptTokens tokens: what it shares with
-// others first, then its mark, then words.
+// Prompt returns the text of a prompt, exactly PromptTokens tokens long: the shared prefix, then the
+// marker, then filler words.
 func (arrival *Arrival) Prompt() string {
 	size := arrival.PromptTokens * bytesPerToken
 	var text strings.Builder
@@ -38,7 +40,7 @@
 	return text.String()
 }
 
-// fill writes words until the text has a size.
+// fill writes start, then filler words until the text has the given size in bytes.
 func fill(text *strings.Builder, start string, size int) {
 	text.WriteString(start)
 	for text.Len()+len(filler) <= size {
@@ -47,7 +49,7 @@
 	text.WriteString(filler[:size-text.Len()])
 }
 
-// Path returns the path that the request goes to.
+// Path returns the URL path of the request.
 func (arrival *Arrival) Path() string {
 	switch arrival.Kind {
 	case Lookup:
@@ -59,7 +61,7 @@
 	}
 }
 
-// Body returns the request's body. Words and marks need no escapes in JSON.
+// Body returns the request's body. Filler words and markers need no escaping in JSON.
 func (arrival *Arrival) Body() string {
 	switch arrival.Kind {
 	case Lookup:
--- a/dogwoodload/dogwoodtrace/draw.go
+++ b/dogwoodload/dogwoodtrace/draw.go
@@ -11,7 +11,7 @@
 	"dogwoodmux.example/core/dogwoodsettings"
 )
 
-// Length is a class of prompts, drawn evenly between the bounds.
+// Length is a class of prompts. Their lengths are uniformly distributed between the bounds.
 type Length struct {
 	Share                float64
 	FromTokens, ToTokens int
@@ -25,19 +25,19 @@
 	Share    float64
 }
 
-// Phase multiplies the rate of one or all customers for a part of the run.
+// Phase multiplies the request rate of one or all customers for a part of the run.
 type Phase struct {
 	From, To time.Duration
 	Factor   float64
-	// Customer is the one whose rate changes; empty means all.
+	// Customer is the customer whose rate changes; empty means all.
 	Customer dogwoodfleet.Customer
 }
 
-// Spec says what to draw.
+// Spec specifies the trace to draw.
 type Spec struct {
 	Seed   uint64
 	Length time.Duration
-	// Rate is requests a second over all customers, Poisson distributed.
+	// Rate is the mean number of requests a second of all customers. Arrivals are Poisson distributed.
 	Rate    float64
 	Phases  []Phase
 	Senders []Sender
@@ -45,25 +45,26 @@
 	Model   dogwoodfleet.Model
 	Plain   dogwoodfleet.Service
 	Lengths []Length
-	// LookupShare and HoldShare are the parts of all requests that go to the plain service.
+	// LookupShare and HoldShare are the shares of lookups and holds, which go to the plain service,
+	// among all requests.
 	LookupShare, HoldShare float64
-	// PlainDeadline is that of lookups and holds.
+	// PlainDeadline is the deadline of lookups and holds.
 	PlainDeadline time.Duration
-	// Prefixes is how many texts prompts share; PrefixShare the part of prompts that do.
+	// Prefixes is the number of shared prefixes; PrefixShare is the share of prompts that have one.
 	Prefixes     int
 	PrefixTokens int
 	PrefixShare  float64
-	// HoldsAgain is the share of holds that the caller sends a second time, under the same key.
+	// HoldsAgain is the share of holds that the caller sends a second time with the same key.
 	HoldsAgain float64
 }
 
-// Draw draws the trace of a spec. Each customer has its own source of chance, so that what
-// one sends doesn't change when another's rate does.
+// Draw draws the trace of a spec. Each customer has a separate random source, so that a change to one
+// customer's rate doesn't change the requests of the others.
 func Draw(spec *Spec) *Trace {
 	var trace Trace
 	for index, sender := range spec.Senders {
 		random := rand.New(rand.NewPCG(spec.Seed, uint64(index)+1))
-		trace.Arrivals = append(trace.Arrivals, spec.sender(sender, random)...)
+		trace.Arrivals = append(trace.Arrivals, spec.drawArrivals(sender, random)...)
 	}
 	trace.Sort()
 	for i := range trace.Arrivals {
@@ -72,53 +73,53 @@
 	return &trace
 }
 
-// Sort puts arrivals in the order of their time.
+// Sort sorts the arrivals by time.
 func (trace *Trace) Sort() {
 	slices.SortStableFunc(trace.Arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 }
 
-// Check returns an error unless every arrival has a LoadID of its own: outcomes are matched
-// to what stand-ins ran by it.
+// Check returns an error unless every arrival has a unique LoadID. Outcomes are matched by LoadID to
+// the runs of stand-ins.
 func (trace *Trace) Check() error {
 	seen := map[string]bool{}
 	for i := range trace.Arrivals {
 		id := trace.Arrivals[i].LoadID
 		if id == "" || seen[id] {
-			return Error.New("arrival %d has the LoadID %q, which is empty or another's", i+1, id)
+			return Error.New("arrival %d has the LoadID %q, which is empty or a duplicate", i+1, id)
 		}
 		seen[id] = true
 	}
 	return nil
 }
 
-func (spec *Spec) sender(sender Sender, random *rand.Rand) []Arrival {
+func (spec *Spec) drawArrivals(sender Sender, random *rand.Rand) []Arrival {
 	var arrivals []Arrival
 	holds := 0
 	for at := time.Duration(0); ; {
-		rate := spec.Rate * sender.Share * spec.factor(sender.Customer, at)
+		rate := spec.Rate * sender.Share * spec.rateFactor(sender.Customer, at)
 		at += time.Duration(random.ExpFloat64() / max(rate, 1e-3) * float64(time.Second))
 		if at >= spec.Length {
 			return arrivals
 		}
-		arrival := spec.arrival(random)
+		arrival := spec.drawArrival(random)
 		arrival.At = dogwoodsettings.Duration(at)
 		arrival.Customer = sender.Customer
 		if arrival.Kind == Hold {
 			holds++
 			arrival.Key = fmt.Sprintf("%s-%d-%d", sender.Customer, spec.Seed, holds)
 			if random.Float64() < spec.HoldsAgain {
-				again := arrival
-				again.At += dogwoodsettings.Duration(random.Int64N(int64(2 * time.Second)))
-				again.At = min(again.At, dogwoodsettings.Duration(spec.Length-1))
-				arrivals = append(arrivals, again)
+				duplicate := arrival
+				duplicate.At += dogwoodsettings.Duration(random.Int64N(int64(2 * time.Second)))
+				duplicate.At = min(duplicate.At, dogwoodsettings.Duration(spec.Length-1))
+				arrivals = append(arrivals, duplicate)
 			}
 		}
 		arrivals = append(arrivals, arrival)
 	}
 }
 
-// factor is how much more a customer sends at a time.
-func (spec *Spec) factor(customer dogwoodfleet.Customer, at time.Duration) float64 {
+// rateFactor returns the product of the factors of all phases that apply to a customer at a time.
+func (spec *Spec) rateFactor(customer dogwoodfleet.Customer, at time.Duration) float64 {
 	factor := 1.0
 	for _, phase := range spec.Phases {
 		if at >= phase.From && at < phase.To && (phase.Customer == "" || phase.Customer == customer) {
@@ -128,16 +129,16 @@
 	return factor
 }
 
-func (spec *Spec) arrival(random *rand.Rand) Arrival {
-	kind := random.Float64()
-	if kind < spec.LookupShare+spec.HoldShare {
+func (spec *Spec) drawArrival(random *rand.Rand) Arrival {
+	drawn := random.Float64()
+	if drawn < spec.LookupShare+spec.HoldShare {
 		arrival := Arrival{Kind: Lookup, Service: spec.Plain, Deadline: dogwoodsettings.Duration(spec.PlainDeadline)}
-		if kind < spec.HoldShare {
+		if drawn < spec.HoldShare {
 			arrival.Kind = Hold
 		}
 		return arrival
 	}
-	length := spec.length(random)
+	length := spec.drawLength(random)
 	arrival := Arrival{
 		Kind:         Chat,
 		Service:      spec.Engines,
@@ -147,20 +148,20 @@
 		Stream:       random.IntN(4) > 0,
 		Deadline:     dogwoodsettings.Duration(length.Deadline),
 	}
-	if spec.Prefixes > 0 && random.Float64() < spec.PrefixShare && arrival.PromptTokens > spec.PrefixTokens+minOwnTokens {
+	if spec.Prefixes > 0 && random.Float64() < spec.PrefixShare && arrival.PromptTokens > spec.PrefixTokens+minUniqueTokens {
 		arrival.Prefix = 1 + random.IntN(spec.Prefixes)
 		arrival.PrefixTokens = spec.PrefixTokens
 	}
 	return arrival
 }
 
-func (spec *Spec) length(random *rand.Rand) Length {
-	at := random.Float64()
+func (spec *Spec) drawLength(random *rand.Rand) Length {
+	drawn := random.Float64()
 	for _, length := range spec.Lengths {
-		if at < length.Share {
+		if drawn < length.Share {
 			return length
 		}
-		at -= length.Share
+		drawn -= length.Share
 	}
 	return spec.Lengths[len(spec.Lengths)-1]
 }
--- a/dogwoodload/dogwoodtrace/trace.go
+++ b/dogwoodload/dogwoodtrace/trace.go
@@ -1,5 +1,5 @@
-// Package dogwoodtrace holds traces: who sends what when. A trace is drawn from a seed or
-// read from a file, and is the same for every policy that it is run against.
+// Package dogwoodtrace defines traces: sequences of requests with their senders and arrival times. A
+// trace is drawn from a seed or read from a file and does not depend on the policy under test.
 package dogwoodtrace
 
 import (
@@ -18,7 +18,7 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("trace")
 
-// Kind is what a caller asks for.
+// Kind is the kind of a request.
 type Kind string
 
 // The kinds.
@@ -30,23 +30,23 @@
 
 // Arrival is one request of a trace.
 type Arrival struct {
-	// At is when it is sent, from the start of the run.
+	// At is the time when the request is sent, since the start of the trace.
 	At       dogwoodsettings.Duration
 	LoadID   string
 	Kind     Kind
 	Customer dogwoodfleet.Customer
 	Service  dogwoodfleet.Service
 	Deadline dogwoodsettings.Duration
-	// The rest but Key is for prompts.
+	// The fields below apply to prompts only, except Key.
 	Model        dogwoodfleet.Model `json:",omitempty"`
 	PromptTokens int                `json:",omitempty"`
 	MaxTokens    int                `json:",omitempty"`
 	Stream       bool               `json:",omitempty"`
-	// Prefix numbers the text that a prompt shares with others; 0 is none.
+	// Prefix is the number of the prefix that the prompt shares with others; 0 means none.
 	Prefix       int `json:",omitempty"`
 	PrefixTokens int `json:",omitempty"`
-	// Poison makes the prompt one that kills the engine that runs it. Requests with the
-	// same Poison have the same body.
+	// Poison, if not empty, makes the prompt crash the engine that runs it. Requests with the same
+	// Poison have the same body.
 	Poison string `json:",omitempty"`
 	// Key is the Idempotency-Key of a hold.
 	Key string `json:",omitempty"`
@@ -57,7 +57,7 @@
 	Arrivals []Arrival
 }
 
-// Read reads a recorded trace: one arrival in JSON a line.
+// Read reads a recorded trace, which has one arrival as a JSON object per line.
 func Read(reader io.Reader) (*Trace, error) {
 	decoder := json.NewDecoder(bufio.NewReader(reader))
 	decoder.DisallowUnknownFields()
@@ -75,7 +75,7 @@
 	}
 }
 
-// Write records a trace.
+// Write writes a trace in the format that Read reads.
 func Write(writer io.Writer, trace *Trace) error {
 	encoder := json.NewEncoder(writer)
 	for i := range trace.Arrivals {
--- a/dogwoodload/dogwoodtrace/trace_test.go
+++ b/dogwoodload/dogwoodtrace/trace_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-func spec(seed uint64) *Spec {
+func testSpec(seed uint64) *Spec {
 	return &Spec{
 		Seed: seed, Length: 10 * time.Second, Rate: 100,
 		Senders:     []Sender{{"a", 0.7}, {"b", 0.3}},
@@ -20,16 +20,16 @@
 }
 
 func TestSameSeedSameTrace(t *testing.T) {
-	if got, want := Draw(spec(1)), Draw(spec(1)); !reflect.DeepEqual(got, want) {
+	if got, want := Draw(testSpec(1)), Draw(testSpec(1)); !reflect.DeepEqual(got, want) {
 		t.Error("two traces of seed 1 differ")
 	}
-	if got, other := Draw(spec(1)), Draw(spec(2)); reflect.DeepEqual(got, other) {
+	if got, other := Draw(testSpec(1)), Draw(testSpec(2)); reflect.DeepEqual(got, other) {
 		t.Error("traces of seeds 1 and 2 are equal")
 	}
 }
 
 func TestRecordedTraceIsReadBack(t *testing.T) {
-	want := Draw(spec(3))
+	want := Draw(testSpec(3))
 	var buffer bytes.Buffer
 	if err := Write(&buffer, want); err != nil {
 		t.Fatal(err)
@@ -50,10 +50,10 @@
 	}
 }
 
-// What one customer sends must not change when another's rate does; else a hot customer's
-// run could not be compared with a run without it.
-func TestPhaseOfOneCustomerLeavesTheOthers(t *testing.T) {
-	hot := spec(4)
+// A change to one customer's rate must not change the requests of the others; otherwise a run with a
+// hot customer could not be compared with a run without it.
+func TestPhaseOfOneCustomerDoesNotChangeOthers(t *testing.T) {
+	hot := testSpec(4)
 	hot.Phases = []Phase{{From: 2 * time.Second, To: 4 * time.Second, Factor: 10, Customer: "a"}}
 	count := func(trace *Trace, customer string) (count int) {
 		for i := range trace.Arrivals {
@@ -63,20 +63,20 @@
 		}
 		return count
 	}
-	calm, heated := Draw(spec(4)), Draw(hot)
-	if got, want := count(heated, "b"), count(calm, "b"); got != want {
+	baseline, burst := Draw(testSpec(4)), Draw(hot)
+	if got, want := count(burst, "b"), count(baseline, "b"); got != want {
 		t.Errorf("arrivals of b: got %d, want %d", got, want)
 	}
-	if got, least := count(heated, "a"), 2*count(calm, "a"); got < least {
-		t.Errorf("arrivals of a: got %d, want at least %d", got, least)
+	if got, want := count(burst, "a"), 2*count(baseline, "a"); got < want {
+		t.Errorf("arrivals of a: got %d, want at least %d", got, want)
 	}
 }
 
-func TestPromptHasItsLengthMarkAndSharedPrefix(t *testing.T) {
+func TestPromptHasLengthMarkerAndSharedPrefix(t *testing.T) {
 	tests := []struct {
 		name    string
 		arrival Arrival
-		mark    string
+		marker  string
 	}{
 		{"plain", Arrival{Kind: Chat, LoadID: "load-1", PromptTokens: 1000}, "load-id=load-1 "},
 		{"with a prefix", Arrival{Kind: Chat, LoadID: "load-2", PromptTokens: 500, Prefix: 2, PrefixTokens: 400}, "load-id=load-2 "},
@@ -87,25 +87,26 @@
 		if got, want := len(prompt), test.arrival.PromptTokens*bytesPerToken; got != want {
 			t.Errorf("%s: got %d bytes, want %d", test.name, got, want)
 		}
-		if got := strings.Index(prompt, test.mark); got != test.arrival.PrefixTokens*bytesPerToken {
-			t.Errorf("%s: mark at %d, want %d", test.name, got, test.arrival.PrefixTokens*bytesPerToken)
+		if got := strings.Index(prompt, test.marker); got != test.arrival.PrefixTokens*bytesPerToken {
+			t.Errorf("%s: marker at %d, want %d", test.name, got, test.arrival.PrefixTokens*bytesPerToken)
 		}
 		if !json.Valid([]byte(test.arrival.Body())) {
-			t.Errorf("%s: body is no JSON", test.name)
+			t.Errorf("%s: body is not valid JSON", test.name)
 		}
 	}
 }
 
-// Two arrivals with one LoadID made refusals look false: what one ran was taken for the other's.
-func TestCheckWantsALoadIDForEach(t *testing.T) {
+// When two arrivals had the same LoadID, a run of one was attributed to the other, whose refusal as
+// not run was then counted as false.
+func TestCheckRequiresUniqueLoadIDs(t *testing.T) {
 	tests := []struct {
 		name string
 		ids  []string
 		want bool
 	}{
-		{"each its own", []string{"a", "b"}, true},
-		{"one twice", []string{"a", "b", "a"}, false},
-		{"none", []string{"a", ""}, false},
+		{"unique", []string{"a", "b"}, true},
+		{"one duplicated", []string{"a", "b", "a"}, false},
+		{"one empty", []string{"a", ""}, false},
 	}
 	for _, test := range tests {
 		var trace Trace
--- a/dogwoodload/dogwoodverb/verb.go
+++ b/dogwoodload/dogwoodverb/verb.go
@@ -1,4 +1,4 @@
-// Package dogwoodverb is what the verbs of dogwoodload share.
+// Package dogwoodverb holds functions that the subcommands of dogwoodload share.
 package dogwoodverb
 
 import (
@@ -15,7 +15,7 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("dogwoodload")
 
-// New makes a verb of dogwoodload.
+// New returns a subcommand of dogwoodload.
 func New(spec dogwoodsubcommand.Spec) *dogwoodsubcommand.Command {
 	spec.Program = "dogwoodload"
 	return dogwoodsubcommand.New(spec)
@@ -27,7 +27,7 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	defer func() { _ = file.Close() }() // nothing was written
+	defer func() { _ = file.Close() }() // read only, so no data is lost
 	result, err := dogwoodresult.Read(file)
 	if err != nil {
 		return nil, Error.Wrap(fmt.Errorf("%s: %w", path, err))
@@ -35,7 +35,7 @@
 	return result, nil
 }
 
-// WriteFile makes a file by a function that writes it.
+// WriteFile creates a file whose content the function write writes.
 func WriteFile(path string, write func(io.Writer) error) (err error) {
 	file, err := os.Create(path)
 	if err != nil {
