--- a/core/dogwoodsettings/checkdaemon.go
+++ b/core/dogwoodsettings/checkdaemon.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// PolicyBaseline is the Daemon.Policy that measurements are compared against.
+// PolicyBaseline is the Daemon.Policy that serves as the reference in measurements.
 const PolicyBaseline = "Baseline"
 
 var logLevels = []string{"", "trace", "debug", "info", "warn", "error"}
--- a/core/dogwoodsettings/daemon.go
+++ b/core/dogwoodsettings/daemon.go
@@ -21,8 +21,8 @@
 	AdminKey Secret
 	PeerKey  Secret
 	LogLevel string `json:",omitempty"`
-	// Policy is "" for the product's own policy, or "Baseline" for first come, first served
-	// with a random choice of endpoint, which measurements are compared against.
+	// Policy is "" for the product's policy, or "Baseline" for the reference in measurements:
+	// first come, first served, at a randomly chosen endpoint.
 	Policy string `json:",omitempty"`
 }
 
@@ -36,7 +36,7 @@
 }
 
 // Secret is a key, given in the settings file (Value), in another file (File) or in an
-// environment variable (Environment). The first of them that is set counts.
+// environment variable (Environment). Exactly one of them must be set.
 type Secret struct {
 	Value       string `json:",omitempty"`
 	File        string `json:",omitempty"`
--- a/core/dogwoodsettings/settings_test.go
+++ b/core/dogwoodsettings/settings_test.go
@@ -46,6 +46,8 @@
 	}
 }
 
+// Each mistake in a text must be reported with its line, column and field. If an unknown or repeated
+// field were ignored, a default or an unintended value would take effect without notice.
 func TestParseTextProblems(t *testing.T) {
 	tests := []struct {
 		name     string
--- a/dogwoodctl/dogwoodcommand/wait.go
+++ b/dogwoodctl/dogwoodcommand/wait.go
@@ -47,7 +47,7 @@
 }
 
 // waitForAll waits until the version is in force on every daemon and returns the daemons on
-// which it was not in time.
+// which it is not in force when the wait ends.
 func waitForAll(ctx context.Context, client StatusReader, version uint64, wait time.Duration) ([]string, error) {
 	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
--- a/dogwoodctl/dogwoodconviction/convictions.go
+++ b/dogwoodctl/dogwoodconviction/convictions.go
@@ -1,5 +1,5 @@
 // Package dogwoodconviction holds the subcommand that lists and lifts convictions. A convicted
-// request is refused because it crashed endpoints.
+// request is rejected because it crashed endpoints.
 package dogwoodconviction
 
 import (
--- a/dogwoodctl/dogwoodexplain/conclusion.go
+++ b/dogwoodctl/dogwoodexplain/conclusion.go
@@ -9,9 +9,9 @@
 	"dogwoodmux.example/core/dogwoodlog"
 )
 
-// outcomes maps the last log line of a request to the sentence that explains it. The
-// sentence is that of the first entry whose message equals the line's and whose contains
-// occurs in the line's error or why field.
+// outcomes maps the last log line of a request to the sentence that explains it. The first
+// entry applies whose message is that of the line and whose contains is a part of the line's
+// error or why field.
 var outcomes = []struct {
 	message, contains, sentence string
 }{
@@ -73,8 +73,8 @@
 	// lateFactor is the ratio of actual to predicted time to the first event above which the
 	// first event is reported as slow.
 	lateFactor = 1.5
-	// maxWaitAndWrite is the time for waiting and writing above which it is reported. That time
-	// is the total time less the time from sending to the first event.
+	// maxWaitAndWrite is the time for waiting and writing together above which that time is
+	// reported. It is computed as the total time less the time from sending to the first event.
 	maxWaitAndWrite = 2 * time.Second
 )
 
--- a/dogwoodctl/dogwoodoperating/site_test.go
+++ b/dogwoodctl/dogwoodoperating/site_test.go
@@ -132,7 +132,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			script.Fatalf("still after %s:\n%s%s", waitTimeout, out, errOut)
+			script.Fatalf("condition not met after %s:\n%s%s", waitTimeout, out, errOut)
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
--- a/dogwoodctl/dogwoodroot/root_test.go
+++ b/dogwoodctl/dogwoodroot/root_test.go
@@ -162,7 +162,7 @@
 			map[string]any{"POST /admin/v1/takeouts": dogwoodproblem.New(http.StatusUnprocessableEntity, dogwoodadminapi.KindRefused, "desk has no other place")},
 			false, dogwoodcommand.ExitRefused, "", "desk has no other place",
 		},
-		{"take-out of what", []string{"takeout", "rack", "7"}, nil, false, dogwoodcommand.ExitUsage, "", "neither"},
+		{"take-out of an unknown kind", []string{"takeout", "rack", "7"}, nil, false, dogwoodcommand.ExitUsage, "", "neither"},
 		{
 			"bring-back while the store is down",
 			[]string{"bringback", "datacentre", "oita-c"},
--- a/dogwoodctl/dogwoodtext/apply.go
+++ b/dogwoodctl/dogwoodtext/apply.go
@@ -107,9 +107,9 @@
 	return dogwoodcommand.ReportAccepted(ctx, client, accepted, options.Wait, options.Factory.Streams.Out)
 }
 
-// baseVersion returns the version that the text was edited from, and the text without the
-// comment line. It does not default to the version in force: that would silently undo what
-// another operator has applied since the edit began.
+// baseVersion returns the version that the text was edited from, the text without its marker
+// line, and whether it had one. The version does not default to the one in force: that would
+// silently undo what another operator has applied since the edit began.
 func (options *ApplyOptions) baseVersion(source []byte) (basedOn uint64, text []byte, marked bool, err error) {
 	version, text, marked := splitMarker(source)
 	if options.BasedOn >= 0 {
--- a/dogwoodctl/dogwoodtext/basedon.go
+++ b/dogwoodctl/dogwoodtext/basedon.go
@@ -7,18 +7,18 @@
 	"strconv"
 )
 
-// marker is the prefix of the comment line that show writes at the top and apply reads. The
-// line holds the version that the text was edited from, so that apply detects a conflicting
-// edit without the operator having to remember the version.
+// marker is the prefix of the marker line, a comment that show writes at the top and apply
+// reads. The line holds the version that the text was edited from, so that apply detects a
+// conflicting edit without the operator having to remember the version.
 const marker = "// BasedOn: "
 
-// withMarker returns the text with the comment line prepended.
+// withMarker returns the text with a marker line prepended.
 func withMarker(version uint64, source []byte) []byte {
 	return append(fmt.Appendf(nil, "%s%d\n", marker, version), source...)
 }
 
-// splitMarker separates the version in the comment line from the text. found is false if
-// there is no valid comment line.
+// splitMarker separates the version in the marker line from the text. found is false if
+// there is no valid marker line.
 func splitMarker(source []byte) (version uint64, text []byte, found bool) {
 	rest, hasPrefix := bytes.CutPrefix(source, []byte(marker))
 	if !hasPrefix {
--- a/dogwoodmuxd/dogwoodserve/serve.go
+++ b/dogwoodmuxd/dogwoodserve/serve.go
@@ -74,9 +74,9 @@
 	if err != nil {
 		return fmt.Errorf("starting: %w", err)
 	}
-	waitCtx, stop := context.WithCancel(ctx)
-	defer stop()
-	return runUntilSignal(waitCtx, stop, daemon, options)
+	waitCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	return runUntilSignal(waitCtx, cancel, daemon, options)
 }
 
 // errForcedStop makes the process exit with a failure, so that a supervisor sees that the
@@ -98,15 +98,15 @@
 	case <-ended:
 	}
 	cancel()
-	grace, stop := context.WithTimeout(context.WithoutCancel(ctx), options.Grace)
-	defer stop()
+	graceCtx, cancelGrace := context.WithTimeout(context.WithoutCancel(ctx), options.Grace)
+	defer cancelGrace()
 	stopped := make(chan error, 1)
-	waiter.Go(func() { stopped <- daemon.Stop(grace) })
+	waiter.Go(func() { stopped <- daemon.Stop(graceCtx) })
 	select {
 	case err := <-stopped:
 		return err
 	case <-options.Factory.Signals:
-		stop()
+		cancelGrace()
 		daemon.Kill()
 		return errors.Join(errForcedStop, <-stopped)
 	}
