--- a/dogwoodload/dogwoodfleetrun/fleet.go
+++ b/dogwoodload/dogwoodfleetrun/fleet.go
@@ -63,17 +63,17 @@
 
 // row holds the resources used per daemon in one state of a fleet.
 type row struct {
-	daemons       int
+	daemons       int // the size of the fleet
 	state         string
 	cpu           float64 // milliseconds per second
 	heap          float64 // MiB
 	goroutines    int
 	peerBytes     float64 // per second, sent and received
-	platformBytes float64
-	endpointBytes float64
-	tableReads    float64
-	tableWrites   float64
-	requestRate   float64
+	platformBytes float64 // per second, sent and received
+	endpointBytes float64 // per second, sent and received
+	tableReads    float64 // per second
+	tableWrites   float64 // per second
+	requestRate   float64 // per second
 	// calls holds the calls per second by method.
 	calls map[string]float64
 }
@@ -108,7 +108,7 @@
 	counts := map[string]int64{}
 	if calls, published := expvar.Get("PeerCalls").(*expvar.Map); published {
 		calls.Do(func(value expvar.KeyValue) {
-			if count, whole := value.Value.(*expvar.Int); whole {
+			if count, isInt := value.Value.(*expvar.Int); isInt {
 				counts[value.Key] = count.Value()
 			}
 		})
@@ -116,7 +116,7 @@
 	return counts
 }
 
-// writeCalls prints the calls per second and daemon by method.
+// writeCalls prints the calls per second per daemon by method.
 func (row *row) writeCalls(writer io.Writer) error {
 	for _, method := range slices.Sorted(maps.Keys(row.calls)) {
 		if _, err := fmt.Fprintf(writer, "%d daemons, %s: %s %.2f calls/s a daemon\n", row.daemons, row.state, method, row.calls[method]); err != nil {
--- a/dogwoodload/dogwoodjudge/judge.go
+++ b/dogwoodload/dogwoodjudge/judge.go
@@ -74,9 +74,9 @@
 	UntoldColdOverruns int
 }
 
-// wasRun reports whether the request that the caller's answer refers to was run. Sendings with the
+// wasRun reports whether the request that the caller's answer refers to was run. Attempts with the
 // same idempotency key are one request. A request without a key that was sent again counts as two:
-// the answer refers to the second sending, and runs of the first are ignored.
+// the answer refers to the second attempt, and runs of the first are ignored.
 func (ran *Ran) wasRun(sample *dogwoodsender.Sample) bool {
 	id := sample.Arrival.LoadID
 	if sample.Resent.IsZero() || sample.Arrival.Key != "" {
@@ -124,7 +124,7 @@
 	result.UntoldColdOverruns = ran.UntoldColdOverruns
 	result.FirstToken = firstTokens(samples)
 	result.ShortSlowdownP50, result.ShortSlowdownP99 = shortSlowdown(samples, speed)
-	result.InTimeByCustomer = customerShares(samples)
+	result.InTimeByCustomer = countByCustomer(samples)
 	result.Reasons = reasons(samples)
 	result.Timeline = timeline(samples)
 	result.Examples = examples(samples, ran)
@@ -207,6 +207,6 @@
 	return arrival.Kind == dogwoodtrace.Chat && arrival.PromptTokens <= maxShortPromptTokens && arrival.Poison == ""
 }
 
-// maxShortPromptTokens is the longest prompt that counts as short. The vehicle sheet of a listing
-// fits in it.
+// maxShortPromptTokens is the longest prompt that counts as short. The data sheet of one listed
+// vehicle fits in it.
 const maxShortPromptTokens = 4000
--- a/dogwoodload/dogwoodjudge/judge_test.go
+++ b/dogwoodload/dogwoodjudge/judge_test.go
@@ -90,10 +90,10 @@
 	}
 }
 
-// A caller's connection breaks and its second sending is refused as not run, although the first may
-// have run. For a prompt the refusal is true, because it refers to the second sending alone. For a
-// hold it is false, because both sendings have the same idempotency key.
-func TestRefusalOfASecondSending(t *testing.T) {
+// A caller's connection breaks and its second attempt is refused as not run, although the first may
+// have run. For a prompt the refusal is true, because it refers to the second attempt alone. For a
+// hold it is false, because both attempts have the same idempotency key.
+func TestRefusalOfSecondAttempt(t *testing.T) {
 	start := time.Date(2026, 3, 1, 10, 0, 0, 0, time.UTC)
 	tests := []struct {
 		name string
@@ -101,9 +101,9 @@
 		ran  time.Time
 		want int
 	}{
-		{"prompt run by the first sending", "", start, 0},
-		{"prompt run by the second sending", "", start.Add(2 * time.Second), 1},
-		{"hold run by the first sending", "key", start, 1},
+		{"prompt run by the first attempt", "", start, 0},
+		{"prompt run by the second attempt", "", start.Add(2 * time.Second), 1},
+		{"hold run by the first attempt", "key", start, 1},
 	}
 	for _, test := range tests {
 		sample := dogwoodsender.Sample{Arrival: arrival("x", test.key), Sent: start, Resent: start.Add(time.Second), Problem: problem("true")}
--- a/dogwoodload/dogwoodjudge/measure.go
+++ b/dogwoodload/dogwoodjudge/measure.go
@@ -13,9 +13,9 @@
 	"dogwoodmux.example/dogwoodload/dogwoodsender"
 )
 
-// promptLengths are the upper bounds, in tokens, of the classes that times to the first token are
-// reported by.
-var promptLengths = []int{1000, 4000, 16_000, 64_000, 256_000, 1_000_000}
+// promptClassBounds are the upper bounds, in tokens, of the classes of prompts. Times to the first token
+// are reported for each class.
+var promptClassBounds = []int{1000, 4000, 16_000, 64_000, 256_000, 1_000_000}
 
 const (
 	// maxRecordedTime is the largest time that a histogram records; longer times count as this one.
@@ -39,16 +39,16 @@
 	return dogwoodresult.Duration(time.Duration(histogram.ValueAtQuantile(percent)) * time.Microsecond)
 }
 
-// firstTokens returns the times to the first token of streamed answers by prompt length.
+// firstTokens returns the times to the first token of streamed answers by class of prompts.
 func firstTokens(samples []dogwoodsender.Sample) []dogwoodresult.FirstToken {
-	histograms := make([]*hdrhistogram.Histogram, len(promptLengths))
+	histograms := make([]*hdrhistogram.Histogram, len(promptClassBounds))
 	for i := range samples {
 		sample := &samples[i]
 		if sample.FirstToken == 0 {
 			continue
 		}
-		class, _ := slices.BinarySearch(promptLengths, sample.Arrival.PromptTokens)
-		class = min(class, len(promptLengths)-1)
+		class, _ := slices.BinarySearch(promptClassBounds, sample.Arrival.PromptTokens)
+		class = min(class, len(promptClassBounds)-1)
 		if histograms[class] == nil {
 			histograms[class] = newHistogram()
 		}
@@ -60,7 +60,7 @@
 			continue
 		}
 		result = append(result, dogwoodresult.FirstToken{
-			UpTo:  promptLengths[class],
+			UpTo:  promptClassBounds[class],
 			Count: int(histogram.TotalCount()),
 			P50:   quantile(histogram, 50),
 			P95:   quantile(histogram, 95),
@@ -88,21 +88,21 @@
 	return slowdown(50), slowdown(99)
 }
 
-func customerShares(samples []dogwoodsender.Sample) []dogwoodresult.CustomerShare {
-	shares := map[dogwoodfleet.Customer]*dogwoodresult.CustomerShare{}
+func countByCustomer(samples []dogwoodsender.Sample) []dogwoodresult.CustomerShare {
+	counts := map[dogwoodfleet.Customer]*dogwoodresult.CustomerShare{}
 	for i := range samples {
 		customer := samples[i].Arrival.Customer
-		if shares[customer] == nil {
-			shares[customer] = &dogwoodresult.CustomerShare{Customer: customer}
+		if counts[customer] == nil {
+			counts[customer] = &dogwoodresult.CustomerShare{Customer: customer}
 		}
-		shares[customer].Sent++
+		counts[customer].Sent++
 		if inTime(&samples[i]) {
-			shares[customer].InTime++
+			counts[customer].InTime++
 		}
 	}
-	result := make([]dogwoodresult.CustomerShare, 0, len(shares))
-	for _, share := range shares {
-		result = append(result, *share)
+	result := make([]dogwoodresult.CustomerShare, 0, len(counts))
+	for _, count := range counts {
+		result = append(result, *count)
 	}
 	slices.SortFunc(result, func(a, b dogwoodresult.CustomerShare) int { return cmp.Compare(a.Customer, b.Customer) })
 	return result
@@ -177,8 +177,8 @@
 	var examples []string
 	for i := range samples {
 		sample := &samples[i]
-		fault := faultOf(sample, ran)
-		if fault == "" || len(examples) == maxExamples {
+		violation := violationOf(sample, ran)
+		if violation == "" || len(examples) == maxExamples {
 			continue
 		}
 		detail := ""
@@ -189,14 +189,14 @@
 			detail = ", " + sample.Broken.Error()
 		}
 		examples = append(examples, fmt.Sprintf("%s: %s of %s, %d tokens, sent at %s to %s, request %s, ended after %s (deadline %s)%s",
-			fault, sample.Arrival.LoadID, sample.Arrival.Customer, sample.Arrival.PromptTokens,
+			violation, sample.Arrival.LoadID, sample.Arrival.Customer, sample.Arrival.PromptTokens,
 			time.Duration(sample.Arrival.At).Round(time.Millisecond), sample.Entry, sample.RequestID,
 			sample.Took.Round(time.Millisecond), time.Duration(sample.Arrival.Deadline), detail))
 	}
 	return examples
 }
 
-func faultOf(sample *dogwoodsender.Sample, ran *Ran) string {
+func violationOf(sample *dogwoodsender.Sample, ran *Ran) string {
 	outcome := OutcomeOf(sample)
 	switch {
 	case outcome == Lost:
--- a/dogwoodload/dogwoodresult/result.go
+++ b/dogwoodload/dogwoodresult/result.go
@@ -19,8 +19,8 @@
 // Duration is a time.Duration that JSON encodes as text, such as "1.5s".
 type Duration = dogwoodsettings.Duration
 
-// Result summarizes what callers received and what the stand-ins ran. Daemons report none of it but
-// ConfigSpread, which can't be measured without them.
+// Result summarizes what callers received and what the stand-ins ran. Only ConfigSpread
+// uses data from daemons, because it can't be measured without them.
 type Result struct {
 	Scenario  string
 	Seed      uint64
@@ -50,11 +50,11 @@
 	// LeakedMemory is the memory, in tokens, that all engines together still hold 5 s after the
 	// load has ended.
 	LeakedMemory int
-	// ColdOverruns counts how often an endpoint got more work than its cold limit allows after
-	// one of its answers could have reported that it is cold.
+	// ColdOverruns counts how often a cold endpoint got more work than its cold limit allows, after
+	// one of its answers could have reported that it was cold.
 	ColdOverruns int
-	// UntoldColdOverruns counts the overruns before that: each time a warm engine turns cold,
-	// those until its first answer has begun.
+	// UntoldColdOverruns counts the overruns before that: from the moment when a warm engine
+	// turns cold until its first answer after that begins.
 	UntoldColdOverruns int
 	// NewWorkAfterTakeOut is the longest time after an accepted take-out at which new work still
 	// arrived.
@@ -63,7 +63,7 @@
 	// in force.
 	ConfigSpread Duration
 	// Resent counts requests that their callers sent once more after the connection broke. Each
-	// has the outcome of its second sending.
+	// has the outcome of its second attempt.
 	Resent int
 	// CutByShutdown counts requests that a graceful shutdown of a daemon interrupted.
 	CutByShutdown int
@@ -89,8 +89,9 @@
 	Examples []string `json:",omitempty"`
 }
 
-// FirstToken is the time to the first token of prompts of one length class.
+// FirstToken is the time to the first token of prompts of one class.
 type FirstToken struct {
+	// UpTo is the upper bound of the class in tokens.
 	UpTo          int
 	Count         int
 	P50, P95, P99 Duration
--- a/dogwoodload/dogwoodscenario/faults.go
+++ b/dogwoodload/dogwoodscenario/faults.go
@@ -101,7 +101,8 @@
 	}
 }
 
-func storeDown(down bool) stepFunc {
+// setStoreDown starts or ends an outage of the store and ends the delay that slowStore set.
+func setStoreDown(down bool) stepFunc {
 	return func(_ context.Context, stage *Stage) error {
 		stage.site.Platform.Slow(0)
 		stage.site.Platform.Down(down)
@@ -109,14 +110,15 @@
 	}
 }
 
-func storeSlow(delay time.Duration) stepFunc {
+func slowStore(delay time.Duration) stepFunc {
 	return func(_ context.Context, stage *Stage) error {
 		stage.site.Platform.Slow(delay)
 		return nil
 	}
 }
 
-func storeLosesAnswers(share float64) stepFunc {
+// loseStoreAnswers ends an outage of the store and makes it lose the given share of its answers.
+func loseStoreAnswers(share float64) stepFunc {
 	return func(_ context.Context, stage *Stage) error {
 		stage.site.Platform.Down(false)
 		stage.site.Platform.LoseAnswers(share)
--- a/dogwoodload/dogwoodscenario/operators.go
+++ b/dogwoodload/dogwoodscenario/operators.go
@@ -67,7 +67,8 @@
 	return text, nil
 }
 
-// apply sends an edit of base to the given daemon and waits until the edit is in force on every daemon.
+// apply sends an edit of base to the running daemon of the given index and waits until the edit is in
+// force on every daemon.
 func (stage *Stage) apply(ctx context.Context, daemonIndex int, base dogwoodadminapi.Text) error {
 	daemon, err := stage.runningDaemon(daemonIndex)
 	if err != nil {
--- a/dogwoodload/dogwoodscenario/run.go
+++ b/dogwoodload/dogwoodscenario/run.go
@@ -115,10 +115,10 @@
 		return nil, err
 	}
 	stage.finishTakeOuts()
-	return judge(options, stage, samples), nil
+	return evaluate(options, stage, samples), nil
 }
 
-// Fleet is a running site with a trace that is sent on a call of Send.
+// Fleet is a running site and a trace, which Send sends to it.
 type Fleet struct {
 	options Options
 	site    *dogwoodsite.Site
@@ -189,7 +189,7 @@
 	return dogwoodsender.CheckPlain(arrival, content)
 }
 
-func judge(options *Options, stage *Stage, samples []dogwoodsender.Sample) *dogwoodresult.Result {
+func evaluate(options *Options, stage *Stage, samples []dogwoodsender.Sample) *dogwoodresult.Result {
 	site := stage.site
 	result := &dogwoodresult.Result{
 		Scenario:            options.Scenario.Name,
--- a/dogwoodload/dogwoodscenario/scenario.go
+++ b/dogwoodload/dogwoodscenario/scenario.go
@@ -44,9 +44,9 @@
 // and callers can load them to their limits: 16 engines, each with four streams at 100 tokens a
 // second, answer about 160 of the mixed requests a second.
 const (
-	engineBatch   = 4
-	engineDecode  = 100
-	enginePrefill = 200_000
+	engineBatch   = 4       // concurrent streams
+	engineDecode  = 100     // tokens a second
+	enginePrefill = 200_000 // tokens a second
 	// capacity is the number of requests a second that the engines can answer together.
 	capacity = 160.0
 )
@@ -63,9 +63,9 @@
 // than 40 s.
 const traceLength = 16 * time.Second
 
-// promptLengths are the classes of prompts. Only 4 % of the prompts exceed 16,000 tokens. With the
-// share of a full-size system, handling their bytes alone would saturate the machine.
-var promptLengths = []dogwoodtrace.Length{
+// promptClasses are the classes of prompts. Only 4 % of the prompts exceed 16,000 tokens, fewer than in
+// a full-size system, because handling the bytes of more of them would saturate the machine.
+var promptClasses = []dogwoodtrace.Length{
 	{Share: 0.60, FromTokens: 200, ToTokens: 1000, MaxTokens: 32, Deadline: 3 * time.Second},
 	{Share: 0.26, FromTokens: 1001, ToTokens: 4000, MaxTokens: 48, Deadline: 4 * time.Second},
 	{Share: 0.10, FromTokens: 4001, ToTokens: 16_000, MaxTokens: 64, Deadline: 5 * time.Second},
@@ -86,7 +86,7 @@
 		Engines:       shape.Pool,
 		Model:         shape.Model,
 		Plain:         shape.Plain,
-		Lengths:       promptLengths,
+		Lengths:       promptClasses,
 		LookupShare:   0.08,
 		HoldShare:     0.06,
 		HoldsAgain:    0.1,
--- a/dogwoodload/dogwoodscenario/scenarios.go
+++ b/dogwoodload/dogwoodscenario/scenarios.go
@@ -105,10 +105,10 @@
 		Story: "The table service is slow, then down, then loses answers.",
 		Spec:  func(spec *dogwoodtrace.Spec) { spec.HoldShare = 0.2 },
 		Steps: []Step{
-			{At: 2 * time.Second, What: "store slow", Do: storeSlow(300 * time.Millisecond)},
-			{At: 5 * time.Second, What: "store down", Do: storeDown(true)},
-			{At: 10 * time.Second, What: "store up, loses answers", Do: storeLosesAnswers(0.3)},
-			{At: 14 * time.Second, What: "store well", Do: storeLosesAnswers(0)},
+			{At: 2 * time.Second, What: "store slow", Do: slowStore(300 * time.Millisecond)},
+			{At: 5 * time.Second, What: "store down", Do: setStoreDown(true)},
+			{At: 10 * time.Second, What: "store up, loses answers", Do: loseStoreAnswers(0.3)},
+			{At: 14 * time.Second, What: "store well", Do: loseStoreAnswers(0)},
 		},
 	},
 	{
@@ -148,12 +148,12 @@
 		Steps: []Step{
 			{At: 2 * time.Second, What: "engine 3 dies", Do: killEngines(2)},
 			{At: 3 * time.Second, What: "oita-c out", Do: takeOut("oita-c")},
-			{At: 5 * time.Second, What: "store down", Do: storeDown(true)},
+			{At: 5 * time.Second, What: "store down", Do: setStoreDown(true)},
 			{At: 6 * time.Second, What: "daemon 2 dies", Do: killDaemon(1)},
 			{At: 7 * time.Second, What: "3 engines cold", Do: turnEnginesCold(3, 4, 6)},
 			{At: 8 * time.Second, What: "engine 3 back", Do: reviveEngines(2)},
 			{At: 9 * time.Second, What: "4 engines silent", Do: silenceEngines(7, 9, 10, 12)},
-			{At: 10 * time.Second, What: "store up", Do: storeDown(false)},
+			{At: 10 * time.Second, What: "store up", Do: setStoreDown(false)},
 			{At: 11 * time.Second, What: "oita-c back", Do: bringBack("oita-c")},
 			{At: 12 * time.Second, What: "daemon 2 back", Do: restartDaemon(1)},
 		},
@@ -186,14 +186,14 @@
 	return arrivals
 }
 
-// poisonArrivals returns two requests that crash the engine that runs them, each with six repeats.
+// poisonArrivals returns seven attempts at each of two requests that crash the engine that runs them.
 func poisonArrivals(spec *dogwoodtrace.Spec) []dogwoodtrace.Arrival {
 	var arrivals []dogwoodtrace.Arrival
 	for body := range 2 {
-		for repeat := range 7 {
+		for attempt := range 7 {
 			arrivals = append(arrivals, dogwoodtrace.Arrival{
-				LoadID:       fmt.Sprintf("again-%d-%d", body, repeat),
-				At:           dogwoodsettings.Duration(time.Duration(3+3*body)*time.Second + time.Duration(repeat)*1200*time.Millisecond),
+				LoadID:       fmt.Sprintf("again-%d-%d", body, attempt),
+				At:           dogwoodsettings.Duration(time.Duration(3+3*body)*time.Second + time.Duration(attempt)*1200*time.Millisecond),
 				Kind:         dogwoodtrace.Chat,
 				Customer:     spec.Senders[body].Customer,
 				Service:      spec.Engines,
@@ -209,6 +209,7 @@
 	return arrivals
 }
 
+// killOnPoison makes every engine crash when it runs a prompt that contains PoisonMarker.
 func killOnPoison(site *dogwoodsite.Site) {
 	for _, engine := range site.Engines {
 		engine.KillOn(dogwoodtrace.PoisonMarker)
--- a/dogwoodload/dogwoodscenario/stage.go
+++ b/dogwoodload/dogwoodscenario/stage.go
@@ -118,6 +118,7 @@
 	return nil
 }
 
+// awaitVersion waits until the daemon has the version in force or has ended.
 func (stage *Stage) awaitVersion(ctx context.Context, daemon *dogwoodsite.Daemon, version uint64) error {
 	client := stage.adminClient(daemon)
 	for daemon.Alive() {
--- a/dogwoodload/dogwoodsender/addresses.go
+++ b/dogwoodload/dogwoodsender/addresses.go
@@ -55,8 +55,9 @@
 	return addresses
 }
 
-// pick returns the addresses to connect to, in the order to try them. The order is random, so that
-// callers distribute their requests evenly over the addresses.
+// pick returns the addresses to connect to, in the order to dial them, after a query for them if the
+// cached ones have expired. The order is random, so that callers distribute their requests evenly over
+// the addresses.
 func (addresses *addresses) pick(ctx context.Context) []netip.AddrPort {
 	addresses.mutex.Lock()
 	defer addresses.mutex.Unlock()
@@ -83,7 +84,7 @@
 	return picked
 }
 
-// query queries the cached addresses, then the seeds, until one returns addresses.
+// query sends the query to the cached addresses, then to the seeds, until one returns addresses.
 func (addresses *addresses) query(ctx context.Context) (entry, error) {
 	var lastErr error
 	for _, address := range append(addresses.shuffledCached(), addresses.shuffledSeeds()...) {
--- a/dogwoodload/dogwoodsender/read.go
+++ b/dogwoodload/dogwoodsender/read.go
@@ -25,11 +25,11 @@
 func (sender *Sender) read(sample *Sample, response *http.Response) error {
 	sample.Status = response.StatusCode
 	sample.RequestID = response.Header.Get(headerRequestID)
-	kind := response.Header.Get("Content-Type")
+	contentType := response.Header.Get("Content-Type")
 	switch {
-	case strings.HasPrefix(kind, dogwoodproblem.ContentType):
+	case strings.HasPrefix(contentType, dogwoodproblem.ContentType):
 		return sample.readProblem(response.Body)
-	case strings.HasPrefix(kind, "text/event-stream"):
+	case strings.HasPrefix(contentType, "text/event-stream"):
 		return sender.readStream(sample, response.Body)
 	default:
 		return sender.readWhole(sample, response.Body)
--- a/dogwoodload/dogwoodsender/sample.go
+++ b/dogwoodload/dogwoodsender/sample.go
@@ -18,9 +18,9 @@
 // Sample is one request and what its caller received.
 type Sample struct {
 	Arrival *dogwoodtrace.Arrival
-	// Resent is the time when the caller sent the request again because the first sending
+	// Resent is the time when the caller sent the request again because the first attempt
 	// returned neither a whole answer nor a problem; zero if it was sent once. If it is not
-	// zero, the other fields are about the second sending, except that Sent is the time of the
+	// zero, the other fields are about the second attempt, except that Sent is the time of the
 	// first and BrokenEntry the address that the first went to.
 	Resent      time.Time
 	BrokenEntry netip.AddrPort
--- a/dogwoodload/dogwoodsender/sender.go
+++ b/dogwoodload/dogwoodsender/sender.go
@@ -123,8 +123,8 @@
 	sample := Sample{Arrival: arrival, Sent: time.Now()}
 	bounded, cancel := context.WithTimeout(ctx, time.Duration(arrival.Deadline)+deadlineGrace)
 	defer cancel()
-	customerAddresses, authorised := sender.addresses[arrival.Customer]
-	if !authorised {
+	customerAddresses, found := sender.addresses[arrival.Customer]
+	if !found {
 		sample.Broken = Error.New("no key for customer %s", arrival.Customer)
 		return sample
 	}
@@ -149,7 +149,7 @@
 }
 
 // sendOnce sends the request to the first address that accepts a connection, skipping the one to
-// avoid. It tries further addresses only after a failed dial, so the request is sent at most once.
+// avoid. It dials a further address only after a failed dial, so the request is sent at most once.
 func (sender *Sender) sendOnce(ctx context.Context, sample *Sample, customerAddresses *addresses, body string, avoid netip.AddrPort) {
 	sample.Broken = errNoAddress
 	for _, address := range customerAddresses.pick(ctx) {
@@ -226,8 +226,9 @@
 	request.Header.Set("Authorization", "Bearer "+key)
 	request.Header.Set(headerDeadline, deadline.String())
 	request.Header.Set("Content-Type", "application/json")
-	// A prompt has its load ID in its text, which also reveals an answer to another prompt. The
-	// header distinguishes only requests without such a text, whose bodies may be the same.
+	// A prompt without poison contains its load ID, which the engine repeats in its answer, so that an
+	// answer to another prompt is detected. Other requests may have equal bodies and are identified by
+	// the header.
 	if arrival.Kind != dogwoodtrace.Chat || arrival.Poison != "" {
 		request.Header.Set(headerLoadID, arrival.LoadID)
 	}
--- a/dogwoodload/dogwoodsender/sender_test.go
+++ b/dogwoodload/dogwoodsender/sender_test.go
@@ -15,8 +15,8 @@
 	"dogwoodmux.example/dogwoodload/dogwoodtrace"
 )
 
-// startServer starts a server that answers requests with the handler. Its entry path returns a dead
-// address and its own.
+// startServer starts a server that answers requests with the handler. Its entry path returns an
+// address that refuses connections and the server's address.
 func startServer(t *testing.T, answer http.HandlerFunc) netip.AddrPort {
 	t.Helper()
 	var address netip.AddrPort
@@ -93,8 +93,8 @@
 }
 
 // The server closes a caller's idle connection just as the caller sends a hold on it. By default
-// net/http resends a request with an Idempotency-Key, and the result would count this repeat as one
-// by the system.
+// net/http resends a request with an Idempotency-Key, and the result would count this second hold as
+// one that the system had sent.
 func TestHoldIsSentOnce(t *testing.T) {
 	var holds atomic.Int32
 	address := startServer(t, func(writer http.ResponseWriter, request *http.Request) {
--- a/dogwoodload/dogwoodtrace/draw.go
+++ b/dogwoodload/dogwoodtrace/draw.go
@@ -37,7 +37,7 @@
 type Spec struct {
 	Seed   uint64
 	Length time.Duration
-	// Rate is the mean number of requests a second of all customers. Arrivals are Poisson distributed.
+	// Rate is the mean number of requests a second of all customers. Arrivals form a Poisson process.
 	Rate    float64
 	Phases  []Phase
 	Senders []Sender
@@ -138,15 +138,15 @@
 		}
 		return arrival
 	}
-	length := spec.drawLength(random)
+	class := spec.drawPromptClass(random)
 	arrival := Arrival{
 		Kind:         Chat,
 		Service:      spec.Engines,
 		Model:        spec.Model,
-		PromptTokens: length.FromTokens + random.IntN(length.ToTokens-length.FromTokens+1),
-		MaxTokens:    length.MaxTokens/2 + random.IntN(length.MaxTokens/2+1),
+		PromptTokens: class.FromTokens + random.IntN(class.ToTokens-class.FromTokens+1),
+		MaxTokens:    class.MaxTokens/2 + random.IntN(class.MaxTokens/2+1),
 		Stream:       random.IntN(4) > 0,
-		Deadline:     dogwoodsettings.Duration(length.Deadline),
+		Deadline:     dogwoodsettings.Duration(class.Deadline),
 	}
 	if spec.Prefixes > 0 && random.Float64() < spec.PrefixShare && arrival.PromptTokens > spec.PrefixTokens+minUniqueTokens {
 		arrival.Prefix = 1 + random.IntN(spec.Prefixes)
@@ -155,13 +155,13 @@
 	return arrival
 }
 
-func (spec *Spec) drawLength(random *rand.Rand) Length {
+func (spec *Spec) drawPromptClass(random *rand.Rand) Length {
 	drawn := random.Float64()
-	for _, length := range spec.Lengths {
-		if drawn < length.Share {
-			return length
+	for _, class := range spec.Lengths {
+		if drawn < class.Share {
+			return class
 		}
-		drawn -= length.Share
+		drawn -= class.Share
 	}
 	return spec.Lengths[len(spec.Lengths)-1]
 }
--- a/dogwoodload/dogwoodverb/verb.go
+++ b/dogwoodload/dogwoodverb/verb.go
@@ -35,7 +35,7 @@
 	return result, nil
 }
 
-// WriteFile creates a file whose content the function write writes.
+// WriteFile creates a file and calls write to write its content.
 func WriteFile(path string, write func(io.Writer) error) (err error) {
 	file, err := os.Create(path)
 	if err != nil {
--- a/dogwoodload/main.go
+++ b/dogwoodload/main.go
@@ -1,5 +1,5 @@
-// Command dogwoodload sends seeded or recorded traces to a system of daemons, injects faults meanwhile,
-// and evaluates the outcomes by what callers received and endpoints ran.
+// Command dogwoodload sends seeded or recorded traces to a system of daemons, injects faults while
+// the requests run, and evaluates the outcomes from what callers received and what endpoints ran.
 package main
 
 import (
