--- a/core/decision/dogwoodadmission/doc.go
+++ b/core/decision/dogwoodadmission/doc.go
@@ -31,7 +31,7 @@
 	// short work waits too. A fiftieth of the requests, at a hundred times the median cost,
 	// makes up two thirds of the demand by cost. A fifth lets each long prompt start within
 	// its deadline of minutes and leaves four fifths of the slots to short ones.
-	LongShare = 0.2
+	MinLongShare = 0.2
 	// DecodeCost is the engine time of one output token, in prompt tokens. On the engine
 	// stand-in prefill runs at 400,000 tokens a second and a full batch decodes 3,200, a
 	// ratio of 125; published price ratios lie between 3 and 5. The geometric mean of these
@@ -41,7 +41,7 @@
 	// and shorter work of the same customer may delay it. Users of interactive systems
 	// still attribute a fourfold slowdown to the answer itself. With it a 0.3 s draft goes
 	// before a 5 s review that arrived up to 19 s earlier.
-	Patience = 4
+	MaxDelayFactor = 4
 	// WaitMargin multiplies the predicted wait when checking whether work meets its
 	// deadline. On the overload trace actual waits lie within an eighth of the corrected
 	// prediction. Work rejected on arrival can go elsewhere; work rejected after waiting
--- a/core/decision/dogwoodadmission/queue.go
+++ b/core/decision/dogwoodadmission/queue.go
@@ -48,7 +48,7 @@
 	return &Queue{
 		rates: rates, weight: weight, limit: limit, correction: 1,
 		accounts: map[dogwoodfleet.Customer]*account{},
-		bands:    [2]band{{share: 1 - LongShare}, {share: LongShare}},
+		bands:    [2]band{{share: 1 - MinLongShare}, {share: MinLongShare}},
 	}
 }
 
@@ -351,7 +351,7 @@
 // GiveUp removes work that can no longer meet its deadline and updates the correction with
 // its wait. If only served work updated it, the wait in an overlong queue would be
 // underestimated.
-func (queue *Queue) GiveUp(now time.Time, work *Work) {
+func (queue *Queue) Expire(now time.Time, work *Work) {
 	if work.flow == nil {
 		return
 	}
@@ -374,12 +374,12 @@
 	lowest := math.Min(queue.bands[0].servedPerShare, queue.bands[1].servedPerShare)
 	queue.bands[0].servedPerShare -= lowest
 	queue.bands[1].servedPerShare -= lowest
-	queue.Forget()
+	queue.DropIdle()
 }
 
 // Forget drops customers that have no waiting work and whose start tags aren't ahead of the
 // virtual time, so that customers that never return hold no memory. Call it periodically.
-func (queue *Queue) Forget() {
+func (queue *Queue) DropIdle() {
 	for customer, account := range queue.accounts {
 		idle := account.waiting == 0 &&
 			account.flows[0].startTag <= queue.bands[0].virtualTime && account.flows[1].startTag <= queue.bands[1].virtualTime
--- a/core/decision/dogwoodadmission/queue_test.go
+++ b/core/decision/dogwoodadmission/queue_test.go
@@ -154,7 +154,7 @@
 			short += work.cost
 		}
 	}
-	if got, want := long/(long+short), LongShare; got < want-0.02 || got > want+0.02 {
+	if got, want := long/(long+short), MinLongShare; got < want-0.02 || got > want+0.02 {
 		t.Errorf("long share of the cost: got %.3f, want %.3f", got, want)
 	}
 }
--- a/core/decision/dogwoodadmission/work.go
+++ b/core/decision/dogwoodadmission/work.go
@@ -41,7 +41,7 @@
 // slightly earlier, and work that arrives after the rank of long work never overtakes it.
 // Near its latest start, work is ranked by that time instead.
 func (work *Work) computeRank() time.Time {
-	rank := work.Arrived.Add(Patience * work.expected)
+	rank := work.Arrived.Add(MaxDelayFactor * work.expected)
 	if urgent := work.LatestStart().Add(-work.service); urgent.Before(rank) {
 		return urgent
 	}
--- a/core/decision/dogwoodburn/burn_test.go
+++ b/core/decision/dogwoodburn/burn_test.go
@@ -71,7 +71,7 @@
 		now := start.Add(40 * time.Minute)
 		record(ledger, now.Add(-test.badAge), test.goodBefore, Outcome{Class: Answered, InTime: true})
 		record(ledger, now.Add(-test.badAge), test.badNow, Outcome{Class: test.class, Reason: test.reason})
-		line := findLine(t, Make(now, text, []Snapshot{ledger.Snapshot(now, time.Time{})}), "", 0)
+		line := findLine(t, NewReport(now, text, []Snapshot{ledger.Snapshot(now, time.Time{})}), "", 0)
 		checkBurn(t, test.name+", 5m", line.Windows[0].Burn, test.want5m)
 		checkBurn(t, test.name+", 1h", line.Windows[2].Burn, test.want1h)
 		checkBurn(t, test.name+", 3d", line.Windows[4].Burn, test.want3d)
@@ -104,7 +104,7 @@
 	ledger := NewLedger("entry-1", "i1", start)
 	record(ledger, start, 3, Outcome{Class: Answered, InTime: true, PromptTokens: 4000, FirstToken: 2 * time.Second})
 	record(ledger, start, 1, Outcome{Class: Answered, InTime: true, PromptTokens: 4001, FirstToken: 2 * time.Second})
-	report := Make(start, text, []Snapshot{ledger.Snapshot(start, time.Time{})})
+	report := NewReport(start, text, []Snapshot{ledger.Snapshot(start, time.Time{})})
 	if got := findLine(t, report, "", 4000).Windows[0]; got.Bad != 3 || got.Total != 3 {
 		t.Errorf("up to 4000: got %d of %d, want 3 of 3", got.Bad, got.Total)
 	}
@@ -119,7 +119,7 @@
 	record(ledger, start, 5, Outcome{Class: Refused, Reason: dogwoodfleet.ReasonShare})
 	later := start.Add(80 * time.Hour)
 	record(ledger, later, 1, Outcome{Class: Answered, InTime: true})
-	for _, window := range findLine(t, Make(later, text, []Snapshot{ledger.Snapshot(later, time.Time{})}), "", 0).Windows {
+	for _, window := range findLine(t, NewReport(later, text, []Snapshot{ledger.Snapshot(later, time.Time{})}), "", 0).Windows {
 		if window.Bad != 0 || window.Total != 1 {
 			t.Errorf("%v: got %d of %d, want 0 of 1", time.Duration(window.Window), window.Bad, window.Total)
 		}
@@ -139,7 +139,7 @@
 	if got := len(snapshot.Minutes[0].Rows); got != maxRowsPerBucket+1 {
 		t.Errorf("rows: got %d, want %d", got, maxRowsPerBucket+1)
 	}
-	report := Make(start, text, []Snapshot{snapshot})
+	report := NewReport(start, text, []Snapshot{snapshot})
 	if got := findLine(t, report, "", 0).Windows[0].Total; got != customers {
 		t.Errorf("all: got %d, want %d", got, customers)
 	}
@@ -164,7 +164,7 @@
 	for _, part := range []Snapshot{first, second, second, first} {
 		merged.Update(part)
 	}
-	report := Make(later, text, []Snapshot{merged, merged, first})
+	report := NewReport(later, text, []Snapshot{merged, merged, first})
 	for _, window := range findLine(t, report, "", 0).Windows {
 		if window.Total != 5 {
 			t.Errorf("%v: got %d, want 5", time.Duration(window.Window), window.Total)
--- a/core/decision/dogwoodburn/report.go
+++ b/core/decision/dogwoodburn/report.go
@@ -89,7 +89,7 @@
 
 // Make computes the report from the snapshots of several daemons. Of two snapshots of one
 // instance it uses the newer.
-func Make(now time.Time, text *dogwoodsettings.Text, snapshots []Snapshot) Report {
+func NewReport(now time.Time, text *dogwoodsettings.Text, snapshots []Snapshot) Report {
 	report := Report{At: now}
 	latest := latestByInstance(snapshots)
 	counts := aggregate(now, latest)
--- a/core/decision/dogwoodenginetime/enginetime.go
+++ b/core/decision/dogwoodenginetime/enginetime.go
@@ -44,7 +44,7 @@
 
 // Read returns the time to prefill a prompt that is split evenly across the given number of
 // idle engines. It returns 0 if the figures do not suffice for predictions.
-func (engine *Engine) Read(tokens, engines int) time.Duration {
+func (engine *Engine) PrefillTime(tokens, engines int) time.Duration {
 	if !engine.Known() || tokens <= 0 {
 		return 0
 	}
@@ -56,7 +56,7 @@
 
 // Pass returns the time of one pass of an engine that is decoding for the given number of
 // requests with the given total context and does not prefill.
-func (engine *Engine) Pass(decodingRequests, contextTokens int) time.Duration {
+func (engine *Engine) PassTime(decodingRequests, contextTokens int) time.Duration {
 	step := engine.Step + time.Duration(decodingRequests)*engine.PerRequest + time.Duration(float64(contextTokens)/1000*float64(engine.PerThousand))
 	return time.Duration(max(engine.Stride, 1)) * step
 }
@@ -68,7 +68,7 @@
 	// QueuedTokens is the number of tokens in these prompts.
 	QueuedTokens int
 	// Writers is the number of decoding requests, ContextTokens the total of their contexts.
-	Writers, ContextTokens int
+	DecodingRequests, ContextTokens int
 }
 
 // FirstToken predicts the time from the arrival of a prompt part at the engine to the end of its
@@ -76,16 +76,16 @@
 // half a pass remains when the part arrives.
 func (engine *Engine) FirstToken(load Load, tokens int, prefill time.Duration) time.Duration {
 	total := load.Queued + prefill
-	if load.Writers == 0 || engine.Chunk <= 0 {
+	if load.DecodingRequests == 0 || engine.Chunk <= 0 {
 		return total
 	}
 	passes := math.Ceil(float64(load.QueuedTokens+tokens) / float64(engine.Chunk*max(engine.Stride, 1)))
-	pass := engine.Pass(load.Writers, load.ContextTokens)
+	pass := engine.PassTime(load.DecodingRequests, load.ContextTokens)
 	return total + pass/2 + time.Duration(passes*float64(pass))
 }
 
 // Pause predicts the longest interruption of the decoding requests by the prefill of another
 // prompt part. All queued prompts may be prefilled within one pass.
 func (engine *Engine) Pause(load Load, prefill time.Duration) time.Duration {
-	return engine.Pass(load.Writers+1, load.ContextTokens) + load.Queued + prefill
+	return engine.PassTime(load.DecodingRequests+1, load.ContextTokens) + load.Queued + prefill
 }
--- a/core/decision/dogwoodenginetime/enginetime_test.go
+++ b/core/decision/dogwoodenginetime/enginetime_test.go
@@ -29,11 +29,11 @@
 		{0, 1, 0},
 	}
 	for _, test := range tests {
-		if got := engine.Read(test.tokens, test.engines); !within3Percent(got, test.want) && got != test.want {
+		if got := engine.PrefillTime(test.tokens, test.engines); !within3Percent(got, test.want) && got != test.want {
 			t.Errorf("Read(%d, %d): got %s, want %s", test.tokens, test.engines, got, test.want)
 		}
 	}
-	if got := (&Engine{}).Read(1000, 1); got != 0 {
+	if got := (&Engine{}).PrefillTime(1000, 1); got != 0 {
 		t.Errorf("an engine without figures: got %s, want 0", got)
 	}
 }
@@ -47,11 +47,11 @@
 	}{
 		{"idle", Load{}, 4_960, 34 * time.Millisecond},
 		{"behind another prompt", Load{Queued: time.Second, QueuedTokens: 90_000}, 4_960, 1034 * time.Millisecond},
-		{"within one pass of decoding requests", Load{Writers: 10, ContextTokens: 60_000}, 4_960, 108 * time.Millisecond},
-		{"over several passes of decoding requests", Load{Writers: 10, ContextTokens: 60_000}, 182_000, 4037 * time.Millisecond},
+		{"within one pass of decoding requests", Load{DecodingRequests: 10, ContextTokens: 60_000}, 4_960, 108 * time.Millisecond},
+		{"over several passes of decoding requests", Load{DecodingRequests: 10, ContextTokens: 60_000}, 182_000, 4037 * time.Millisecond},
 	}
 	for _, test := range tests {
-		if got := engine.FirstToken(test.load, test.tokens, engine.Read(test.tokens, 1)); !within3Percent(got, test.want) {
+		if got := engine.FirstToken(test.load, test.tokens, engine.PrefillTime(test.tokens, 1)); !within3Percent(got, test.want) {
 			t.Errorf("%s: got %s, want %s", test.name, got, test.want)
 		}
 	}
@@ -59,7 +59,7 @@
 
 // The prefill of a long prompt extends a pass of the decoding requests by the time of that prefill.
 func TestPauseIncludesPrefill(t *testing.T) {
-	load := Load{Writers: 10, ContextTokens: 60_000}
+	load := Load{DecodingRequests: 10, ContextTokens: 60_000}
 	if got, want := engine.Pause(load, 0), 49*time.Millisecond; !within3Percent(got, want) {
 		t.Errorf("got a pause of %s, want %s", got, want)
 	}
--- a/core/decision/dogwoodfreshness/freshness.go
+++ b/core/decision/dogwoodfreshness/freshness.go
@@ -20,7 +20,7 @@
 type Clock func() time.Duration
 
 // Proof tracks the time of the store's last confirmation. It is safe for concurrent use.
-type Proof struct {
+type Tracker struct {
 	clock Clock
 
 	mutex       sync.Mutex
@@ -29,19 +29,19 @@
 }
 
 // New returns a Proof without any confirmation.
-func New(clock Clock) *Proof {
-	return &Proof{clock: clock}
+func New(clock Clock) *Tracker {
+	return &Tracker{clock: clock}
 }
 
 // Now returns the current time of the clock. Callers take it before they query the store and pass
 // it to Prove once the store has answered.
-func (proof *Proof) Now() time.Duration {
+func (proof *Tracker) Now() time.Duration {
 	return proof.clock()
 }
 
 // Prove records that the store answered a query that was sent at asked. A query older than the last
 // confirmation has no effect.
-func (proof *Proof) Prove(asked time.Duration) {
+func (proof *Tracker) Confirm(asked time.Duration) {
 	proof.mutex.Lock()
 	defer proof.mutex.Unlock()
 	if !proof.confirmed || asked > proof.confirmedAt {
@@ -50,14 +50,14 @@
 }
 
 // Age returns the age of the last confirmation, and false if there was none.
-func (proof *Proof) Age() (time.Duration, bool) {
+func (proof *Tracker) Age() (time.Duration, bool) {
 	proof.mutex.Lock()
 	defer proof.mutex.Unlock()
 	return proof.clock() - proof.confirmedAt, proof.confirmed
 }
 
 // Within reports whether the last confirmation is younger than the bound.
-func (proof *Proof) Within(bound time.Duration) bool {
+func (proof *Tracker) Within(bound time.Duration) bool {
 	age, proven := proof.Age()
 	return proven && age < bound
 }
--- a/core/decision/dogwoodfreshness/freshness_test.go
+++ b/core/decision/dogwoodfreshness/freshness_test.go
@@ -19,7 +19,7 @@
 	}
 	asked := proof.Now()
 	clock.now += 100 * time.Millisecond
-	proof.Prove(asked)
+	proof.Confirm(asked)
 	clock.now += 4 * time.Second
 	if got, want := proof.Within(4*time.Second), false; got != want {
 		t.Errorf("got within 4 s: %v, want %v: the answer counts from the time of the query", got, want)
@@ -34,7 +34,7 @@
 func TestSuspensionCountsTowardsAge(t *testing.T) {
 	clock := &fakeClock{}
 	proof := New(clock.read)
-	proof.Prove(proof.Now())
+	proof.Confirm(proof.Now())
 	clock.now += time.Minute
 	if proof.Within(5 * time.Second) {
 		t.Error("got a recent confirmation after a suspension, want an old one")
@@ -45,8 +45,8 @@
 func TestOlderAnswerHasNoEffect(t *testing.T) {
 	clock := &fakeClock{now: time.Minute}
 	proof := New(clock.read)
-	proof.Prove(time.Minute)
-	proof.Prove(time.Second)
+	proof.Confirm(time.Minute)
+	proof.Confirm(time.Second)
 	if got, _ := proof.Age(); got != 0 {
 		t.Errorf("got age %s, want 0", got)
 	}
--- a/core/decision/dogwoodhubs/hubs.go
+++ b/core/decision/dogwoodhubs/hubs.go
@@ -126,7 +126,7 @@
 
 // JoinPause returns the mean delay before a daemon that found no hub offers itself as one. Larger
 // daemons wait less, so smaller ones find them as hubs.
-func JoinPause(cores float64) time.Duration {
+func JoinDelay(cores float64) time.Duration {
 	return time.Duration(float64(baseJoinDelay) / max(Daemon{Cores: cores}.cores(), minJoinCores))
 }
 
@@ -135,7 +135,7 @@
 // the store, so that a large fleet reads it no more often than one daemon. The fallbacks are in
 // other data centres and replace it in order when it fails. In a small fleet every hub reads the
 // store directly.
-func Readers(hubs []Daemon, self Daemon, daemons int) []Daemon {
+func StoreReaders(hubs []Daemon, self Daemon, daemons int) []Daemon {
 	if isSmall(daemons) {
 		return nil
 	}
--- a/core/decision/dogwoodhubs/hubs_test.go
+++ b/core/decision/dogwoodhubs/hubs_test.go
@@ -165,7 +165,7 @@
 	for _, hub := range hubs {
 		reversed := slices.Clone(hubs)
 		slices.Reverse(reversed)
-		readers, readersOfReversed := Readers(hubs, hub, len(daemons)), Readers(reversed, hub, len(daemons))
+		readers, readersOfReversed := StoreReaders(hubs, hub, len(daemons)), StoreReaders(reversed, hub, len(daemons))
 		if !slices.Equal(readers, readersOfReversed) {
 			t.Errorf("got readers %v, and %v for the same hubs in another order", readers, readersOfReversed)
 		}
@@ -182,7 +182,7 @@
 		t.Errorf("got %d hubs that read the store directly and %d that the others ask first, want one", direct, len(asked))
 	}
 	small := newFleet(4)
-	if got := Readers(small, small[0], len(small)); len(got) != 0 {
+	if got := StoreReaders(small, small[0], len(small)); len(got) != 0 {
 		t.Errorf("got readers %v in a small fleet, want none", got)
 	}
 }
@@ -191,10 +191,10 @@
 // hubs before small ones do.
 func TestLargeDaemonsOfferThemselvesFirst(t *testing.T) {
 	// The caller jitters the mean delay by 50% in both directions.
-	if large, small := JoinPause(0.8)*3/2, JoinPause(0.192)/2; large >= small {
+	if large, small := JoinDelay(0.8)*3/2, JoinDelay(0.192)/2; large >= small {
 		t.Errorf("got delays up to %s for a large daemon and from %s for a small one, want the large one first", large, small)
 	}
-	if got := JoinPause(0); got <= 0 || got > time.Second {
+	if got := JoinDelay(0); got <= 0 || got > time.Second {
 		t.Errorf("got %s for a daemon with an unknown number of cores, want a short delay", got)
 	}
 }
@@ -216,11 +216,11 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			if got := Sharers(test.daemons, test.hubs, true); got != test.wantHub {
+			if got := AllowanceDivisor(test.daemons, test.hubs, true); got != test.wantHub {
 				t.Errorf("got a share of 1/%d for a hub, want 1/%d", got, test.wantHub)
 			}
-			sum := float64(test.hubs)/float64(Sharers(test.daemons, test.hubs, true)) +
-				float64(test.daemons-test.hubs)/float64(Sharers(test.daemons, test.hubs, false))
+			sum := float64(test.hubs)/float64(AllowanceDivisor(test.daemons, test.hubs, true)) +
+				float64(test.daemons-test.hubs)/float64(AllowanceDivisor(test.daemons, test.hubs, false))
 			if sum > 1+1e-9 {
 				t.Errorf("got shares that add up to %.2f, want at most 1", sum)
 			}
--- a/core/decision/dogwoodhubs/sharers.go
+++ b/core/decision/dogwoodhubs/sharers.go
@@ -10,7 +10,7 @@
 // Hubs get a larger share than leaves: if an allowance of a hundred retries were divided evenly
 // among sixty daemons, each would get one or two, and the few that serve nearly all requests would
 // reject retries while the shares of the others stay unused.
-func Sharers(daemons, hubs int, isHub bool) int {
+func AllowanceDivisor(daemons, hubs int, isHub bool) int {
 	leaves := daemons - hubs
 	switch {
 	case leaves <= 0 || hubs <= 0:
--- a/core/decision/dogwoodlimit/limiter.go
+++ b/core/decision/dogwoodlimit/limiter.go
@@ -149,7 +149,7 @@
 }
 
 // Opens returns the time before which a failed endpoint gets no requests.
-func (limiter *Limiter) Opens() time.Time {
+func (limiter *Limiter) BlockedUntil() time.Time {
 	return limiter.blockedUntil
 }
 
@@ -177,7 +177,7 @@
 }
 
 // Measured returns when an answer last updated Slowness.
-func (limiter *Limiter) Measured() time.Time {
+func (limiter *Limiter) MeasuredAt() time.Time {
 	return limiter.measuredAt
 }
 
--- a/core/decision/dogwoodlimit/limiter_test.go
+++ b/core/decision/dogwoodlimit/limiter_test.go
@@ -148,8 +148,8 @@
 	var pauses []time.Duration
 	for range 8 {
 		limiter.Observe(now, Answer{Result: dogwoodfleet.ResultRefused, Sent: now})
-		pauses = append(pauses, limiter.Opens().Sub(now))
-		now = limiter.Opens()
+		pauses = append(pauses, limiter.BlockedUntil().Sub(now))
+		now = limiter.BlockedUntil()
 	}
 	if got, want := pauses[0], minBlock; got != want {
 		t.Errorf("first pause: got %v, want %v", got, want)
--- a/core/decision/dogwoodmemory/gang.go
+++ b/core/decision/dogwoodmemory/gang.go
@@ -12,15 +12,15 @@
 	// ShortPart is the divisor for the share of each engine's memory that a gang leaves to
 	// other requests. One eighth of 400,000 tokens fits a dozen requests of 4,000, so that
 	// short requests still run beside the longest ones.
-	ShortPart = 8
+	GangHeadroomDivisor = 8
 	// MostMembers is the maximum number of engines in a gang. A request of a million tokens
 	// takes three or four current engines, and each additional member raises the chance that
 	// one fails during the minutes that the request runs.
-	MostMembers = 8
+	MaxGangMembers = 8
 )
 
 // Room describes an engine that may become a member of a gang. Memory and Free are in tokens.
-type Room struct {
+type EngineMemory struct {
 	Endpoint dogwoodfleet.EndpointID
 	Memory   int
 	Free     int
@@ -38,27 +38,27 @@
 type TooLarge struct {
 	Tokens int
 	// Most is the maximum number of tokens per request, prompt and answer together.
-	Most int
+	LimitTokens int
 }
 
 func (large *TooLarge) Error() string {
-	return fmt.Sprintf("memory: the request needs %d tokens; at most %d fit", large.Tokens, large.Most)
+	return fmt.Sprintf("memory: the request needs %d tokens; at most %d fit", large.Tokens, large.LimitTokens)
 }
 
 // PlanGang chooses the fewest engines that can hold the request together, preferring those
 // with the most free memory. Most requests fit on one engine. PlanGang returns *TooLarge if
 // the request would not fit even with all engines empty, so that waiting would not help.
-func PlanGang(tokens int, rooms []Room) (Gang, error) {
-	if maxTokens := Most(rooms); tokens > maxTokens {
-		return Gang{}, &TooLarge{Tokens: tokens, Most: maxTokens}
+func PlanGang(tokens int, rooms []EngineMemory) (Gang, error) {
+	if maxTokens := MaxRequestTokens(rooms); tokens > maxTokens {
+		return Gang{}, &TooLarge{Tokens: tokens, LimitTokens: maxTokens}
 	}
 	ordered := slices.Clone(rooms)
-	slices.SortFunc(ordered, func(left, right Room) int {
+	slices.SortFunc(ordered, func(left, right EngineMemory) int {
 		return cmp.Or(cmp.Compare(right.Free, left.Free), cmp.Compare(left.Endpoint, right.Endpoint))
 	})
-	for members := 1; members <= min(len(ordered), MostMembers); members++ {
+	for members := 1; members <= min(len(ordered), MaxGangMembers); members++ {
 		share := (tokens + members - 1) / members
-		eligible := slices.DeleteFunc(slices.Clone(ordered), func(room Room) bool {
+		eligible := slices.DeleteFunc(slices.Clone(ordered), func(room EngineMemory) bool {
 			return share > usable(room.Memory, members)
 		})
 		if len(eligible) < members {
@@ -71,11 +71,11 @@
 		slices.Sort(gang.Members)
 		return gang, nil
 	}
-	return Gang{}, &TooLarge{Tokens: tokens, Most: Most(rooms)}
+	return Gang{}, &TooLarge{Tokens: tokens, LimitTokens: MaxRequestTokens(rooms)}
 }
 
 // Most returns the maximum number of tokens per request on a single engine or a gang.
-func Most(rooms []Room) int {
+func MaxRequestTokens(rooms []EngineMemory) int {
 	maxTokens := 0
 	memories := make([]int, 0, len(rooms))
 	for _, room := range rooms {
@@ -83,7 +83,7 @@
 	}
 	slices.Sort(memories)
 	slices.Reverse(memories)
-	for members := 1; members <= min(len(memories), MostMembers); members++ {
+	for members := 1; members <= min(len(memories), MaxGangMembers); members++ {
 		// All members have the same share, so the smallest member's memory limits it.
 		maxTokens = max(maxTokens, members*usable(memories[members-1], members))
 	}
@@ -95,5 +95,5 @@
 	if members == 1 {
 		return memory
 	}
-	return memory - memory/ShortPart
+	return memory - memory/GangHeadroomDivisor
 }
--- a/core/decision/dogwoodmemory/ledger.go
+++ b/core/decision/dogwoodmemory/ledger.go
@@ -39,7 +39,7 @@
 	// LapseGrace is how long a hold is kept after its lease expires. Process pauses and broken
 	// connections between daemons commonly last some seconds, and cancelling a stream that its
 	// caller still reads is worse than holding an engine's memory for ten seconds longer.
-	LapseGrace = 10 * time.Second
+	ExpiryGrace = 10 * time.Second
 	// UnclaimedGrace is how long a stream without a hold may run before it is cancelled. After
 	// a change of owner, entry daemons announce their holds within a few one-second
 	// heartbeats. An entry daemon that finds no owner retries for as long as this grace.
@@ -48,7 +48,7 @@
 	DrainGrace = 5 * time.Second
 	// InFlight is how long a request that its holder ended may still be in transit to the
 	// engine. The engine client's timeout for connecting is two seconds.
-	InFlight = 2 * time.Second
+	InFlightGrace = 2 * time.Second
 	// endedTTL is how long an ended request is remembered, so that an answer requested
 	// before the end does not bring it back. A query to an engine times out after two seconds.
 	endedTTL = 10 * time.Second
@@ -104,9 +104,9 @@
 }
 
 // NoRoom reports that a hold does not fit into the memory that is free now.
-type NoRoom struct{ Free int }
+type InsufficientMemory struct{ Free int }
 
-func (room *NoRoom) Error() string {
+func (room *InsufficientMemory) Error() string {
 	return fmt.Sprintf("memory: %d tokens are free", room.Free)
 }
 
@@ -139,7 +139,7 @@
 		return Error.New("request %s already has a hold", wanted.Request)
 	}
 	if wanted.Tokens > ledger.Free() {
-		return &NoRoom{Free: ledger.Free()}
+		return &InsufficientMemory{Free: ledger.Free()}
 	}
 	ledger.addHold(wanted, now)
 	return nil
--- a/core/decision/dogwoodmemory/memory_test.go
+++ b/core/decision/dogwoodmemory/memory_test.go
@@ -109,7 +109,7 @@
 }
 
 func TestPlanGang(t *testing.T) {
-	rooms := []Room{
+	rooms := []EngineMemory{
 		{Endpoint: "d", Memory: 400_000, Free: 400_000},
 		{Endpoint: "b", Memory: 400_000, Free: 400_000},
 		{Endpoint: "c", Memory: 400_000, Free: 100_000},
@@ -130,8 +130,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			gang, err := PlanGang(test.tokens, rooms)
 			var large *TooLarge
-			if errors.As(err, &large) && large.Most != test.wantMax {
-				t.Errorf("got maximum %d, want %d", large.Most, test.wantMax)
+			if errors.As(err, &large) && large.LimitTokens != test.wantMax {
+				t.Errorf("got maximum %d, want %d", large.LimitTokens, test.wantMax)
 			}
 			if (err != nil) != (test.wantMax > 0) {
 				t.Errorf("got error %v, want maximum %d", err, test.wantMax)
--- a/core/decision/dogwoodmemory/property_test.go
+++ b/core/decision/dogwoodmemory/property_test.go
@@ -97,7 +97,7 @@
 			t.Errorf("%s: the renewal of a request in use failed", request.id)
 		case model.chance(1):
 			// A pause or a lost connection that lasts less than the grace.
-			request.pausedUntil = model.now.Add(model.between(0, LapseGrace))
+			request.pausedUntil = model.now.Add(model.between(0, ExpiryGrace))
 		}
 	}
 }
--- a/core/decision/dogwoodmemory/reconcile.go
+++ b/core/decision/dogwoodmemory/reconcile.go
@@ -84,7 +84,7 @@
 		}
 		ranInDeadProcess := hold.seenInstance != "" && hold.seenInstance != ledger.instance
 		ended := hold.phase != live && hold.since.Add(arrivalGrace(hold)).Before(ledger.lastAsked)
-		expired := hold.expires.Add(LapseGrace).Before(ledger.lastAsked)
+		expired := hold.expires.Add(ExpiryGrace).Before(ledger.lastAsked)
 		if ranInDeadProcess || ended || expired {
 			ledger.removeHold(request, hold, now)
 		}
@@ -95,7 +95,7 @@
 // once an engine has listed the request.
 func arrivalGrace(hold *hold) time.Duration {
 	if hold.seenInstance == "" {
-		return InFlight
+		return InFlightGrace
 	}
 	return 0
 }
@@ -117,7 +117,7 @@
 		}
 		why := WhyEnded
 		switch {
-		case hold.phase == live && now.After(hold.expires.Add(LapseGrace)):
+		case hold.phase == live && now.After(hold.expires.Add(ExpiryGrace)):
 			why = WhyLapsed
 		case hold.phase == live, hold.phase == draining && now.Sub(hold.since) < DrainGrace:
 			continue
@@ -153,7 +153,7 @@
 		if entry.HolderGone {
 			// If an owner dies together with the entry daemon, the new owner has no record of
 			// that daemon's streams. It waits as long as for an expired lease.
-			grace = LapseGrace
+			grace = ExpiryGrace
 		}
 		if !seen.reserved && (ended || now.Sub(seen.since) >= grace) {
 			orphans = append(orphans, Orphan{Request: request, Tokens: seen.tokens, Why: WhyUnclaimed})
--- a/core/decision/dogwoodpacking/board.go
+++ b/core/decision/dogwoodpacking/board.go
@@ -152,7 +152,7 @@
 // SetSeen sets how many of the expected daemons announce their work here. A daemon that sees
 // only some of them packs only that share of an engine's slots: after all daemons were killed at
 // once, each would otherwise fill the same engines on its own.
-func (board *Board) SetSeen(seen, expected int) {
+func (board *Board) SetVisibleDaemons(seen, expected int) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	board.seenShare = min(float64(max(seen, 1))/float64(max(expected, 1)), 1)
@@ -230,7 +230,7 @@
 }
 
 // Works returns the work of all daemons but one.
-func (board *Board) Works(except dogwoodfleet.InstanceID) []Work {
+func (board *Board) WorkExcept(except dogwoodfleet.InstanceID) []Work {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	works := make([]Work, 0, len(board.workByID))
@@ -244,7 +244,7 @@
 
 // Replace records the complete work of the other daemons, and drops work of theirs that is not
 // listed.
-func (board *Board) Replace(now time.Time, works []Work) {
+func (board *Board) ReplacePeerWork(now time.Time, works []Work) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	listed := make(map[WorkID]bool, len(works))
--- a/core/decision/dogwoodpacking/choose.go
+++ b/core/decision/dogwoodpacking/choose.go
@@ -27,7 +27,7 @@
 )
 
 // Ask is a request to be placed.
-type Ask struct {
+type PlacementRequest struct {
 	ID      WorkID
 	Holder  dogwoodfleet.InstanceID
 	Service dogwoodfleet.Service
@@ -85,7 +85,7 @@
 
 // Place selects an endpoint and records the request there, so that later decisions take it into
 // account.
-func (board *Board) Place(now time.Time, ask *Ask) (Placement, Refusal) {
+func (board *Board) Place(now time.Time, ask *PlacementRequest) (Placement, Refusal) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	candidates, refusal := board.candidates(now, ask)
@@ -107,13 +107,13 @@
 	return placement, Placed
 }
 
-func newWork(now time.Time, ask *Ask, placement *Placement) Work {
+func newWork(now time.Time, ask *PlacementRequest, placement *Placement) Work {
 	work := Work{
 		ID: ask.ID, Holder: ask.Holder, Service: ask.Service, Endpoint: placement.Endpoint.ID,
 		Tokens: ask.Prompt + ask.Answer, Prompt: ask.Prompt, Begun: now, Until: ask.Until,
 	}
 	if engine := placement.Endpoint.Engine; engine != nil {
-		work.Reading = engine.Read(ask.Prompt, 1+len(placement.Helpers))
+		work.Reading = engine.PrefillTime(ask.Prompt, 1+len(placement.Helpers))
 		work.Aim, work.Pause = ask.Aim, ask.Pause
 	}
 	for _, helper := range placement.Helpers {
@@ -123,7 +123,7 @@
 }
 
 // Other reports whether the service has an endpoint in force that is not in ask.Avoid.
-func (board *Board) Other(ask *Ask) bool {
+func (board *Board) HasOtherEndpoint(ask *PlacementRequest) bool {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	for _, state := range board.endpoints {
@@ -135,7 +135,7 @@
 }
 
 // candidates returns the endpoints that may get the request now, sorted by the daemon's ranks.
-func (board *Board) candidates(now time.Time, ask *Ask) ([]*endpointState, Refusal) {
+func (board *Board) candidates(now time.Time, ask *PlacementRequest) ([]*endpointState, Refusal) {
 	found, requestCount := false, 0
 	available, healthy := board.scratch.available[:0], board.scratch.healthy[:0]
 	for _, state := range board.ranked {
@@ -176,7 +176,7 @@
 
 // choosePlain selects the endpoint with the fewest requests, where a recent failure counts as
 // several. Ties are resolved in favour of the daemon's own data centre, then at random.
-func choosePlain(now time.Time, ask *Ask, candidates []*endpointState) Placement {
+func choosePlain(now time.Time, ask *PlacementRequest, candidates []*endpointState) Placement {
 	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	best := slices.MinFunc(candidates, func(a, b *endpointState) int {
 		return cmp.Or(
@@ -191,7 +191,7 @@
 	return float64(len(state.work)) + failureCost*state.health.recentFailures(now)
 }
 
-func distance(ask *Ask, state *endpointState) int {
+func distance(ask *PlacementRequest, state *endpointState) int {
 	if state.Place.DataCentre == ask.Origin.DataCentre {
 		return 0
 	}
--- a/core/decision/dogwoodpacking/cold.go
+++ b/core/decision/dogwoodpacking/cold.go
@@ -51,7 +51,7 @@
 	// daemons use the same order.
 	Count, Index int
 	// StandsBy is true if this daemon does not accept callers.
-	StandsBy bool
+	Standby bool
 }
 
 // SetSenders sets which daemons accept callers. An endpoint's limit is divided among them, in
@@ -81,7 +81,7 @@
 }
 
 // OwnSent returns the number of requests that this daemon sent within the last second.
-func (board *Board) OwnSent(now time.Time) int {
+func (board *Board) RecentOwnSends(now time.Time) int {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	return board.ownSends.countRecent(now)
@@ -99,7 +99,7 @@
 	if float64(state.sends.countRecent(now)+1) > limit {
 		return false
 	}
-	if board.senders.StandsBy {
+	if board.senders.Standby {
 		return state.ownSends.countRecent(now) < standbyLimit
 	}
 	return float64(state.ownSends.countWithin(now, ownWindow)+1) <= max(unevenness*limit/float64(board.senders.Count), 1)
--- a/core/decision/dogwoodpacking/cold_test.go
+++ b/core/decision/dogwoodpacking/cold_test.go
@@ -17,7 +17,7 @@
 	placed := func(standby bool) int {
 		board := NewBoard("me")
 		board.SetEndpoints([]Endpoint{endpoint})
-		board.SetSenders(Senders{Count: daemons, StandsBy: standby})
+		board.SetSenders(Senders{Count: daemons, Standby: standby})
 		count := 0
 		for i := range 50 {
 			ask := short(now, 3_000)
--- a/core/decision/dogwoodpacking/engines.go
+++ b/core/decision/dogwoodpacking/engines.go
@@ -89,7 +89,7 @@
 // mayHelpLate reports whether a part may be prefilled here when no placement keeps all limits:
 // the engine decodes nothing and every prompt that waits here can be delayed.
 func (engine *engine) mayHelpLate() bool {
-	return engine.load.Writers == 0 && engine.slack > 0
+	return engine.load.DecodingRequests == 0 && engine.slack > 0
 }
 
 // keepsPauses reports whether a part can be prefilled here without delaying a waiting prompt beyond
@@ -124,7 +124,7 @@
 // search holds the state of finding the best way to prefill one prompt.
 type search struct {
 	now time.Time
-	ask *Ask
+	ask *PlacementRequest
 	// waited is how long the request has waited.
 	waited  time.Duration
 	engines []engine
@@ -144,7 +144,7 @@
 // time, with as few helpers as possible. Helpers must also keep the pauses of the answers that they
 // will decode soon: an engine that only prefills now starts to decode once its own prompt is
 // prefilled.
-func (board *Board) chooseEngines(now time.Time, ask *Ask, candidates []*endpointState) (Placement, Refusal) {
+func (board *Board) chooseEngines(now time.Time, ask *PlacementRequest, candidates []*endpointState) (Placement, Refusal) {
 	if board.seenShare < minSeenShare && ask.CanWait && ask.Prompt >= dogwoodenginetime.LongPrompt {
 		return Placement{}, Full
 	}
@@ -164,7 +164,7 @@
 	return search.placement(found), Placed
 }
 
-func (board *Board) newSearch(now time.Time, ask *Ask, candidates []*endpointState) *search {
+func (board *Board) newSearch(now time.Time, ask *PlacementRequest, candidates []*endpointState) *search {
 	search := &search{
 		now: now, ask: ask, engines: board.survey(now, candidates), prefillLimit: time.Duration(aimShare * float64(ask.Aim)),
 		primaries: board.scratch.primaries[:0], helpers: board.scratch.helpers[:0],
@@ -187,7 +187,7 @@
 	})
 	slices.SortStableFunc(search.helpers, func(a, b *engine) int {
 		return cmp.Or(
-			compareBool(a.failing, b.failing), compareBool(a.load.Writers > 0, b.load.Writers > 0),
+			compareBool(a.failing, b.failing), compareBool(a.load.DecodingRequests > 0, b.load.DecodingRequests > 0),
 			compareBool(a.hasWaiting, b.hasWaiting), cmp.Compare(a.load.Queued, b.load.Queued),
 		)
 	})
@@ -218,7 +218,7 @@
 // while all answers keep their pauses.
 func (search *search) fewestHelpers(primary *engine) (choice, bool) {
 	for parts := search.minEngines; parts <= 1+maxHelpers; parts++ {
-		prefill := primary.state.Engine.Read(search.ask.Prompt, parts)
+		prefill := primary.state.Engine.PrefillTime(search.ask.Prompt, parts)
 		found, ok := search.assign(primary, parts, func(helper *engine) bool { return helper.keepsPauses(prefill, 0) })
 		if ok && found.predicted <= search.prefillLimit && primary.keepsPauses(prefill, search.ask.Pause) {
 			return found, true
@@ -234,7 +234,7 @@
 	if primary.usedTokens+share > usableMemory(primary.state) {
 		return choice{}, false
 	}
-	prefill := primary.state.Engine.Read(search.ask.Prompt, parts)
+	prefill := primary.state.Engine.PrefillTime(search.ask.Prompt, parts)
 	found := choice{primary: primary, predicted: primary.predictOwnPart(search.ask.Prompt/parts, prefill)}
 	for _, helper := range search.helpers {
 		if len(found.helpers) == parts-1 {
--- a/core/decision/dogwoodpacking/health.go
+++ b/core/decision/dogwoodpacking/health.go
@@ -84,14 +84,14 @@
 
 // Paced records a short pause between two events of an answer that an engine decodes. It returns
 // the pace, which the other daemons record with PeerPaced.
-func (board *Board) Paced(id dogwoodfleet.EndpointID, pause time.Duration) float64 {
+func (board *Board) RecordPace(id dogwoodfleet.EndpointID, pause time.Duration) float64 {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	state := board.endpoints[id]
 	if state == nil || state.Engine == nil {
 		return 0
 	}
-	pass := state.Engine.Pass(1, 0)
+	pass := state.Engine.PassTime(1, 0)
 	if pass <= 0 {
 		return 0
 	}
@@ -103,7 +103,7 @@
 // PeerPaced records the pace that another daemon observed. Failures are not shared: a daemon
 // whose own network fails sees all endpoints fail. Nor are the first tokens of long prompts: a
 // delay by prompts that are prefilled before them would count at each daemon.
-func (board *Board) PeerPaced(id dogwoodfleet.EndpointID, pace float64) {
+func (board *Board) RecordPeerPace(id dogwoodfleet.EndpointID, pace float64) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	if state := board.endpoints[id]; state != nil {
--- a/core/decision/dogwoodpacking/leastbad.go
+++ b/core/decision/dogwoodpacking/leastbad.go
@@ -37,7 +37,7 @@
 	for i := range search.engines {
 		primary := &search.engines[i]
 		for parts := search.minEngines; parts <= 1+maxHelpers; parts++ {
-			prefill := primary.state.Engine.Read(search.ask.Prompt, parts)
+			prefill := primary.state.Engine.PrefillTime(search.ask.Prompt, parts)
 			found, ok := search.assign(primary, parts, func(helper *engine) bool {
 				return helper.mayHelpLate() || helper.keepsPauses(prefill, 0)
 			})
@@ -98,7 +98,7 @@
 // decode in addition.
 func (search *search) lossToOthers(engine *engine, prefill time.Duration, joining int) float64 {
 	load := engine.load
-	load.Writers += joining
+	load.DecodingRequests += joining
 	pause := time.Duration(engine.slowness * float64(engine.state.Engine.Pause(load, prefill)))
 	loss := 0.0
 	for _, work := range engine.state.work {
--- a/core/decision/dogwoodpacking/load.go
+++ b/core/decision/dogwoodpacking/load.go
@@ -24,7 +24,7 @@
 	var waiting time.Duration
 	for _, work := range state.work {
 		if work.Writing {
-			load.Writers++
+			load.DecodingRequests++
 			load.ContextTokens += work.Tokens / (1 + len(work.Helpers))
 			continue
 		}
--- a/core/decision/dogwoodpacking/packing_test.go
+++ b/core/decision/dogwoodpacking/packing_test.go
@@ -38,21 +38,21 @@
 
 var askCount int
 
-func short(now time.Time, prompt int) *Ask {
+func short(now time.Time, prompt int) *PlacementRequest {
 	askCount++
-	return &Ask{
+	return &PlacementRequest{
 		ID: WorkID(fmt.Sprintf("w%d", askCount)), Holder: "me", Service: "models", Prompt: prompt, Answer: 1300,
 		Aim: 300 * time.Millisecond, Pause: 250 * time.Millisecond, Until: now.Add(10 * time.Second),
 	}
 }
 
-func long(now time.Time, prompt int) *Ask {
+func long(now time.Time, prompt int) *PlacementRequest {
 	ask := short(now, prompt)
 	ask.Aim, ask.Pause = 3*time.Second, time.Second
 	return ask
 }
 
-func mustPlace(t *testing.T, board *Board, now time.Time, ask *Ask) Placement {
+func mustPlace(t *testing.T, board *Board, now time.Time, ask *PlacementRequest) Placement {
 	t.Helper()
 	placement, refusal := board.Place(now, ask)
 	if refusal != Placed {
@@ -223,11 +223,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			board := pool(1)
 			board.Put(now, work("p1"))
-			if got := mustPlace(t, board, now, short(now, 1000)).Load.Writers; got != 1 {
+			if got := mustPlace(t, board, now, short(now, 1000)).Load.DecodingRequests; got != 1 {
 				t.Errorf("got %d decoding requests before, want 1", got)
 			}
 			test.end(board)
-			if got := mustPlace(t, board, now, short(now, 1000)).Load.Writers; got != 0 {
+			if got := mustPlace(t, board, now, short(now, 1000)).Load.DecodingRequests; got != 0 {
 				t.Errorf("got %d decoding requests after, want 0", got)
 			}
 		})
@@ -245,7 +245,7 @@
 	restarted.Instance = "2"
 	board.Failed(now, restarted.ID)
 	board.SetEndpoints([]Endpoint{restarted})
-	if got := mustPlace(t, board, now, short(now, 1000)).Load.Writers; got != 0 {
+	if got := mustPlace(t, board, now, short(now, 1000)).Load.DecodingRequests; got != 0 {
 		t.Errorf("got %d decoding requests at the new instance, want 0", got)
 	}
 }
@@ -333,7 +333,7 @@
 			endpoints = append(endpoints, endpoint)
 		}
 		board.SetEndpoints(endpoints)
-		board.SetSeen(1, daemons)
+		board.SetVisibleDaemons(1, daemons)
 		for range perDaemon {
 			counts[mustPlace(t, board, now, short(now, 3_000)).Endpoint.ID]++
 		}
@@ -350,15 +350,15 @@
 func TestSlowEnginesAreDetectedByPace(t *testing.T) {
 	board, now := pool(2), time.Now()
 	slow := mustPlace(t, board, now, short(now, 3_000)).Endpoint.ID
-	pass := testEngine.Pass(1, 0)
+	pass := testEngine.PassTime(1, 0)
 	for range 5 {
-		board.Paced(slow, 5*pass)
+		board.RecordPace(slow, 5*pass)
 	}
 	if got := mustPlace(t, board, now, short(now, 3_000)).Endpoint.ID; got == slow {
 		t.Errorf("got the slow engine %s, want the other one", got)
 	}
 	for range 20 {
-		board.Paced(slow, pass)
+		board.RecordPace(slow, pass)
 	}
 	if got := board.endpoints[slow].health.slowness(); got > 1.1 {
 		t.Errorf("got a slowness of %.2f after it recovered, want about 1", got)
@@ -374,7 +374,7 @@
 		placement := mustPlace(t, board, now, short(now, 3_000))
 		now = now.Add(2 * time.Second)
 		board.Writes(now, placement.Work.ID, placement.Predicted, 2*time.Second)
-		board.Paced("e00", testEngine.Pass(1, 0))
+		board.RecordPace("e00", testEngine.PassTime(1, 0))
 		board.End(placement.Work.ID)
 	}
 	if got := board.endpoints["e00"].health.slowness(); got > 1 {
@@ -387,14 +387,14 @@
 // ahead of all short ones. It places short prompts in the meantime.
 func TestLongPromptsWaitUntilDaemonsSeeEachOther(t *testing.T) {
 	board, now := pool(8), time.Now()
-	board.SetSeen(1, 8)
+	board.SetVisibleDaemons(1, 8)
 	ask := long(now, 300_000)
 	ask.CanWait = true
 	if _, got := board.Place(now, ask); got != Full {
 		t.Errorf("a long prompt: got %q, want to wait", got)
 	}
 	mustPlace(t, board, now, short(now, 3_000))
-	board.SetSeen(8, 8)
+	board.SetVisibleDaemons(8, 8)
 	mustPlace(t, board, now, ask)
 }
 
--- a/core/decision/dogwoodpacking/simulation_test.go
+++ b/core/decision/dogwoodpacking/simulation_test.go
@@ -23,7 +23,7 @@
 
 // job is a request in the simulation.
 type job struct {
-	ask          *Ask
+	ask          *PlacementRequest
 	arrived      time.Duration
 	parts        int // engines that have not prefilled their part yet
 	eventsLeft   int // events still to be decoded
@@ -44,14 +44,14 @@
 	}
 	took := time.Duration(0)
 	if len(simulatedEngine.decoding) > 0 {
-		took = testEngine.Pass(len(simulatedEngine.decoding), 0)
+		took = testEngine.PassTime(len(simulatedEngine.decoding), 0)
 	}
 	var prefilled []*job
 	for tokens := 0; len(simulatedEngine.queue) > 0 && tokens < testEngine.Chunk*testEngine.Stride; {
 		head := simulatedEngine.queue[0]
 		simulatedEngine.queue = simulatedEngine.queue[1:]
 		parts := head.partCount()
-		took += testEngine.Read(head.ask.Prompt, parts)
+		took += testEngine.PrefillTime(head.ask.Prompt, parts)
 		tokens += head.ask.Prompt / parts
 		prefilled = append(prefilled, head)
 		if len(simulatedEngine.decoding) == 0 {
@@ -82,7 +82,7 @@
 
 // policy places a request and returns the indexes of the primary engine, which decodes the
 // answer, and of the helpers. If the index of the primary engine is negative, the request waits.
-type policy func(now time.Duration, ask *Ask, engines []*simulatedEngine) (primary int, helpers []int)
+type policy func(now time.Duration, ask *PlacementRequest, engines []*simulatedEngine) (primary int, helpers []int)
 
 // retryInterval is the interval at which the placement of waiting requests is tried again.
 const retryInterval = 20 * time.Millisecond
@@ -104,7 +104,7 @@
 			prompt, aim, pause = 182_000, 3*time.Second, time.Second
 		}
 		size := min(prompt*math.Exp(0.5*random.NormFloat64()-0.125), 390_000)
-		ask := &Ask{ID: WorkID(fmt.Sprint(len(jobs))), Service: "models", Prompt: int(size), Aim: aim, Pause: pause}
+		ask := &PlacementRequest{ID: WorkID(fmt.Sprint(len(jobs))), Service: "models", Prompt: int(size), Aim: aim, Pause: pause}
 		jobs = append(jobs, &job{ask: ask, arrived: now, eventsLeft: answerEvents})
 	}
 	return jobs
@@ -181,7 +181,7 @@
 }
 
 // leastRequests is the baseline policy: the engine with the fewest requests.
-func leastRequests(_ time.Duration, _ *Ask, engines []*simulatedEngine) (int, []int) {
+func leastRequests(_ time.Duration, _ *PlacementRequest, engines []*simulatedEngine) (int, []int) {
 	least := slices.MinFunc(engines, func(a, b *simulatedEngine) int {
 		return cmp.Compare(len(a.queue)+len(a.decoding), len(b.queue)+len(b.decoding))
 	})
@@ -197,7 +197,7 @@
 	for _, request := range jobs {
 		byID[request.ask.ID] = request
 	}
-	return func(now time.Duration, ask *Ask, _ []*simulatedEngine) (int, []int) {
+	return func(now time.Duration, ask *PlacementRequest, _ []*simulatedEngine) (int, []int) {
 		for request := range running {
 			if request.firstEvent > 0 && request.firstEvent <= now {
 				board.Writes(start.Add(request.firstEvent), request.ask.ID, 0, 0)
--- a/core/decision/dogwoodplacement/placement.go
+++ b/core/decision/dogwoodplacement/placement.go
@@ -32,13 +32,13 @@
 	MinDwell = 10 * time.Minute
 	// Bake is how long the first engine on a new version serves before others follow. It covers
 	// a few hundred requests, enough to expose a version that can't serve.
-	Bake = 30 * time.Second
+	BakeTime = 30 * time.Second
 	// LoadLimit is how long an engine may take to carry out an order. Weights of 140 GB at
 	// 1 GB/s take over two minutes; after more than four times that, the order has failed.
-	LoadLimit = 10 * time.Minute
+	LoadTimeout = 10 * time.Minute
 	// OrderAgain is how long the planner waits for an order to appear in an engine's report
 	// before it issues the order again. Reports lag by about a second.
-	OrderAgain = 10 * time.Second
+	OrderResendInterval = 10 * time.Second
 )
 
 // Holding is the model, version and adapters that an engine holds.
@@ -130,7 +130,7 @@
 }
 
 // Ordered records that an order was issued.
-func (planner *Planner) Ordered(order Order, now time.Time) {
+func (planner *Planner) RecordOrder(order Order, now time.Time) {
 	first := now
 	if previous, found := planner.orders[order.Endpoint]; found && previous.wanted.equal(order.Wanted) {
 		first = previous.firstAt
@@ -172,7 +172,7 @@
 		case !ordered:
 		case engine.Holds.equal(order.wanted):
 			delete(planner.orders, engine.Endpoint)
-		case now.Sub(order.firstAt) > LoadLimit:
+		case now.Sub(order.firstAt) > LoadTimeout:
 			planner.failed[versionKey{model: order.wanted.Model, version: order.wanted.Version}] = true
 			delete(planner.orders, engine.Endpoint)
 		}
--- a/core/decision/dogwoodplacement/placement_test.go
+++ b/core/decision/dogwoodplacement/placement_test.go
@@ -62,7 +62,7 @@
 	}
 	orders := simulation.planner.Plan(simulation.models, reported, simulation.now)
 	for _, order := range orders {
-		simulation.planner.Ordered(order, simulation.now)
+		simulation.planner.RecordOrder(order, simulation.now)
 		if simulation.lossOneIn > 0 && simulation.random.IntN(simulation.lossOneIn) == 0 {
 			continue
 		}
@@ -154,7 +154,7 @@
 	for _, engine := range simulation.engines {
 		engine.stuck = true
 	}
-	simulation.run("m", 2*LoadLimit)
+	simulation.run("m", 2*LoadTimeout)
 	if got := simulation.servingCount("m"); got != 4 {
 		t.Errorf("got %d serving, want 4", got)
 	}
--- a/core/decision/dogwoodplacement/view.go
+++ b/core/decision/dogwoodplacement/view.go
@@ -41,7 +41,7 @@
 		}
 		if order, ordered := planner.orders[engine.Endpoint]; ordered && !planned.waiting {
 			planned.pending, planned.waiting = order.wanted, true
-			planned.resend = now.Sub(order.lastAt) > OrderAgain
+			planned.resend = now.Sub(order.lastAt) > OrderResendInterval
 		}
 		created.engines = append(created.engines, planned)
 	}
@@ -250,7 +250,7 @@
 // proven reports whether the version has been served for at least Bake.
 func (plan *plan) proven(key versionKey) bool {
 	since, found := plan.planner.servingSince[key]
-	return found && plan.now.Sub(since) >= Bake
+	return found && plan.now.Sub(since) >= BakeTime
 }
 
 // versionAssigned reports whether an engine holds or is about to hold the model's version.
--- a/core/decision/dogwoodprefix/index.go
+++ b/core/decision/dogwoodprefix/index.go
@@ -78,7 +78,7 @@
 
 // Expect adds the blocks of a request that was just sent to the engine. The engine will hold
 // them soon, and the next request with the prefix needs the hint before the cache event arrives.
-func (index *Index) Expect(id dogwoodfleet.EndpointID, blocks []uint64) {
+func (index *Index) AddExpected(id dogwoodfleet.EndpointID, blocks []uint64) {
 	engine := index.engine(id)
 	for _, block := range blocks {
 		engine.add(block)
@@ -110,6 +110,6 @@
 }
 
 // Forget removes all blocks of an engine that failed, became cold or has a new owner.
-func (index *Index) Forget(id dogwoodfleet.EndpointID) {
+func (index *Index) RemoveEngine(id dogwoodfleet.EndpointID) {
 	delete(index.engines, id)
 }
--- a/core/decision/dogwoodprefix/prefix_test.go
+++ b/core/decision/dogwoodprefix/prefix_test.go
@@ -54,10 +54,10 @@
 			index.Apply("e", "i", []Event{add(1, 10, 11)}, false)
 			index.Apply("e", "j", []Event{add(1, 10)}, false)
 		}, want: 1},
-		{name: "expected", apply: func(index *Index) { index.Expect("e", []uint64{10, 11, 12}) }, want: 3},
+		{name: "expected", apply: func(index *Index) { index.AddExpected("e", []uint64{10, 11, 12}) }, want: 3},
 		{name: "forgotten", apply: func(index *Index) {
-			index.Expect("e", []uint64{10, 11, 12})
-			index.Forget("e")
+			index.AddExpected("e", []uint64{10, 11, 12})
+			index.RemoveEngine("e")
 		}, want: 0},
 	}
 	for _, test := range tests {
@@ -77,7 +77,7 @@
 	for i := range blocks {
 		blocks[i] = uint64(i + 1)
 	}
-	index.Expect("e", blocks)
+	index.AddExpected("e", blocks)
 	b.ReportAllocs()
 	for b.Loop() {
 		index.Hits("e", blocks)
--- a/core/decision/dogwoodquota/home.go
+++ b/core/decision/dogwoodquota/home.go
@@ -101,7 +101,7 @@
 }
 
 // Drop revokes the shares of entries that aren't alive.
-func (home *Home) Drop(alive func(dogwoodfleet.InstanceID) bool) {
+func (home *Home) RevokeDead(alive func(dogwoodfleet.InstanceID) bool) {
 	for _, pool := range home.pools {
 		for entry := range pool.grants {
 			if !alive(entry) {
@@ -112,7 +112,7 @@
 }
 
 // Forget drops customers without granted shares. Call it periodically.
-func (home *Home) Forget(now time.Time) {
+func (home *Home) DropIdle(now time.Time) {
 	for customer, pool := range home.pools {
 		pool.sweep(now)
 		if len(pool.grants) == 0 {
--- a/core/decision/dogwoodretry/retry.go
+++ b/core/decision/dogwoodretry/retry.go
@@ -50,7 +50,7 @@
 	// Try is the number of the try, starting at 1.
 	Try int
 	// Left is the time until the deadline; Needs is the predicted duration of a run.
-	Left, Needs time.Duration
+	Left, PredictedRun time.Duration
 	// After is the minimum wait that the refusal asked for; 0 if it asked for none.
 	After time.Duration
 }
@@ -98,7 +98,7 @@
 		return Verdict{Why: reason}
 	}
 	wait := backoff(failure, random)
-	if wait+failure.Needs >= failure.Left {
+	if wait+failure.PredictedRun >= failure.Left {
 		return Verdict{Why: "no time left for another try"}
 	}
 	bucket := budget.bucket(now, bucketKey{failure.Customer, failure.Service})
--- a/core/decision/dogwoodretry/retry_test.go
+++ b/core/decision/dogwoodretry/retry_test.go
@@ -13,7 +13,7 @@
 func repeatableFailure() Failure {
 	return Failure{
 		Customer: "one", Service: "pool", State: dogwoodfleet.RunUnknown, Reason: dogwoodfleet.ReasonEndpointDied,
-		Repeatable: true, Try: 1, Left: 10 * time.Second, Needs: time.Second,
+		Repeatable: true, Try: 1, Left: 10 * time.Second, PredictedRun: time.Second,
 	}
 }
 
@@ -29,7 +29,7 @@
 			failure.Repeatable, failure.State = false, dogwoodfleet.NotRun
 		}, want: true},
 		{name: "part of the answer sent", change: func(failure *Failure) { failure.Streamed = true }, want: false},
-		{name: "no time for another run", change: func(failure *Failure) { failure.Left = failure.Needs }, want: false},
+		{name: "no time for another run", change: func(failure *Failure) { failure.Left = failure.PredictedRun }, want: false},
 		{name: "maximum number of tries reached", change: func(failure *Failure) { failure.Try = MaxTries }, want: false},
 		{name: "refused over the customer's share", change: func(failure *Failure) {
 			failure.State, failure.Reason = dogwoodfleet.NotRun, dogwoodfleet.ReasonShare
--- a/core/decision/dogwoodretry/share.go
+++ b/core/decision/dogwoodretry/share.go
@@ -12,7 +12,7 @@
 // daemon counts only the requests that it accepted, so the retries allowed by the ratio need
 // no coordination; the allowance is divided by the number of daemons. Separate budgets for
 // each daemon would together exceed the limit.
-type Shared struct {
+type SharedBudget struct {
 	// Ratio is the number of retries allowed for each first try.
 	Ratio float64
 	// Allowance is the number of retries allowed in a window in addition to Ratio, summed
@@ -31,7 +31,7 @@
 }
 
 // First records the first try of a request.
-func (shared *Shared) First(now time.Time, service dogwoodfleet.Service) {
+func (shared *SharedBudget) First(now time.Time, service dogwoodfleet.Service) {
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
 	tries := shared.tries(now, service)
@@ -39,7 +39,7 @@
 }
 
 // Take takes one retry from this daemon's share, or returns false if the share is used up.
-func (shared *Shared) Take(now time.Time, service dogwoodfleet.Service, daemons int) bool {
+func (shared *SharedBudget) Take(now time.Time, service dogwoodfleet.Service, daemons int) bool {
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
 	tries := shared.tries(now, service)
@@ -51,7 +51,7 @@
 }
 
 // Return gives back a retry that was taken but not made.
-func (shared *Shared) Return(now time.Time, service dogwoodfleet.Service) {
+func (shared *SharedBudget) Return(now time.Time, service dogwoodfleet.Service) {
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
 	tries := shared.tries(now, service)
@@ -61,14 +61,14 @@
 }
 
 // Allows reports whether Take would succeed now.
-func (shared *Shared) Allows(now time.Time, service dogwoodfleet.Service, daemons int) bool {
+func (shared *SharedBudget) Allows(now time.Time, service dogwoodfleet.Service, daemons int) bool {
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
 	return shared.remaining(shared.tries(now, service), daemons) >= 1
 }
 
 // Left returns the number of retries left to the service that has the fewest left.
-func (shared *Shared) Left(now time.Time, daemons int) float64 {
+func (shared *SharedBudget) Left(now time.Time, daemons int) float64 {
 	shared.mutex.Lock()
 	defer shared.mutex.Unlock()
 	least := shared.remaining(&tries{}, daemons)
@@ -78,12 +78,12 @@
 	return least
 }
 
-func (shared *Shared) remaining(tries *tries, daemons int) float64 {
+func (shared *SharedBudget) remaining(tries *tries, daemons int) float64 {
 	allowed := shared.Ratio*float64(len(tries.first)) + shared.Allowance/float64(max(daemons, 1))
 	return allowed - float64(len(tries.retries))
 }
 
-func (shared *Shared) tries(now time.Time, service dogwoodfleet.Service) *tries {
+func (shared *SharedBudget) tries(now time.Time, service dogwoodfleet.Service) *tries {
 	if shared.services == nil {
 		shared.services = map[dogwoodfleet.Service]*tries{}
 	}
--- a/core/decision/dogwoodretry/share_test.go
+++ b/core/decision/dogwoodretry/share_test.go
@@ -13,9 +13,9 @@
 func TestSharesAddUpToOneBudget(t *testing.T) {
 	const daemons, perSecond, seconds = 8, 10, 60
 	window := 10 * time.Second
-	shares := make([]*Shared, daemons)
+	shares := make([]*SharedBudget, daemons)
 	for i := range shares {
-		shares[i] = &Shared{Ratio: 0.2, Allowance: 50, Window: window}
+		shares[i] = &SharedBudget{Ratio: 0.2, Allowance: 50, Window: window}
 	}
 	start := time.Now()
 	var first, retries []time.Time
@@ -44,7 +44,7 @@
 // what is left to the service with the least, not what is left to services without retries.
 func TestLeftReportsServiceWithLeastBudget(t *testing.T) {
 	const daemons = 2
-	shared, now := &Shared{Ratio: 0.5, Allowance: 8, Window: 10 * time.Second}, time.Now()
+	shared, now := &SharedBudget{Ratio: 0.5, Allowance: 8, Window: 10 * time.Second}, time.Now()
 	tests := []struct {
 		name           string
 		service        dogwoodfleet.Service
@@ -86,7 +86,7 @@
 }
 
 func TestServicesHaveSeparateBudgets(t *testing.T) {
-	shared := &Shared{Ratio: 0, Allowance: 1, Window: time.Second}
+	shared := &SharedBudget{Ratio: 0, Allowance: 1, Window: time.Second}
 	now := time.Now()
 	if !shared.Take(now, "a", 1) || shared.Take(now, "a", 1) {
 		t.Error("want exactly one retry for the service")
@@ -102,7 +102,7 @@
 // Guards against abandoning a stream for a retry that the budget then denies.
 func TestAllowsMatchesTake(t *testing.T) {
 	const daemons = 2
-	shared, now := &Shared{Ratio: 0.5, Allowance: 4, Window: 10 * time.Second}, time.Now()
+	shared, now := &SharedBudget{Ratio: 0.5, Allowance: 4, Window: 10 * time.Second}, time.Now()
 	for retry := range 4 {
 		want := shared.Allows(now, "s", daemons)
 		if got := shared.Take(now, "s", daemons); got != want {
@@ -119,7 +119,7 @@
 
 // Guards against a budget that shrinks by retries that were taken but not made.
 func TestReturnedRetryCanBeTakenAgain(t *testing.T) {
-	shared, now := &Shared{Allowance: 1, Window: 10 * time.Second}, time.Now()
+	shared, now := &SharedBudget{Allowance: 1, Window: 10 * time.Second}, time.Now()
 	shared.Return(now, "s") // no retry was taken
 	for range 3 {
 		if !shared.Take(now, "s", 1) {
--- a/core/decision/dogwoodrouting/routing.go
+++ b/core/decision/dogwoodrouting/routing.go
@@ -45,7 +45,7 @@
 	// InFlight counts all grants, including those that no load report covers yet.
 	InFlight, Limit int
 	// AheadTokens is the number of prompt tokens in granted requests without an answer yet.
-	AheadTokens int
+	PendingPromptTokens int
 	// HitTokens estimates how many of the prompt's tokens are in the endpoint's cache.
 	HitTokens int
 	// PerToken is the time to prefill one prompt token.
@@ -54,7 +54,7 @@
 	// normal latency; 1 or less is healthy.
 	Slowness float64
 	// Measured is when the latency was last reported.
-	Measured time.Time
+	MeasuredAt time.Time
 	// Distance is 0 within the entry daemon's data centre, 1 within its region and 2 elsewhere.
 	Distance int
 	// Unproven is true while the endpoint runs an identical request and no such request has
@@ -106,7 +106,7 @@
 
 // probeDue reports whether the endpoint is idle and its last measurement is old enough for a probe.
 func (candidate *Candidate) probeDue(now time.Time) bool {
-	return candidate.InFlight == 0 && now.Sub(candidate.Measured) >= probeInterval
+	return candidate.InFlight == 0 && now.Sub(candidate.MeasuredAt) >= probeInterval
 }
 
 // score predicts the time to first token. Cached tokens don't count above the load bound, and
@@ -117,7 +117,7 @@
 	if load > boundedLoad*mean {
 		cached = 0
 	}
-	tokens := candidate.AheadTokens + max(promptTokens-cached, 0)
+	tokens := candidate.PendingPromptTokens + max(promptTokens-cached, 0)
 	work := float64(time.Duration(tokens)*candidate.PerToken) + load*float64(fullLoadDelay)
 	if !candidate.slow() || !candidate.probeDue(now) {
 		work *= max(candidate.Slowness, 1)
--- a/core/decision/dogwoodrouting/routing_test.go
+++ b/core/decision/dogwoodrouting/routing_test.go
@@ -10,7 +10,7 @@
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func candidate(inFlight int) Candidate {
-	return Candidate{InFlight: inFlight, Limit: 16, PerToken: 2500 * time.Nanosecond, Slowness: 1, Measured: start}
+	return Candidate{InFlight: inFlight, Limit: 16, PerToken: 2500 * time.Nanosecond, Slowness: 1, MeasuredAt: start}
 }
 
 func TestPick(t *testing.T) {
@@ -19,7 +19,7 @@
 	slow.Slowness = 8
 	far.Distance = 2
 	probe := slow
-	probe.Measured = start.Add(-2 * probeInterval)
+	probe.MeasuredAt = start.Add(-2 * probeInterval)
 	tests := []struct {
 		name       string
 		candidates []Candidate
--- a/core/decision/dogwoodsuspect/suspect.go
+++ b/core/decision/dogwoodsuspect/suspect.go
@@ -27,11 +27,11 @@
 const (
 	// StrikeKept is the time after which a strike expires. A caller resends a request within
 	// its deadline of a few minutes, so ten minutes cover every resend.
-	StrikeKept = 10 * time.Minute
+	StrikeTTL = 10 * time.Minute
 	// ConvictionKept is the time for which a convicted digest is refused. After it the digest
 	// may run again as a suspect, which costs at most one endpoint each time, and so fewer
 	// than six endpoints an hour.
-	ConvictionKept = 10 * time.Minute
+	ConvictionTTL = 10 * time.Minute
 	// MaxRecords bounds the memory of a ledger. A failed rack of 40 engines with 64 requests
 	// each leaves 2,560 suspects; ten such racks at once take 5 MB.
 	MaxRecords = 32_768
@@ -174,7 +174,7 @@
 	found.strikes = nil
 	found.convictedUntil = time.Time{}
 	found.clearedAt = at
-	found.expires = at.Add(StrikeKept)
+	found.expires = at.Add(StrikeTTL)
 	found.permitHolder = ""
 }
 
@@ -192,12 +192,12 @@
 	if !alreadyCounted && len(found.strikes) < 4 {
 		found.strikes = append(found.strikes, strike{request: notice.Request, endpoint: notice.Endpoint})
 	}
-	found.expires = at.Add(StrikeKept)
+	found.expires = at.Add(StrikeTTL)
 	if notice.Request == found.permitHolder {
 		found.permitHolder = ""
 	}
 	if notice.Kind == Conviction || secondEndpoint {
-		found.convictedUntil = at.Add(ConvictionKept)
+		found.convictedUntil = at.Add(ConvictionTTL)
 		found.convictedAt = at
 	}
 }
@@ -265,17 +265,17 @@
 }
 
 // Convict is a convicted digest and the end of its conviction, as shown to operators.
-type Convict struct {
+type ConvictedDigest struct {
 	Digest dogwoodfleet.Digest
 	Until  time.Time
 }
 
 // Convictions returns the digests that are convicted now.
-func (ledger *Ledger) Convictions(now time.Time) []Convict {
-	var convictions []Convict
+func (ledger *Ledger) Convictions(now time.Time) []ConvictedDigest {
+	var convictions []ConvictedDigest
 	for digest, record := range ledger.records {
 		if now.Before(record.convictedUntil) {
-			convictions = append(convictions, Convict{Digest: digest, Until: record.convictedUntil})
+			convictions = append(convictions, ConvictedDigest{Digest: digest, Until: record.convictedUntil})
 		}
 	}
 	return convictions
@@ -285,7 +285,7 @@
 func (ledger *Ledger) Notices(now time.Time) []Notice {
 	var notices []Notice
 	for digest, record := range ledger.records {
-		kind, at := Strike, record.expires.Add(-StrikeKept)
+		kind, at := Strike, record.expires.Add(-StrikeTTL)
 		if now.Before(record.convictedUntil) {
 			kind, at = Conviction, record.convictedAt
 		}
--- a/core/decision/dogwoodsuspect/suspect_test.go
+++ b/core/decision/dogwoodsuspect/suspect_test.go
@@ -33,7 +33,7 @@
 	now := start.Add(2 * time.Second)
 	checkStanding(t, ledger, now, digest, Convicted)
 	checkStanding(t, ledger, now, otherDigest, Clear)
-	checkStanding(t, ledger, now.Add(ConvictionKept), digest, Clear)
+	checkStanding(t, ledger, now.Add(ConvictionTTL), digest, Clear)
 }
 
 // Guards against owners that disagree about a digest. A notice may arrive twice or after a later
@@ -71,7 +71,7 @@
 	ledger := NewLedger()
 	ledger.Died(start, "a", []Run{{Digest: digest, Request: "0"}})
 	requestPermit := func(now time.Time, request dogwoodfleet.RequestID) bool {
-		return ledger.Judge(now, Trial{Digest: digest, Request: request, Lease: time.Minute}).Allowed
+		return ledger.Judge(now, PermitRequest{Digest: digest, Request: request, Lease: time.Minute}).Allowed
 	}
 	if !requestPermit(start, "1") || requestPermit(start, "2") {
 		t.Error("want only the first request permitted")
@@ -79,7 +79,7 @@
 	if !requestPermit(start, "1") {
 		t.Error("asking again: got refused, want permitted")
 	}
-	ledger.Judge(start, Trial{Digest: digest, Request: "1", Ended: true})
+	ledger.Judge(start, PermitRequest{Digest: digest, Request: "1", Ended: true})
 	if !requestPermit(start, "2") || requestPermit(start, "3") {
 		t.Error("after the end: want only the next request permitted")
 	}
@@ -87,7 +87,7 @@
 		t.Error("after the lease: got refused, want permitted")
 	}
 	ledger.Died(start.Add(3*time.Minute), "b", []Run{{Digest: digest, Request: "3", Alone: true}})
-	if answer := ledger.Judge(start.Add(3*time.Minute), Trial{Digest: digest, Request: "4", Lease: time.Minute}); answer.Allowed || answer.Standing != Convicted {
+	if answer := ledger.Judge(start.Add(3*time.Minute), PermitRequest{Digest: digest, Request: "4", Lease: time.Minute}); answer.Allowed || answer.Standing != Convicted {
 		t.Errorf("after conviction: got %+v, want it refused", answer)
 	}
 }
--- a/core/decision/dogwoodsuspect/trial.go
+++ b/core/decision/dogwoodsuspect/trial.go
@@ -9,7 +9,7 @@
 )
 
 // Trial asks the owner returned by Home for a permit to run a suspect, or returns the permit.
-type Trial struct {
+type PermitRequest struct {
 	Digest  dogwoodfleet.Digest
 	Request dogwoodfleet.RequestID
 	// Lease is the time for which the permit is valid. A further Trial of the same request
@@ -20,7 +20,7 @@
 }
 
 // TrialAnswer is the answer to a Trial.
-type TrialAnswer struct {
+type PermitResponse struct {
 	Allowed bool
 	// Standing is the standing in the answering owner's ledger. A convicted digest is never
 	// allowed.
@@ -36,17 +36,17 @@
 // Judge answers a Trial. It permits only one run of a suspect at a time across all owners.
 // Otherwise a caller that resends a crashing request through four entry daemons at the same
 // moment would kill four more endpoints.
-func (ledger *Ledger) Judge(now time.Time, trial Trial) TrialAnswer {
+func (ledger *Ledger) Judge(now time.Time, trial PermitRequest) PermitResponse {
 	standing, _ := ledger.Standing(now, trial.Digest)
 	found := ledger.records[trial.Digest]
 	if trial.Ended {
 		if found != nil && found.permitHolder == trial.Request {
 			found.permitHolder = ""
 		}
-		return TrialAnswer{Standing: standing}
+		return PermitResponse{Standing: standing}
 	}
 	if standing == Convicted {
-		return TrialAnswer{Standing: standing}
+		return PermitResponse{Standing: standing}
 	}
 	if found == nil {
 		// The asking owner has a strike whose notice hasn't arrived here yet.
@@ -54,11 +54,11 @@
 	}
 	held := found.permitHolder != "" && found.permitHolder != trial.Request && now.Before(found.permitExpires)
 	if held {
-		return TrialAnswer{Standing: standing, Again: permitPollInterval}
+		return PermitResponse{Standing: standing, Again: permitPollInterval}
 	}
 	found.permitHolder = trial.Request
 	found.permitExpires = now.Add(trial.Lease)
-	return TrialAnswer{Allowed: true, Standing: standing}
+	return PermitResponse{Allowed: true, Standing: standing}
 }
 
 // Home returns the index of the member that grants the permits for a digest, or -1 if there
--- a/core/decision/dogwoodtopology/topology_test.go
+++ b/core/decision/dogwoodtopology/topology_test.go
@@ -75,7 +75,7 @@
 	for _, topology := range []Topology{Mesh{}, Ring{}, Hypercube{}} {
 		for _, count := range []int{8, 25, 500} {
 			lost := map[int]bool{random.IntN(count): true}
-			got := Weigh(topology, count, lost).Flood.Reached
+			got := ComputeLoad(topology, count, lost).Flood.Reached
 			if got != 1 {
 				t.Errorf("%s of %d with %v lost (seed %d): reached got %v, want 1", topology.Name(), count, lost, seed, got)
 			}
@@ -128,7 +128,7 @@
 					for len(lost) < losses {
 						lost[random.IntN(count)] = true
 					}
-					load := Weigh(topology, count, lost)
+					load := ComputeLoad(topology, count, lost)
 					for b.Loop() {
 						topology.Neighbours(count/2, count)
 					}
--- a/core/decision/dogwoodtopology/weigh.go
+++ b/core/decision/dogwoodtopology/weigh.go
@@ -34,7 +34,7 @@
 // Weigh computes the load of a topology with count members, some of which are lost. Lost members
 // are still in every member's list, as in the seconds before a loss is detected, but neither
 // forward nor answer.
-func Weigh(topology Topology, count int, lost map[int]bool) Load {
+func ComputeLoad(topology Topology, count int, lost map[int]bool) Load {
 	load := Load{Topology: topology.Name(), Members: count, Lost: len(lost)}
 	present := 0
 	for member := range count {
--- a/core/decision/dogwoodwaiting/waiting.go
+++ b/core/decision/dogwoodwaiting/waiting.go
@@ -83,7 +83,7 @@
 }
 
 // Borne returns how much longer the caller waits for the first event before it gives up.
-func Borne(now time.Time, request *Request) time.Duration {
+func CallerTimeLeft(now time.Time, request *Request) time.Duration {
 	untilDeadline := request.Deadline.Sub(now)
 	if request.Pause <= 0 || request.Begun {
 		return untilDeadline
@@ -98,7 +98,7 @@
 }
 
 // Patience returns how much longer the request may wait for a slot.
-func Patience(now time.Time, request *Request) time.Duration {
+func MaxWait(now time.Time, request *Request) time.Duration {
 	maxWait := time.Duration(deadlineShare * float64(request.Deadline.Sub(now)))
 	switch {
 	case request.Pause <= 0:
--- a/core/decision/dogwoodwaiting/waiting_test.go
+++ b/core/decision/dogwoodwaiting/waiting_test.go
@@ -43,7 +43,7 @@
 		{"rest of an answer, as long as a pause is tolerated", Request{Arrived: now.Add(-5 * time.Second), Deadline: now.Add(5 * time.Second), Aim: 300 * time.Millisecond, Pause: 250 * time.Millisecond, Begun: true}, 2 * time.Second},
 	}
 	for _, test := range tests {
-		if got := Patience(now, &test.request); got != test.want {
+		if got := MaxWait(now, &test.request); got != test.want {
 			t.Errorf("%s: got %s, want %s", test.name, got, test.want)
 		}
 	}
@@ -52,7 +52,7 @@
 func TestBorne(t *testing.T) {
 	now := time.Now()
 	request := Request{Arrived: now.Add(-time.Second), Deadline: now.Add(14 * time.Second), Aim: 3 * time.Second, Pause: time.Second}
-	if got, want := Borne(now, &request), 11*time.Second; got != want {
+	if got, want := CallerTimeLeft(now, &request), 11*time.Second; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
 }
--- a/core/dogwoodburnreport/report_test.go
+++ b/core/dogwoodburnreport/report_test.go
@@ -38,7 +38,7 @@
 			ledger.Record(reportTime.Add(time.Duration(minute-60)*time.Minute), outcome, objectives)
 		}
 	}
-	report := dogwoodburn.Make(reportTime, text, []dogwoodburn.Snapshot{ledger.Snapshot(reportTime, time.Time{})})
+	report := dogwoodburn.NewReport(reportTime, text, []dogwoodburn.Snapshot{ledger.Snapshot(reportTime, time.Time{})})
 	report.Daemons = []dogwoodburn.Daemon{{VM: "entry-1", Instance: "0191c2f4", Until: reportTime}}
 	report.Missing = []dogwoodburn.Missing{{VM: "entry-2", Why: "does not answer"}}
 	return &report
--- a/core/dogwooddaemon/admin.go
+++ b/core/dogwooddaemon/admin.go
@@ -21,7 +21,7 @@
 )
 
 func init() {
-	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginAdmin, []string{pluginPlatform, pluginChanges, pluginMembers, pluginBurn, pluginOwner}, startAdmin))
+	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginAdmin, []string{pluginPlatform, pluginChanges, pluginMembers, pluginBurn, pluginOwner}, startAdmin))
 }
 
 const (
@@ -34,7 +34,7 @@
 
 // startAdmin serves operators' requests even while the daemon isn't ready to serve callers,
 // because operators need its status then.
-func startAdmin(ctx context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*http.Server], error) {
+func startAdmin(ctx context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.ValuePart[*http.Server], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
 	members := dogwoodkernel.Need[members](&needs, pluginMembers)
@@ -67,7 +67,7 @@
 		ErrorLog: logger.StandardLogger(&hclog.StandardLoggerOptions{ForceLevel: hclog.Debug}),
 	}
 	serveHTTP(kernel, pluginAdmin, server, listener)
-	return &dogwoodkernel.Made[*http.Server]{Value: server, OnStop: func(ctx context.Context) error {
+	return &dogwoodkernel.ValuePart[*http.Server]{Value: server, OnStop: func(ctx context.Context) error {
 		if err := server.Shutdown(ctx); err != nil {
 			return errors.Join(Error.Wrap(err), server.Close())
 		}
@@ -87,7 +87,7 @@
 	view := overview.changes.Current()
 	status := dogwoodadminapi.Status{
 		Version: view.Version, TextVersion: view.TextVersion, Provisional: len(view.Provisional),
-		OutDataCentres: view.OutDataCentres, OutVMs: view.OutVMs, StoreReachable: overview.platform.TablesAnswer(),
+		OutDataCentres: view.OutDataCentres, OutVMs: view.OutVMs, StoreReachable: overview.platform.TablesReachable(),
 	}
 	for _, reported := range overview.changes.duty.Statuses(ctx) {
 		status.Version = max(status.Version, reported.Version)
--- a/core/dogwooddaemon/burn.go
+++ b/core/dogwooddaemon/burn.go
@@ -8,10 +8,10 @@
 )
 
 func init() {
-	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginBurn, []string{pluginPeer, pluginChanges, pluginMembers}, startBurn))
+	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginBurn, []string{pluginPeer, pluginChanges, pluginMembers}, startBurn))
 }
 
-func startBurn(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*dogwoodburnkeeper.Keeper], error) {
+func startBurn(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.ValuePart[*dogwoodburnkeeper.Keeper], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	peer := dogwoodkernel.Need[*peerRPC](&needs, pluginPeer)
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
@@ -32,7 +32,7 @@
 		return nil, Error.Wrap(err)
 	}
 	kernel.Go("burn", keeper.Run)
-	return &dogwoodkernel.Made[*dogwoodburnkeeper.Keeper]{Value: keeper, OnStop: func(ctx context.Context) error {
+	return &dogwoodkernel.ValuePart[*dogwoodburnkeeper.Keeper]{Value: keeper, OnStop: func(ctx context.Context) error {
 		if ctx.Err() == nil {
 			keeper.Exchange(ctx)
 		}
--- a/core/dogwooddaemon/caller.go
+++ b/core/dogwooddaemon/caller.go
@@ -14,7 +14,7 @@
 )
 
 func init() {
-	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginCaller, []string{pluginDispatch, pluginBurn}, startCaller))
+	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginCaller, []string{pluginDispatch, pluginBurn}, startCaller))
 }
 
 // entryTTL is how long callers may use the addresses that they were given. A daemon that
@@ -22,7 +22,7 @@
 // takes at least this time. A caller may also use the address of a dead daemon for this long.
 const entryTTL = 5 * time.Second
 
-func startCaller(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*dogwoodcaller.Edge], error) {
+func startCaller(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.ValuePart[*dogwoodcaller.Edge], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	dispatcher := dogwoodkernel.Need[*dogwooddispatch.Dispatcher](&needs, pluginDispatch)
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
@@ -35,7 +35,7 @@
 		Place: environment.place, Text: changes.Text, Dispatcher: dispatcher,
 		Entries: entries{members: members, place: environment.place}, Record: burn.Record, Logger: kernel.Named(pluginCaller),
 	})
-	return &dogwoodkernel.Made[*dogwoodcaller.Edge]{Value: edge}, nil
+	return &dogwoodkernel.ValuePart[*dogwoodcaller.Edge]{Value: edge}, nil
 }
 
 // entries chooses the addresses that callers are given.
--- a/core/dogwooddaemon/changes.go
+++ b/core/dogwooddaemon/changes.go
@@ -13,7 +13,7 @@
 )
 
 func init() {
-	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginChanges, []string{pluginPeer, pluginPlatform, pluginMembers}, startChanges))
+	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginChanges, []string{pluginPeer, pluginPlatform, pluginMembers}, startChanges))
 }
 
 // changes is the log of the operators' changes and the duty that propagates them.
@@ -22,7 +22,7 @@
 	duty *dogwoodchanges.Duty
 }
 
-func startChanges(_ context.Context, kernel *dogwoodkernel.Kernel, _ *environment) (*dogwoodkernel.Made[*changes], error) {
+func startChanges(_ context.Context, kernel *dogwoodkernel.Kernel, _ *environment) (*dogwoodkernel.ValuePart[*changes], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	platform := dogwoodkernel.Need[*dogwoodplatform.Client](&needs, pluginPlatform)
 	peer := dogwoodkernel.Need[*peerRPC](&needs, pluginPeer)
@@ -37,7 +37,7 @@
 		return nil, Error.Wrap(err)
 	}
 	kernel.Go("changes", duty.Run)
-	return &dogwoodkernel.Made[*changes]{Value: &changes{Log: log, duty: duty}}, nil
+	return &dogwoodkernel.ValuePart[*changes]{Value: &changes{Log: log, duty: duty}}, nil
 }
 
 // Submit submits a change and returns once another daemon has it too.
--- a/core/dogwooddaemon/claims.go
+++ b/core/dogwooddaemon/claims.go
@@ -11,10 +11,10 @@
 )
 
 func init() {
-	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginClaims, []string{pluginPlatform, pluginPeer, pluginMembers}, startClaims))
+	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginClaims, []string{pluginPlatform, pluginPeer, pluginMembers}, startClaims))
 }
 
-func startClaims(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*dogwoodclaim.Claims], error) {
+func startClaims(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.ValuePart[*dogwoodclaim.Claims], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	platform := dogwoodkernel.Need[*dogwoodplatform.Client](&needs, pluginPlatform)
 	members := dogwoodkernel.Need[members](&needs, pluginMembers)
@@ -24,14 +24,14 @@
 	}
 	claims := dogwoodclaim.New(dogwoodclaim.Options{
 		Store: platform, Objects: platform, Self: environment.instance, Logger: kernel.Named(pluginClaims),
-		Alive:     members.AliveInstance,
-		Witnesses: dogwoodwitness.New(dogwoodwitness.Options{Members: members.Members, Caller: peer, KeepFor: dogwoodclaim.DefaultKeepFor}),
+		Alive: members.AliveInstance,
+		Peers: dogwoodwitness.New(dogwoodwitness.Options{Members: members.Members, Caller: peer, KeepFor: dogwoodclaim.DefaultKeepFor}),
 	})
 	if err := peer.server.Register(dogwoodwitness.Name, dogwoodwitness.NewReceiver(claims, members.Members)); err != nil {
 		return nil, Error.Wrap(err)
 	}
 	kernel.Go("claims", claims.Run)
-	return &dogwoodkernel.Made[*dogwoodclaim.Claims]{Value: claims, OnStop: func(ctx context.Context) error {
+	return &dogwoodkernel.ValuePart[*dogwoodclaim.Claims]{Value: claims, OnStop: func(ctx context.Context) error {
 		return awaitPostponed(ctx, claims)
 	}}, nil
 }
--- a/core/dogwooddaemon/daemon.go
+++ b/core/dogwooddaemon/daemon.go
@@ -178,7 +178,7 @@
 
 // MembersAlive returns how many daemons are alive in this daemon's view, including itself.
 func (daemon *Daemon) MembersAlive() int {
-	members, err := dogwoodkernel.Use[members](daemon.kernel, pluginMembers)
+	members, err := dogwoodkernel.ValueOf[members](daemon.kernel, pluginMembers)
 	if err != nil {
 		return 0
 	}
@@ -187,6 +187,6 @@
 
 // Serves reports whether the daemon is ready and the operators' text in force has a service.
 func (daemon *Daemon) Serves() bool {
-	changes, err := dogwoodkernel.Use[*changes](daemon.kernel, pluginChanges)
+	changes, err := dogwoodkernel.ValueOf[*changes](daemon.kernel, pluginChanges)
 	return err == nil && changes.ready() && len(changes.Text().Services) > 0
 }
--- a/core/dogwooddaemon/dispatch.go
+++ b/core/dogwooddaemon/dispatch.go
@@ -13,10 +13,10 @@
 )
 
 func init() {
-	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginDispatch, []string{pluginOwner, pluginClaims, pluginQuotas}, startDispatch))
+	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginDispatch, []string{pluginOwner, pluginClaims, pluginQuotas}, startDispatch))
 }
 
-func startDispatch(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*dogwooddispatch.Dispatcher], error) {
+func startDispatch(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.ValuePart[*dogwooddispatch.Dispatcher], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	ownership := dogwoodkernel.Need[*ownership](&needs, pluginOwner)
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
@@ -31,7 +31,7 @@
 		Engines: dispatchEngines{client: client}, Services: dispatchServices{client: ownership.serviceClient}, Claims: dispatchClaims{claims: claims},
 		Down: ownership.owners.Down, Logger: kernel.Named(pluginDispatch),
 	})
-	return &dogwoodkernel.Made[*dogwooddispatch.Dispatcher]{Value: dispatcher}, nil
+	return &dogwoodkernel.ValuePart[*dogwooddispatch.Dispatcher]{Value: dispatcher}, nil
 }
 
 // dispatchClaims adapts the claims and their outcomes to the dispatcher.
--- a/core/dogwooddaemon/engine.go
+++ b/core/dogwooddaemon/engine.go
@@ -13,12 +13,12 @@
 )
 
 func init() {
-	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginEngine, nil, startEngine))
+	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginEngine, nil, startEngine))
 }
 
-func startEngine(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*dogwoodengine.Client], error) {
+func startEngine(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.ValuePart[*dogwoodengine.Client], error) {
 	client := dogwoodengine.New(dogwoodengine.Options{Dial: environment.network.DialContext, Logger: kernel.Logger})
-	return &dogwoodkernel.Made[*dogwoodengine.Client]{Value: client, OnStop: func(ctx context.Context) error {
+	return &dogwoodkernel.ValuePart[*dogwoodengine.Client]{Value: client, OnStop: func(ctx context.Context) error {
 		client.Close(ctx)
 		return nil
 	}}, nil
@@ -83,8 +83,8 @@
 }
 
 // Do sends a call to a plain service.
-func (services dispatchServices) Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, call dogwooddispatch.ServiceOrder) (*dogwooddispatch.ServiceAnswer, error) {
-	response, err := services.client.Do(ctx, endpoint, dogwoodservice.Order{ //nolint:bodyclose // the dispatcher closes it
+func (services dispatchServices) Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, call dogwooddispatch.ServiceRequest) (*dogwooddispatch.ServiceAnswer, error) {
+	response, err := services.client.Do(ctx, endpoint, dogwoodservice.Request{ //nolint:bodyclose // the dispatcher closes it
 		ID: call.ID, Method: call.Method, Target: call.Target, Header: call.Header, Body: call.Body,
 	})
 	if err == nil {
--- a/core/dogwooddaemon/members.go
+++ b/core/dogwooddaemon/members.go
@@ -16,7 +16,7 @@
 )
 
 func init() {
-	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginMembers, []string{pluginPeer, pluginPlatform}, startMembers))
+	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginMembers, []string{pluginPeer, pluginPlatform}, startMembers))
 }
 
 // members lists the live daemons and the endpoints.
@@ -33,7 +33,7 @@
 	members []dogwooddispatch.Member
 }
 
-func startMembers(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[members], error) {
+func startMembers(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.ValuePart[members], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	platform := dogwoodkernel.Need[*dogwoodplatform.Client](&needs, pluginPlatform)
 	peer := dogwoodkernel.Need[*peerRPC](&needs, pluginPeer)
@@ -55,7 +55,7 @@
 	}
 	environment.leaveHooks.add(duty.Leave)
 	kernel.Go("membership", duty.Run)
-	return &dogwoodkernel.Made[members]{Value: members{Members: memberList, alive: &atomic.Pointer[aliveCache]{}}}, nil
+	return &dogwoodkernel.ValuePart[members]{Value: members{Members: memberList, alive: &atomic.Pointer[aliveCache]{}}}, nil
 }
 
 // neighbours selects a daemon's neighbours: all daemons while there are few, else some of them.
--- a/core/dogwooddaemon/orders.go
+++ b/core/dogwooddaemon/orders.go
@@ -15,10 +15,10 @@
 )
 
 func init() {
-	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginOrders, []string{pluginPlatform, pluginChanges, pluginMembers, pluginEngine}, startOrders))
+	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginOrders, []string{pluginPlatform, pluginChanges, pluginMembers, pluginEngine}, startOrders))
 }
 
-func startOrders(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*dogwoodorders.Duty], error) {
+func startOrders(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.ValuePart[*dogwoodorders.Duty], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	platform := dogwoodkernel.Need[*dogwoodplatform.Client](&needs, pluginPlatform)
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
@@ -29,7 +29,7 @@
 	}
 	logger := kernel.Named(pluginOrders)
 	leases := dogwoodlease.New(dogwoodlease.Options{
-		Store: platform, Self: environment.instance, LongestOrder: dogwoodorders.LongestOrder, Logger: logger,
+		Store: platform, Self: environment.instance, OrderTimeout: dogwoodorders.OrderTimeout, Logger: logger,
 	})
 	duty := dogwoodorders.New(dogwoodorders.Options{
 		Self:      environment.instance,
@@ -43,7 +43,7 @@
 	})
 	kernel.Go("leases", leases.Run)
 	kernel.Go("orders", duty.Run)
-	return &dogwoodkernel.Made[*dogwoodorders.Duty]{Value: duty, OnStop: leases.Release}, nil
+	return &dogwoodkernel.ValuePart[*dogwoodorders.Duty]{Value: duty, OnStop: leases.Release}, nil
 }
 
 // stayingInstances lists the live daemons that aren't shutting down.
--- a/core/dogwooddaemon/owner.go
+++ b/core/dogwooddaemon/owner.go
@@ -11,7 +11,7 @@
 )
 
 func init() {
-	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginOwner, []string{pluginPeer, pluginChanges, pluginMembers, pluginEngine}, startOwner))
+	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginOwner, []string{pluginPeer, pluginChanges, pluginMembers, pluginEngine}, startOwner))
 }
 
 // ownership holds this daemon's owner and the clients for the owners of other daemons and
@@ -22,7 +22,7 @@
 	serviceClient *dogwoodservice.Client
 }
 
-func startOwner(ctx context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*ownership], error) {
+func startOwner(ctx context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.ValuePart[*ownership], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	peer := dogwoodkernel.Need[*peerRPC](&needs, pluginPeer)
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
@@ -48,10 +48,10 @@
 	if err := peer.server.Register("Owner", dogwooddispatch.NewReceiver(ctx, started.owners)); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	kernel.Go("own endpoints", started.owners.KeepOwned)
-	kernel.Go("renew grants", started.owners.KeepGrants)
-	kernel.Go("expire grants", started.owners.KeepExpired)
-	kernel.Go("probe dependencies", started.owners.KeepProbing)
+	kernel.Go("own endpoints", started.owners.RunOwnedUpdates)
+	kernel.Go("renew grants", started.owners.RunRenewals)
+	kernel.Go("expire grants", started.owners.RunExpiry)
+	kernel.Go("probe dependencies", started.owners.RunProbes)
 	kernel.Go("apply lifted convictions", func(ctx context.Context) error {
 		return changes.applyLifts(ctx, started.local.LiftConviction)
 	})
@@ -63,7 +63,7 @@
 		}
 		return nil
 	})
-	return &dogwoodkernel.Made[*ownership]{Value: started, OnStop: func(context.Context) error {
+	return &dogwoodkernel.ValuePart[*ownership]{Value: started, OnStop: func(context.Context) error {
 		started.owners.Wait()
 		return nil
 	}}, nil
--- a/core/dogwooddaemon/peer.go
+++ b/core/dogwooddaemon/peer.go
@@ -10,7 +10,7 @@
 )
 
 func init() {
-	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginPeer, nil, startPeer))
+	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginPeer, nil, startPeer))
 }
 
 // peerRPC is the client and the server for the calls between daemons.
@@ -19,7 +19,7 @@
 	server *dogwoodpeer.Server
 }
 
-func startPeer(ctx context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*peerRPC], error) {
+func startPeer(ctx context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.ValuePart[*peerRPC], error) {
 	dialer := dogwoodpeer.DialerFunc(func(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
 		return environment.network.DialContext(ctx, "tcp", address.String())
 	})
@@ -28,7 +28,7 @@
 		Client: dogwoodpeer.NewClient(ctx, environment.peerKey, dialer, logger),
 		server: dogwoodpeer.NewServer(environment.peerKey, logger),
 	}
-	return &dogwoodkernel.Made[*peerRPC]{Value: peer, OnStop: func(context.Context) error {
+	return &dogwoodkernel.ValuePart[*peerRPC]{Value: peer, OnStop: func(context.Context) error {
 		peer.Close()
 		return nil
 	}}, nil
--- a/core/dogwooddaemon/platform.go
+++ b/core/dogwooddaemon/platform.go
@@ -9,10 +9,10 @@
 )
 
 func init() {
-	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginPlatform, nil, startPlatform))
+	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginPlatform, nil, startPlatform))
 }
 
-func startPlatform(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*dogwoodplatform.Client], error) {
+func startPlatform(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.ValuePart[*dogwoodplatform.Client], error) {
 	platform := environment.settings.Platform
 	key := ""
 	if platform.Key != (dogwoodsettings.Secret{}) {
@@ -26,5 +26,5 @@
 		Tables: platform.Tables, Objects: platform.Objects, VMs: platform.VMs, Weights: platform.Weights,
 		Key: key, Dialer: environment.network, Logger: kernel.Named(pluginPlatform),
 	})
-	return &dogwoodkernel.Made[*dogwoodplatform.Client]{Value: client}, nil
+	return &dogwoodkernel.ValuePart[*dogwoodplatform.Client]{Value: client}, nil
 }
--- a/core/dogwooddaemon/quotas.go
+++ b/core/dogwooddaemon/quotas.go
@@ -8,10 +8,10 @@
 )
 
 func init() {
-	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginQuotas, []string{pluginPeer, pluginChanges, pluginMembers}, startQuotas))
+	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginQuotas, []string{pluginPeer, pluginChanges, pluginMembers}, startQuotas))
 }
 
-func startQuotas(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*dogwoodquotas.Quotas], error) {
+func startQuotas(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.ValuePart[*dogwoodquotas.Quotas], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	peer := dogwoodkernel.Need[*peerRPC](&needs, pluginPeer)
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
@@ -34,5 +34,5 @@
 		return nil, Error.Wrap(err)
 	}
 	kernel.Go("report quotas", quotas.Keep)
-	return &dogwoodkernel.Made[*dogwoodquotas.Quotas]{Value: quotas}, nil
+	return &dogwoodkernel.ValuePart[*dogwoodquotas.Quotas]{Value: quotas}, nil
 }
--- a/core/dogwooddaemon/reconcile.go
+++ b/core/dogwooddaemon/reconcile.go
@@ -15,10 +15,10 @@
 )
 
 func init() {
-	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginReconcile, []string{pluginOwner, pluginMembers}, startReconcile))
+	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginReconcile, []string{pluginOwner, pluginMembers}, startReconcile))
 }
 
-func startReconcile(_ context.Context, kernel *dogwoodkernel.Kernel, _ *environment) (*dogwoodkernel.Made[*dogwoodreconcile.Duty], error) {
+func startReconcile(_ context.Context, kernel *dogwoodkernel.Kernel, _ *environment) (*dogwoodkernel.ValuePart[*dogwoodreconcile.Duty], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	ownership := dogwoodkernel.Need[*ownership](&needs, pluginOwner)
 	client := dogwoodkernel.Need[*dogwoodengine.Client](&needs, pluginEngine)
@@ -33,7 +33,7 @@
 		Logger:  kernel.Named(pluginReconcile),
 	})
 	kernel.Go("reconcile", duty.Run)
-	return &dogwoodkernel.Made[*dogwoodreconcile.Duty]{Value: duty}, nil
+	return &dogwoodkernel.ValuePart[*dogwoodreconcile.Duty]{Value: duty}, nil
 }
 
 // reconcileOwner is the local owner, with load reports sent through the directory of owners.
@@ -96,12 +96,12 @@
 }
 
 // Cache queries an engine for the cache events after a sequence number.
-func (engines reconcileEngines) Cache(ctx context.Context, endpoint dogwoodfleet.Endpoint, after uint64) (dogwoodreconcile.Cache, error) {
+func (engines reconcileEngines) Cache(ctx context.Context, endpoint dogwoodfleet.Endpoint, after uint64) (dogwoodreconcile.CacheReport, error) {
 	answer, gap, err := engines.client.CacheEvents(ctx, endpoint, after)
 	if err != nil {
-		return dogwoodreconcile.Cache{}, Error.Wrap(err)
+		return dogwoodreconcile.CacheReport{}, Error.Wrap(err)
 	}
-	cache := dogwoodreconcile.Cache{Instance: answer.Instance, Gap: gap, Last: answer.Last}
+	cache := dogwoodreconcile.CacheReport{Instance: answer.Instance, Gap: gap, Last: answer.Last}
 	for _, event := range answer.Events {
 		if event.Kind == dogwoodengine.CacheCleared {
 			// Earlier events no longer apply, as after a gap; later ones do.
--- a/core/dogwooddaemon/serve.go
+++ b/core/dogwooddaemon/serve.go
@@ -12,12 +12,12 @@
 )
 
 func init() {
-	dogwoodkernel.Register(dogwoodkernel.MakePlugin(pluginServe, []string{pluginCaller, pluginAdmin, pluginReconcile, pluginOrders}, startServe))
+	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginServe, []string{pluginCaller, pluginAdmin, pluginReconcile, pluginOrders}, startServe))
 }
 
 // startServe listens on the daemon's addresses, after the plug-ins that handle the requests
 // are started.
-func startServe(ctx context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.Made[*http.Server], error) {
+func startServe(ctx context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.ValuePart[*http.Server], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	edge := dogwoodkernel.Need[*dogwoodcaller.Edge](&needs, pluginCaller)
 	peer := dogwoodkernel.Need[*peerRPC](&needs, pluginPeer)
@@ -45,7 +45,7 @@
 			return Error.Wrap(listener.Close())
 		}
 	})
-	return &dogwoodkernel.Made[*http.Server]{Value: server, OnStop: func(ctx context.Context) error {
+	return &dogwoodkernel.ValuePart[*http.Server]{Value: server, OnStop: func(ctx context.Context) error {
 		return drain(ctx, server)
 	}}, nil
 }
--- a/core/dogwooddaemon/suspects.go
+++ b/core/dogwooddaemon/suspects.go
@@ -22,7 +22,7 @@
 
 // Trial sends a permit request to the digest's home, the daemon that grants the permits to
 // run the suspect, and returns the answer. The home may be this daemon.
-func (peers *suspectPeers) Trial(ctx context.Context, trial dogwoodsuspect.Trial) (dogwoodsuspect.TrialAnswer, error) {
+func (peers *suspectPeers) RequestPermit(ctx context.Context, trial dogwoodsuspect.PermitRequest) (dogwoodsuspect.PermitResponse, error) {
 	alive := peers.members.Alive()
 	instances := make([]dogwoodfleet.InstanceID, len(alive))
 	for i, member := range alive {
@@ -32,13 +32,13 @@
 	if home < 0 || alive[home].Instance == peers.self {
 		return peers.ownership.local.Judge(trial), nil
 	}
-	var answer dogwoodsuspect.TrialAnswer
+	var answer dogwoodsuspect.PermitResponse
 	err := peers.peer.Call(ctx, alive[home].Peer, "Owner.Judge", trial, &answer)
 	return answer, Error.Wrap(err)
 }
 
 // Spread sends notices to all other owners.
-func (peers *suspectPeers) Spread(ctx context.Context, notices []dogwoodsuspect.Notice) {
+func (peers *suspectPeers) Notify(ctx context.Context, notices []dogwoodsuspect.Notice) {
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentNotices)
 	for _, member := range peers.members.Alive() {
--- a/core/dogwoodkernel/parts.go
+++ b/core/dogwoodkernel/parts.go
@@ -3,14 +3,14 @@
 import "context"
 
 // Made is a part that provides a value of type T to other plug-ins.
-type Made[T any] struct {
+type ValuePart[T any] struct {
 	Value T
 	// OnStop stops the part. It may be nil.
 	OnStop func(ctx context.Context) error
 }
 
 // Stop calls OnStop if it is set.
-func (made *Made[T]) Stop(ctx context.Context) error {
+func (made *ValuePart[T]) Stop(ctx context.Context) error {
 	if made.OnStop == nil {
 		return nil
 	}
@@ -18,8 +18,8 @@
 }
 
 // Use returns the value that the named plug-in provides.
-func Use[T any](kernel *Kernel, name string) (T, error) {
-	part, err := PartOf[*Made[T]](kernel, name)
+func ValueOf[T any](kernel *Kernel, name string) (T, error) {
+	part, err := PartOf[*ValuePart[T]](kernel, name)
 	if err != nil {
 		var zero T
 		return zero, err
@@ -37,7 +37,7 @@
 // Need returns the value that the named plug-in provides. If there is none, it returns a
 // zero value and sets needs.Err.
 func Need[T any](needs *Needs, name string) T {
-	value, err := Use[T](needs.Kernel, name)
+	value, err := ValueOf[T](needs.Kernel, name)
 	if needs.Err == nil {
 		needs.Err = err
 	}
@@ -45,7 +45,7 @@
 }
 
 // MakePlugin returns a plug-in that provides a T, from kernel settings of type S.
-func MakePlugin[S, T any](name string, needs []string, start func(ctx context.Context, kernel *Kernel, settings S) (*Made[T], error)) Plugin {
+func NewPlugin[S, T any](name string, needs []string, start func(ctx context.Context, kernel *Kernel, settings S) (*ValuePart[T], error)) Plugin {
 	return Plugin{
 		Name:  name,
 		Needs: needs,
--- a/core/dogwoodlog/writer.go
+++ b/core/dogwoodlog/writer.go
@@ -51,7 +51,7 @@
 
 // New returns a Writer. Only Run writes to the target.
 func New(target io.Writer) *Writer {
-	return &Writer{ring: dogwoodring.New[[]byte]("Log", ringLines, dogwoodring.Refuse), target: target}
+	return &Writer{ring: dogwoodring.New[[]byte]("Log", ringLines, dogwoodring.Reject), target: target}
 }
 
 // Write queues a line. It never fails: if the ring is full, the line is counted as dropped.
--- a/core/dogwoodring/ring.go
+++ b/core/dogwoodring/ring.go
@@ -17,7 +17,7 @@
 // The behaviors of a full ring.
 const (
 	// Refuse keeps the queued values and rejects the new one; Put returns false.
-	Refuse WhenFull = iota
+	Reject WhenFull = iota
 	// DropOldest drops the value queued longest.
 	DropOldest
 	// Wait blocks the writer until there is room. Use it only with PutWait.
--- a/core/dogwoodsettings/checktext.go
+++ b/core/dogwoodsettings/checktext.go
@@ -17,11 +17,11 @@
 	// multiple of it.
 	LongestDeadline = 6 * time.Hour
 	// MostInFlight bounds ColdLimit and WarmLimit.
-	MostInFlight = 100_000
+	MaxInFlight = 100_000
 	// MostReplicas bounds Replicas of one model.
-	MostReplicas = 100_000
+	MaxReplicas = 100_000
 	// MostWeight bounds a customer's weight.
-	MostWeight = 10_000
+	MaxWeight = 10_000
 	// digestBytes is the length of a SHA-256 digest.
 	digestBytes = 32
 )
@@ -95,11 +95,11 @@
 }
 
 func checkLimits(report *report, path string, service *Service) {
-	if service.ColdLimit < 1 || service.ColdLimit > MostInFlight {
-		report.add(path+".ColdLimit", "must be from 1 to %d", MostInFlight)
+	if service.ColdLimit < 1 || service.ColdLimit > MaxInFlight {
+		report.add(path+".ColdLimit", "must be from 1 to %d", MaxInFlight)
 	}
-	if service.WarmLimit < service.ColdLimit || service.WarmLimit > MostInFlight {
-		report.add(path+".WarmLimit", "must be from ColdLimit (%d) to %d", service.ColdLimit, MostInFlight)
+	if service.WarmLimit < service.ColdLimit || service.WarmLimit > MaxInFlight {
+		report.add(path+".WarmLimit", "must be from ColdLimit (%d) to %d", service.ColdLimit, MaxInFlight)
 	}
 }
 
@@ -116,8 +116,8 @@
 			report.add(modelPath+".Name", "%q is listed twice", model.Name)
 		}
 		seen[model.Name] = true
-		if model.Replicas < 1 || model.Replicas > MostReplicas {
-			report.add(modelPath+".Replicas", "must be from 1 to %d", MostReplicas)
+		if model.Replicas < 1 || model.Replicas > MaxReplicas {
+			report.add(modelPath+".Replicas", "must be from 1 to %d", MaxReplicas)
 		}
 		if model.MaxPromptTokens < 0 {
 			report.add(modelPath+".MaxPromptTokens", "must not be below 0")
@@ -238,8 +238,8 @@
 }
 
 func checkCustomerLimits(report *report, path string, customer *Customer) {
-	if customer.Weight <= 0 || customer.Weight > MostWeight {
-		report.add(path+".Weight", "must be above 0 and at most %d", MostWeight)
+	if customer.Weight <= 0 || customer.Weight > MaxWeight {
+		report.add(path+".Weight", "must be above 0 and at most %d", MaxWeight)
 	}
 	if customer.RequestsPerSecond < 0 {
 		report.add(path+".RequestsPerSecond", "must not be below 0; 0 means no limit")
--- a/core/duty/dogwoodboard/board.go
+++ b/core/duty/dogwoodboard/board.go
@@ -210,7 +210,7 @@
 	if duty.isLeaf() && duty.view.isFresh(time.Now()) {
 		daemons = duty.options.Expected()
 	}
-	duty.options.Board.SetSeen(daemons, duty.options.Expected())
+	duty.options.Board.SetVisibleDaemons(daemons, duty.options.Expected())
 }
 
 func (duty *Duty) isLeaf() bool {
@@ -240,7 +240,7 @@
 func (duty *Duty) Requests(now time.Time) map[dogwoodfleet.InstanceID]int {
 	duty.mutex.Lock()
 	defer duty.mutex.Unlock()
-	requests := map[dogwoodfleet.InstanceID]int{duty.options.Self: duty.options.Board.OwnSent(now)}
+	requests := map[dogwoodfleet.InstanceID]int{duty.options.Self: duty.options.Board.RecentOwnSends(now)}
 	for instance := range duty.links {
 		requests[instance] = duty.peerReports[instance].requests
 	}
@@ -248,7 +248,7 @@
 }
 
 // Place assigns a request to an endpoint and announces the work.
-func (duty *Duty) Place(now time.Time, ask *dogwoodpacking.Ask) (dogwoodpacking.Placement, dogwoodpacking.Refusal) {
+func (duty *Duty) Place(now time.Time, ask *dogwoodpacking.PlacementRequest) (dogwoodpacking.Placement, dogwoodpacking.Refusal) {
 	if duty.isLeaf() && ask.Prompt > 0 {
 		duty.view.request(now)
 	}
@@ -286,8 +286,8 @@
 // Paced records a short pause between two events of an engine's answer. The resulting pace is
 // announced: otherwise each daemon would have to send a few requests to an engine that has
 // become slow before it detects that.
-func (duty *Duty) Paced(endpoint dogwoodfleet.EndpointID, pause time.Duration) {
-	pace := duty.options.Board.Paced(endpoint, pause)
+func (duty *Duty) RecordPace(endpoint dogwoodfleet.EndpointID, pause time.Duration) {
+	pace := duty.options.Board.RecordPace(endpoint, pause)
 	if pace <= 0 {
 		return
 	}
@@ -314,8 +314,8 @@
 }
 
 // Other reports whether the service has an endpoint in force that is not in ask.Avoid.
-func (duty *Duty) Other(ask *dogwoodpacking.Ask) bool {
-	return duty.options.Board.Other(ask)
+func (duty *Duty) HasOtherEndpoint(ask *dogwoodpacking.PlacementRequest) bool {
+	return duty.options.Board.HasOtherEndpoint(ask)
 }
 
 // Serves reports whether a peer recently announced that it serves callers.
--- a/core/duty/dogwoodboard/board_test.go
+++ b/core/duty/dogwoodboard/board_test.go
@@ -164,7 +164,7 @@
 
 func (node *node) placePrompt(id string, tokens int) {
 	now := time.Now()
-	node.duty.Place(now, &dogwoodpacking.Ask{ID: dogwoodpacking.WorkID(id), Service: "s", Prompt: tokens, Until: now.Add(10 * time.Second)})
+	node.duty.Place(now, &dogwoodpacking.PlacementRequest{ID: dogwoodpacking.WorkID(id), Service: "s", Prompt: tokens, Until: now.Add(10 * time.Second)})
 }
 
 // visibleWork returns how much work at the endpoint is on the node's board: it counts the slots
@@ -172,7 +172,7 @@
 func (node *node) visibleWork() int {
 	now, free := time.Now(), 0
 	for ; ; free++ {
-		ask := &dogwoodpacking.Ask{ID: dogwoodpacking.WorkID(fmt.Sprintf("probe%d", free)), Service: "s", Until: now.Add(time.Second)}
+		ask := &dogwoodpacking.PlacementRequest{ID: dogwoodpacking.WorkID(fmt.Sprintf("probe%d", free)), Service: "s", Until: now.Add(time.Second)}
 		if _, refusal := node.board.Place(now, ask); refusal != dogwoodpacking.Placed {
 			break
 		}
@@ -371,11 +371,11 @@
 			})
 		}
 		for range 5 {
-			nodes[0].duty.Paced("slow", 5*engine.Pass(1, 0))
+			nodes[0].duty.RecordPace("slow", 5*engine.PassTime(1, 0))
 			time.Sleep(2 * announceInterval)
 		}
 		for i, node := range nodes {
-			ask := &dogwoodpacking.Ask{
+			ask := &dogwoodpacking.PlacementRequest{
 				ID: dogwoodpacking.WorkID(fmt.Sprint("draft", i)), Service: "models", Prompt: 3_000, Answer: 100,
 				Aim: 300 * time.Millisecond, Pause: 250 * time.Millisecond, Until: time.Now().Add(time.Minute),
 			}
--- a/core/duty/dogwoodboard/leafview.go
+++ b/core/duty/dogwoodboard/leafview.go
@@ -98,5 +98,5 @@
 	}
 	duty.view.setFetched(now)
 	duty.updateVisible(len(peers) + 1)
-	duty.options.Board.Replace(now, works)
+	duty.options.Board.ReplacePeerWork(now, works)
 }
--- a/core/duty/dogwoodboard/link.go
+++ b/core/duty/dogwoodboard/link.go
@@ -148,7 +148,7 @@
 		batch.Leaves = duty.options.Leaves()
 	}
 	now := time.Now()
-	batch.Requests = duty.options.Board.OwnSent(now)
+	batch.Requests = duty.options.Board.RecentOwnSends(now)
 	for _, work := range works {
 		batch.Items = append(batch.Items, newItem(work, now))
 	}
--- a/core/duty/dogwoodboard/news_test.go
+++ b/core/duty/dogwoodboard/news_test.go
@@ -49,7 +49,7 @@
 				t.Errorf("hub %d: got %d requests, want 1", i, got)
 			}
 		}
-		if got := nodes[1].board.Works("x"); len(got) != 1 || got[0].ID != "leaf" {
+		if got := nodes[1].board.WorkExcept("x"); len(got) != 1 || got[0].ID != "leaf" {
 			t.Errorf("got %v at the other hub, want only the leaf's second request", got)
 		}
 	})
@@ -73,7 +73,7 @@
 			for i, node := range nodes {
 				placedAt := map[dogwoodfleet.EndpointID]int{}
 				for number := range 10 {
-					ask := &dogwoodpacking.Ask{ID: dogwoodpacking.WorkID(fmt.Sprint(i, number)), Service: "s", Until: time.Now().Add(time.Second)}
+					ask := &dogwoodpacking.PlacementRequest{ID: dogwoodpacking.WorkID(fmt.Sprint(i, number)), Service: "s", Until: time.Now().Add(time.Second)}
 					placement, _ := node.board.Place(time.Now(), ask)
 					placedAt[placement.Endpoint.ID]++
 				}
--- a/core/duty/dogwoodboard/receiver.go
+++ b/core/duty/dogwoodboard/receiver.go
@@ -41,7 +41,7 @@
 		board.Avoid(now, avoid.Endpoint, avoid.For)
 	}
 	for _, pace := range batch.Paces {
-		board.PeerPaced(pace.Endpoint, pace.Pace)
+		board.RecordPeerPace(pace.Endpoint, pace.Pace)
 	}
 	*reply = true
 	return nil
@@ -92,7 +92,7 @@
 // View returns to a leaf the work of all other daemons.
 func (receiver *Receiver) View(leaf dogwoodfleet.InstanceID, view *View) error {
 	now := time.Now()
-	for _, work := range receiver.duty.options.Board.Works(leaf) {
+	for _, work := range receiver.duty.options.Board.WorkExcept(leaf) {
 		view.Items = append(view.Items, newItem(work, now))
 	}
 	return nil
--- a/core/duty/dogwoodburnkeeper/keeper.go
+++ b/core/duty/dogwoodburnkeeper/keeper.go
@@ -114,7 +114,7 @@
 // Exchange sends the changed counters to the peers that hold this daemon's copies. A daemon
 // that stops calls it once more, so that a graceful stop loses no counts.
 func (keeper *Keeper) Exchange(ctx context.Context) {
-	for _, member := range Keepers(keeper.options.Self, keeper.options.Members()) {
+	for _, member := range CopyHolders(keeper.options.Self, keeper.options.Members()) {
 		if err := keeper.send(ctx, member); err != nil {
 			keeper.options.Logger.Debug("failed to send a copy to a peer", "vm", member.VM, "error", err)
 		}
@@ -139,7 +139,7 @@
 
 // Keepers returns the members that hold the copies of self's counters. These are the ones that
 // follow it in the order of VM names, so that copies are spread evenly over the daemons.
-func Keepers(self Member, members []Member) []Member {
+func CopyHolders(self Member, members []Member) []Member {
 	others := slices.DeleteFunc(slices.Clone(members), func(member Member) bool { return member.VM == self.VM })
 	slices.SortFunc(others, func(a, b Member) int {
 		return compareAfter(self.VM, a.VM, b.VM)
--- a/core/duty/dogwoodburnkeeper/keeper_test.go
+++ b/core/duty/dogwoodburnkeeper/keeper_test.go
@@ -38,7 +38,7 @@
 	if method == "Burn.Keep" {
 		return keeper.Service().Keep(args.(dogwoodburn.Snapshot), reply.(*Kept))
 	}
-	return keeper.Service().Holdings(args.(Ask), reply.(*Holdings))
+	return keeper.Service().Holdings(args.(HoldingsArgs), reply.(*Holdings))
 }
 
 func member(vm dogwoodfleet.VM, instance dogwoodfleet.InstanceID, port uint16) Member {
@@ -153,7 +153,7 @@
 	}
 	for _, test := range tests {
 		var got []dogwoodfleet.VM
-		for _, keeper := range Keepers(Member{VM: test.self}, members) {
+		for _, keeper := range CopyHolders(Member{VM: test.self}, members) {
 			got = append(got, keeper.VM)
 		}
 		if !slices.Equal(got, test.want) {
--- a/core/duty/dogwoodburnkeeper/report.go
+++ b/core/duty/dogwoodburnkeeper/report.go
@@ -38,7 +38,7 @@
 	for _, source := range sources {
 		snapshots = append(snapshots, source.snapshot)
 	}
-	report := dogwoodburn.Make(now, text, snapshots)
+	report := dogwoodburn.NewReport(now, text, snapshots)
 	for _, source := range sources {
 		report.Daemons = append(report.Daemons, source.daemon())
 	}
@@ -56,7 +56,7 @@
 			callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 			defer cancel()
 			answers[i].member = member
-			answers[i].err = keeper.options.Caller.Call(callCtx, member.Peer, "Burn.Holdings", Ask{}, &answers[i].holdings)
+			answers[i].err = keeper.options.Caller.Call(callCtx, member.Peer, "Burn.Holdings", HoldingsArgs{}, &answers[i].holdings)
 			return nil
 		})
 	}
--- a/core/duty/dogwoodburnkeeper/service.go
+++ b/core/duty/dogwoodburnkeeper/service.go
@@ -20,7 +20,7 @@
 type Kept struct{}
 
 // Ask is the empty argument of Service.Holdings.
-type Ask struct{}
+type HoldingsArgs struct{}
 
 // Holdings are a daemon's own counters and its copies of other daemons' counters.
 type Holdings struct {
@@ -35,7 +35,7 @@
 }
 
 // Holdings returns the daemon's own counters and the copies that it holds.
-func (service *Service) Holdings(_ Ask, holdings *Holdings) error {
+func (service *Service) Holdings(_ HoldingsArgs, holdings *Holdings) error {
 	*holdings = service.keeper.holdings(time.Now())
 	return nil
 }
--- a/core/duty/dogwoodchanges/changes.go
+++ b/core/duty/dogwoodchanges/changes.go
@@ -207,7 +207,7 @@
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	current := duty.options.Log.Current()
-	ask := Ask{Version: current.Version, Provisional: len(current.Provisional)}
+	ask := ExchangeRequest{Version: current.Version, Provisional: len(current.Provisional)}
 	var told Told
 	if err := duty.options.Caller.Call(ctx, peer, Name+".Exchange", ask, &told); err != nil {
 		return false, Error.Wrap(err)
@@ -281,7 +281,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	duty.options.Log.KeepProvisional(ctx)
+	duty.options.Log.StoreProvisional(ctx)
 }
 
 func (duty *Duty) aliveOthers() []dogwoodmember.Member {
--- a/core/duty/dogwoodchanges/receiver.go
+++ b/core/duty/dogwoodchanges/receiver.go
@@ -5,7 +5,7 @@
 )
 
 // Ask is the query of an exchange: it holds the state of the daemon that sends it.
-type Ask struct {
+type ExchangeRequest struct {
 	Version     uint64
 	Provisional int
 }
@@ -35,7 +35,7 @@
 }
 
 // Exchange returns the changes that the querying daemon lacks.
-func (receiver *Receiver) Exchange(ask Ask, told *Told) error {
+func (receiver *Receiver) Exchange(ask ExchangeRequest, told *Told) error {
 	told.News = receiver.duty.options.Log.Since(ask.Version)
 	select {
 	case <-receiver.duty.ready:
--- a/core/duty/dogwooddispatch/choose.go
+++ b/core/duty/dogwooddispatch/choose.go
@@ -18,7 +18,7 @@
 	firstBlock uint64
 }
 
-func (owners *Owners) chooser(ask *dogwoodowner.Ask) *chooser {
+func (owners *Owners) chooser(ask *dogwoodowner.AcquireRequest) *chooser {
 	chooser := &chooser{owners: owners, groups: owners.ownership().groupsServing(ask.Request.Service, ask.Request.Model)}
 	if owners.options.Policy == dogwoodowner.PolicyBaseline {
 		groups := chooser.groups
--- a/core/duty/dogwooddispatch/choose_bench_test.go
+++ b/core/duty/dogwooddispatch/choose_bench_test.go
@@ -49,7 +49,7 @@
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("%d daemons, %d endpoints", size.daemons, size.endpoints), func(b *testing.B) {
 			owners := newBenchOwners(newBenchMembers(size.daemons, size.endpoints))
-			ask := dogwoodowner.Ask{Request: dogwoodfleet.Request{Service: "pool", Blocks: []uint64{7}}}
+			ask := dogwoodowner.AcquireRequest{Request: dogwoodfleet.Request{Service: "pool", Blocks: []uint64{7}}}
 			b.ReportAllocs()
 			for b.Loop() {
 				chooser := owners.chooser(&ask)
--- a/core/duty/dogwooddispatch/dispatch.go
+++ b/core/duty/dogwooddispatch/dispatch.go
@@ -55,7 +55,7 @@
 }
 
 // PromptAnswer receives a model's answer while it is generated.
-type PromptAnswer interface {
+type PromptAnswerWriter interface {
 	// Event receives the next chunk. An error means that the caller has disconnected.
 	Event(event Event) error
 	// Begun reports whether a byte of the answer may have reached the caller. From then on
@@ -97,7 +97,7 @@
 }
 
 // ServiceOrder is a call to a plain service.
-type ServiceOrder struct {
+type ServiceRequest struct {
 	ID     dogwoodfleet.RequestID
 	Method string
 	Target string
@@ -115,14 +115,14 @@
 // Services sends calls to plain services, each at most once. Its errors are *NotStarted
 // and *Broken.
 type Services interface {
-	Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, order ServiceOrder) (*ServiceAnswer, error)
+	Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, order ServiceRequest) (*ServiceAnswer, error)
 }
 
 // Slots assigns requests to slots at endpoints.
 type Slots interface {
 	// Acquire waits for a grant. It sets ask.Request.ID to the ID under which the slot was
 	// granted, since it may send several acquire requests. The error is a *dogwoodowner.Refusal.
-	Acquire(ctx context.Context, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error)
+	Acquire(ctx context.Context, ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error)
 	// ToldCold notifies the owner of an endpoint that reported at the start of an answer
 	// that it is cold.
 	ToldCold(ctx context.Context, endpoint dogwoodfleet.Endpoint, instance dogwoodfleet.InstanceID)
--- a/core/duty/dogwooddispatch/dispatch_test.go
+++ b/core/duty/dogwooddispatch/dispatch_test.go
@@ -38,7 +38,7 @@
 	fakes.log = append(fakes.log, fmt.Sprintf(format, arguments...))
 }
 
-func (fakes *fakes) Acquire(_ context.Context, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error) {
+func (fakes *fakes) Acquire(_ context.Context, ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
 	if fakes.refuse != nil && ask.Try >= fakes.refuseFrom {
 		return dogwoodowner.Grant{}, fakes.refuse
 	}
@@ -52,7 +52,7 @@
 
 func (fakes *fakes) ToldCold(context.Context, dogwoodfleet.Endpoint, dogwoodfleet.InstanceID) {}
 
-func (fakes *fakes) Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, _ ServiceOrder) (*ServiceAnswer, error) {
+func (fakes *fakes) Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, _ ServiceRequest) (*ServiceAnswer, error) {
 	fakes.record("send %s", endpoint.ID)
 	var err error
 	if len(fakes.script) > 0 {
--- a/core/duty/dogwooddispatch/fallback.go
+++ b/core/duty/dogwooddispatch/fallback.go
@@ -64,7 +64,7 @@
 }
 
 // acquireFallback grants a slot from this daemon's share.
-func (owners *Owners) acquireFallback(ask *dogwoodowner.Ask) (dogwoodowner.Grant, bool) {
+func (owners *Owners) acquireFallback(ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, bool) {
 	service, ok := owners.options.Text().Service(ask.Request.Service)
 	if !ok {
 		return dogwoodowner.Grant{}, false
--- a/core/duty/dogwooddispatch/gangs.go
+++ b/core/duty/dogwooddispatch/gangs.go
@@ -97,7 +97,7 @@
 }
 
 // Acquire acquires a slot for a gang member from the owner of its engine.
-func (gangs *Gangs) Acquire(ctx context.Context, endpoint dogwoodfleet.Endpoint, ask dogwoodowner.Ask) (dogwoodowner.Grant, error) {
+func (gangs *Gangs) Acquire(ctx context.Context, endpoint dogwoodfleet.Endpoint, ask dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
 	gangs.markFull(endpoint.ID)
 	member, ok := gangs.Owners.ownerOf(&endpoint)
 	if !ok {
--- a/core/duty/dogwooddispatch/hedge.go
+++ b/core/duty/dogwooddispatch/hedge.go
@@ -38,7 +38,7 @@
 // becomes the request's ID if it is granted. With a shared ID, the end of the acquire request
 // that wasn't granted would count as the end of the request. That matters most for a suspect,
 // of which only one copy may run at a time.
-func (owners *Owners) acquireHedged(ctx context.Context, member Member, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error) {
+func (owners *Owners) acquireHedged(ctx context.Context, member Member, ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
 	if owners.options.Policy == dogwoodowner.PolicyBaseline || dogwoodadmission.ClassOf(ask.Request.PromptTokens).Long() {
 		return owners.acquireFrom(ctx, member, *ask)
 	}
@@ -75,7 +75,7 @@
 	}
 }
 
-func (owners *Owners) acquireInBackground(ctx context.Context, member Member, ask dogwoodowner.Ask, results chan<- acquireResult) {
+func (owners *Owners) acquireInBackground(ctx context.Context, member Member, ask dogwoodowner.AcquireRequest, results chan<- acquireResult) {
 	started := owners.runInBackground(func() {
 		grant, err := owners.acquireFrom(ctx, member, ask)
 		results <- acquireResult{member: member, request: ask.Request.ID, grant: grant, err: err}
@@ -100,7 +100,7 @@
 
 // idleOwner returns the nearest owner, and among equally near ones the least loaded, that has
 // free slots and isn't the excluded one.
-func (owners *Owners) idleOwner(ask *dogwoodowner.Ask, excluded Member) (Member, bool) {
+func (owners *Owners) idleOwner(ask *dogwoodowner.AcquireRequest, excluded Member) (Member, bool) {
 	groups := owners.ownership().groupsServing(ask.Request.Service, ask.Request.Model)
 	loads := owners.loads(groups, ask.Request.Service)
 	best := -1
--- a/core/duty/dogwooddispatch/hedge_test.go
+++ b/core/duty/dogwooddispatch/hedge_test.go
@@ -37,7 +37,7 @@
 		return ctx.Err()
 	}
 	time.Sleep(slow.grantsAfter)
-	reply.(*AcquireReply).Grant = dogwoodowner.Grant{ID: dogwoodowner.GrantID{Owner: args.(dogwoodowner.Ask).Holder, Number: 9}}
+	reply.(*AcquireReply).Grant = dogwoodowner.Grant{ID: dogwoodowner.GrantID{Owner: args.(dogwoodowner.AcquireRequest).Holder, Number: 9}}
 	return nil
 }
 
@@ -77,7 +77,7 @@
 				})
 				owners.updateOwned()
 				time.Sleep(dogwoodowner.SettleTimeout)
-				ask := &dogwoodowner.Ask{Request: dogwoodfleet.Request{
+				ask := &dogwoodowner.AcquireRequest{Request: dogwoodfleet.Request{
 					ID: "r", Service: "pool", PromptTokens: test.tokens, MaxTokens: 10, Deadline: time.Now().Add(30 * time.Second),
 				}, Holder: self.Instance, Budget: 30 * time.Second}
 				if _, err := owners.acquireHedged(t.Context(), slowMember, ask); err != nil {
--- a/core/duty/dogwooddispatch/owners.go
+++ b/core/duty/dogwooddispatch/owners.go
@@ -127,7 +127,7 @@
 
 // Acquire sends an acquire request to the owners that have suitable endpoints, best first,
 // until one grants a slot. It sets ask.Request.ID to the ID under which the slot was granted.
-func (owners *Owners) Acquire(ctx context.Context, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error) {
+func (owners *Owners) Acquire(ctx context.Context, ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
 	for {
 		grant, err := owners.acquireOnce(ctx, ask)
 		if err == nil {
@@ -159,7 +159,7 @@
 // acquireOnce sends an acquire request to up to maxOwnersAsked owners, not counting those that
 // turn out to have no endpoint in force. The error is the last refusal, or the transport error
 // if no owner answered.
-func (owners *Owners) acquireOnce(ctx context.Context, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error) {
+func (owners *Owners) acquireOnce(ctx context.Context, ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
 	var transportErr error
 	refusal := &dogwoodowner.Refusal{Reason: dogwoodfleet.ReasonNoEndpoint, NotRun: true, RetryAfter: time.Second, Detail: "no endpoint of the service is in force"}
 	refused := false
@@ -215,7 +215,7 @@
 	}
 }
 
-func (owners *Owners) acquireFrom(ctx context.Context, member Member, ask dogwoodowner.Ask) (dogwoodowner.Grant, error) {
+func (owners *Owners) acquireFrom(ctx context.Context, member Member, ask dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
 	if member.Instance == owners.options.Self {
 		return owners.options.Local.Acquire(ctx, ask)
 	}
@@ -250,7 +250,7 @@
 	})
 }
 
-func (owners *Owners) hold(ask *dogwoodowner.Ask, grant dogwoodowner.Grant) {
+func (owners *Owners) hold(ask *dogwoodowner.AcquireRequest, grant dogwoodowner.Grant) {
 	owners.mutex.Lock()
 	defer owners.mutex.Unlock()
 	parts := grant.Parts()
@@ -414,7 +414,7 @@
 		if report.MemoryTokens > 0 && endpoint.Kind == dogwoodfleet.EnginePool {
 			endpoint.MemoryTokens = report.MemoryTokens
 			endpoint.Models, endpoint.Adapters = report.Models, report.Adapters
-			engines = append(engines, owners.options.Local.Lendable(endpoint))
+			engines = append(engines, owners.options.Local.GangEngine(endpoint))
 		}
 	}
 	return engines
--- a/core/duty/dogwooddispatch/prompt.go
+++ b/core/duty/dogwooddispatch/prompt.go
@@ -12,13 +12,13 @@
 
 // Prompt runs a model request and forwards its events to the answer as they arrive. A nil error
 // means that the answer is complete. Any error is a *Failure.
-func (dispatcher *Dispatcher) Prompt(ctx context.Context, call *Call, answer PromptAnswer) error {
+func (dispatcher *Dispatcher) Prompt(ctx context.Context, call *Call, answer PromptAnswerWriter) error {
 	return dispatcher.serve(ctx, call, func(ctx context.Context, grant dogwoodowner.Grant, request *dogwoodfleet.Request) outcome {
 		return dispatcher.tryPrompt(ctx, call, answer, grant, request)
 	})
 }
 
-func (dispatcher *Dispatcher) tryPrompt(ctx context.Context, call *Call, answer PromptAnswer, grant dogwoodowner.Grant, request *dogwoodfleet.Request) outcome {
+func (dispatcher *Dispatcher) tryPrompt(ctx context.Context, call *Call, answer PromptAnswerWriter, grant dogwoodowner.Grant, request *dogwoodfleet.Request) outcome {
 	answer.Restart()
 	sent := time.Now()
 	stream, err := dispatcher.options.Engines.Start(ctx, grant.Endpoint, Run{
@@ -49,7 +49,7 @@
 
 // forward copies a stream's events to the answer until the stream ends or the caller
 // disconnects. It returns the outcome, the time to the first token and the number of events.
-func forward(ctx context.Context, stream Stream, answer PromptAnswer, sent time.Time) (result outcome, firstToken time.Duration, count int) {
+func forward(ctx context.Context, stream Stream, answer PromptAnswerWriter, sent time.Time) (result outcome, firstToken time.Duration, count int) {
 	for {
 		event, err := stream.Next(ctx)
 		if errors.Is(err, io.EOF) {
--- a/core/duty/dogwooddispatch/receiver.go
+++ b/core/duty/dogwooddispatch/receiver.go
@@ -56,7 +56,7 @@
 }
 
 // Acquire waits for a slot.
-func (receiver *Receiver) Acquire(ask dogwoodowner.Ask, reply *AcquireReply) error {
+func (receiver *Receiver) Acquire(ask dogwoodowner.AcquireRequest, reply *AcquireReply) error {
 	ctx, cancel := receiver.withBudget(ask.Budget)
 	defer cancel()
 	receiver.mutex.Lock()
@@ -133,7 +133,7 @@
 }
 
 // Judge responds to a permit request for a suspect whose home is this daemon.
-func (receiver *Receiver) Judge(trial dogwoodsuspect.Trial, reply *dogwoodsuspect.TrialAnswer) error {
+func (receiver *Receiver) Judge(trial dogwoodsuspect.PermitRequest, reply *dogwoodsuspect.PermitResponse) error {
 	*reply = receiver.owner.Judge(trial)
 	return nil
 }
--- a/core/duty/dogwooddispatch/service.go
+++ b/core/duty/dogwooddispatch/service.go
@@ -47,7 +47,7 @@
 
 func (dispatcher *Dispatcher) tryService(ctx context.Context, call *Call, grant dogwoodowner.Grant, request *dogwoodfleet.Request) (*WholeAnswer, outcome) {
 	sent := time.Now()
-	response, err := dispatcher.options.Services.Do(ctx, grant.Endpoint, ServiceOrder{
+	response, err := dispatcher.options.Services.Do(ctx, grant.Endpoint, ServiceRequest{
 		ID: request.ID, Method: call.Method, Target: call.Target, Header: call.Header, Body: call.Body,
 	})
 	if err != nil {
--- a/core/duty/dogwooddispatch/tries.go
+++ b/core/duty/dogwooddispatch/tries.go
@@ -61,7 +61,7 @@
 		failure := contextFailure(ctx, dogwoodfleet.NotRun)
 		return dogwoodowner.Grant{}, &dogwoodowner.Refusal{Reason: failure.Reason, NotRun: true, Detail: failure.Detail}
 	}
-	ask := dogwoodowner.Ask{Request: *request, Holder: dispatcher.options.Self, Avoid: avoid, Try: tryNumber, Budget: budget}
+	ask := dogwoodowner.AcquireRequest{Request: *request, Holder: dispatcher.options.Self, Avoid: avoid, Try: tryNumber, Budget: budget}
 	grant, err := dispatcher.options.Slots.Acquire(ctx, &ask)
 	request.ID = ask.Request.ID
 	return grant, err
--- a/core/duty/dogwooddispatch/upkeep.go
+++ b/core/duty/dogwooddispatch/upkeep.go
@@ -27,14 +27,14 @@
 )
 
 // KeepGrants renews the grants held by this daemon until the context ends.
-func (owners *Owners) KeepGrants(ctx context.Context) error {
+func (owners *Owners) RunRenewals(ctx context.Context) error {
 	return runEvery(ctx, renewInterval, owners.renewGrants)
 }
 
 // KeepOwned updates the local owner's list of owned endpoints until the context ends. Changes
 // are applied immediately. An owner with an outdated list would refuse work for a VM or data
 // centre that was brought back, and grant work in one that was taken out.
-func (owners *Owners) KeepOwned(ctx context.Context) error {
+func (owners *Owners) RunOwnedUpdates(ctx context.Context) error {
 	ticker := time.NewTicker(ownedUpdateInterval)
 	defer ticker.Stop()
 	for {
@@ -51,12 +51,12 @@
 
 // KeepExpired expires grants whose holders are gone and cancels their streams, until the
 // context ends.
-func (owners *Owners) KeepExpired(ctx context.Context) error {
+func (owners *Owners) RunExpiry(ctx context.Context) error {
 	return runEvery(ctx, renewInterval, owners.expireGrants)
 }
 
 // KeepProbing probes the endpoints of services that others depend on, until the context ends.
-func (owners *Owners) KeepProbing(ctx context.Context) error {
+func (owners *Owners) RunProbes(ctx context.Context) error {
 	return runEvery(ctx, probeInterval, owners.probe)
 }
 
--- a/core/duty/dogwoodhub/duty.go
+++ b/core/duty/dogwoodhub/duty.go
@@ -29,7 +29,7 @@
 	// Hubs returns the listed hubs.
 	Hubs(ctx context.Context) ([]dogwoodhubs.Daemon, error)
 	// Offer adds this daemon to the list and removes the hubs on the silent VMs, which did not answer.
-	Offer(ctx context.Context, silent []dogwoodfleet.VM) error
+	Register(ctx context.Context, silent []dogwoodfleet.VM) error
 	// Withdraw removes this daemon from the list.
 	Withdraw(ctx context.Context) error
 }
@@ -43,7 +43,7 @@
 	Leaf       *Leaf
 	// BeHub runs this daemon as a hub until the context ends or the hub is spare. It returns
 	// ErrSpare in the latter case.
-	BeHub  func(ctx context.Context) error
+	RunHub func(ctx context.Context) error
 	Logger hclog.Logger
 }
 
@@ -115,7 +115,7 @@
 				hubs = known // this daemon can't reach the store, so it can't read the list
 				continue
 			}
-		case errors.Is(reason, ErrAlone):
+		case errors.Is(reason, ErrNoHub):
 			found, err := duty.becomeHubIfNone(ctx, hubs)
 			if err != nil {
 				return err
@@ -164,7 +164,7 @@
 
 // joinDelay returns how long this daemon waits for a larger one to become a hub.
 func (duty *Duty) joinDelay() time.Duration {
-	return dogwoodkernel.Jittered(dogwoodhubs.JoinPause(duty.options.Self.Cores))
+	return dogwoodkernel.Jittered(dogwoodhubs.JoinDelay(duty.options.Self.Cores))
 }
 
 func (duty *Duty) isListed(hubs []dogwoodhubs.Daemon) bool {
@@ -200,9 +200,9 @@
 	}
 	duty.options.Logger.Info("Now a hub.", "silent", len(silent))
 	duty.setHub(true)
-	err = duty.options.BeHub(ctx)
+	err = duty.options.RunHub(ctx)
 	duty.setHub(false)
-	if !errors.Is(err, ErrSpare) {
+	if !errors.Is(err, ErrNotNeeded) {
 		return true, Error.Wrap(err)
 	}
 	duty.options.Logger.Info("Now a leaf: the other hubs suffice.")
@@ -215,9 +215,9 @@
 // offer adds this daemon to the list and retries once: the first hubs of a fleet conflict when
 // they create the key of their connections.
 func (duty *Duty) offer(ctx context.Context, silent []dogwoodfleet.VM) error {
-	err := duty.options.List.Offer(ctx, silent)
+	err := duty.options.List.Register(ctx, silent)
 	if err == nil || !dogwoodkernel.Sleep(ctx, dogwoodkernel.Jittered(offerRetryPause)) {
 		return err
 	}
-	return duty.options.List.Offer(ctx, silent)
+	return duty.options.List.Register(ctx, silent)
 }
--- a/core/duty/dogwoodhub/fleet_test.go
+++ b/core/duty/dogwoodhub/fleet_test.go
@@ -77,8 +77,8 @@
 	return version, tables.clock() - confirmed
 }
 
-func (tables *tables) Feed(table string, answer dogwoodcopy.Answer) {
-	tables.copies[table].Take(answer, false)
+func (tables *tables) Apply(table string, answer dogwoodcopy.Answer) {
+	tables.copies[table].Apply(answer, false)
 }
 
 func newTestFleet(t *testing.T, centres, large, small int) *testFleet {
@@ -110,11 +110,11 @@
 	node.self.Instance = dogwoodfleet.InstanceID(fmt.Sprintf("%s.%d", node.self.VM, node.starts))
 	self, known := node.self, node.tables
 	leaf := NewLeaf(LeafOptions{
-		Self: func() dogwoodhubs.Daemon { return self }, Caller: node, Feed: known, Names: tableNames, Clock: known.clock, Logger: hclog.NewNullLogger(),
+		Self: func() dogwoodhubs.Daemon { return self }, Caller: node, Feed: known, TableNames: tableNames, Clock: known.clock, Logger: hclog.NewNullLogger(),
 	})
 	duty := New(Options{
 		Self: self, FirstStart: node.starts == 1, List: node, Leaf: leaf, Logger: hclog.NewNullLogger(),
-		BeHub: func(ctx context.Context) error { return node.runHub(ctx, self, known) },
+		RunHub: func(ctx context.Context) error { return node.runHub(ctx, self, known) },
 	})
 	node.group.Go(func() { _ = duty.Run(ctx) })
 }
@@ -137,7 +137,7 @@
 // runHub runs a hub that answers leaves and reads the store twice a second.
 func (node *node) runHub(ctx context.Context, self dogwoodhubs.Daemon, known *tables) error {
 	hub := NewHub(HubOptions{
-		Self: self, Tables: known, Names: tableNames, Clock: known.clock, Hubs: node.fleet.hubs, OtherLeaves: node.otherLeaves,
+		Self: self, Tables: known, TableNames: tableNames, Clock: known.clock, Hubs: node.fleet.hubs, OtherLeaves: node.otherLeaves,
 		Requests: node.fleet.requests, DataCentres: node.fleet.centres(), Logger: hclog.NewNullLogger(),
 	})
 	set := func(hub *Hub) {
@@ -171,7 +171,7 @@
 	}
 	for _, name := range tableNames {
 		before, _ := known.copies[name].Known()
-		known.copies[name].Take(dogwoodcopy.Answer{
+		known.copies[name].Apply(dogwoodcopy.Answer{
 			Whole: before < 0, Rows: []dogwoodcopy.Row{{Key: "row", Version: version}}, Version: version, Proven: known.clock(),
 		}, true)
 	}
@@ -225,7 +225,7 @@
 	}
 	answered := make(chan error, 1)
 	news := new(News) // the caller must not see an answer that arrives after it has given up
-	node.group.Go(func() { answered <- hub.Receiver().Follow(args.(Question), news) })
+	node.group.Go(func() { answered <- hub.Receiver().Follow(args.(FollowRequest), news) })
 	select {
 	case err := <-answered:
 		time.Sleep(time.Millisecond)
@@ -264,7 +264,7 @@
 	return node.storeRejects
 }
 
-func (node *node) Offer(_ context.Context, silent []dogwoodfleet.VM) error {
+func (node *node) Register(_ context.Context, silent []dogwoodfleet.VM) error {
 	if node.isRejected() {
 		return errors.New("rejected")
 	}
--- a/core/duty/dogwoodhub/hub.go
+++ b/core/duty/dogwoodhub/hub.go
@@ -17,7 +17,7 @@
 )
 
 // ErrSpare is returned by Hub.Run when the hub is no longer needed.
-var ErrSpare = errors.New("this hub is not needed any more")
+var ErrNotNeeded = errors.New("this hub is not needed any more")
 
 const (
 	// checkInterval is how often a hub checks its leaves and the other hubs.
@@ -59,8 +59,8 @@
 	Tables Tables
 	// Names are the tables that leaves may follow, at most two. Each confirmation of the first
 	// counts as an update.
-	Names []string
-	Clock dogwoodfreshness.Clock
+	TableNames []string
+	Clock      dogwoodfreshness.Clock
 	// Hubs returns the hubs that are alive, including this one.
 	Hubs func() []dogwoodhubs.Daemon
 	// OtherLeaves returns how many leaves the other hubs have.
@@ -126,7 +126,7 @@
 	defer ticker.Stop()
 	for {
 		if hub.check(time.Now()) {
-			return ErrSpare
+			return ErrNotNeeded
 		}
 		select {
 		case <-ctx.Done():
--- a/core/duty/dogwoodhub/hub_test.go
+++ b/core/duty/dogwoodhub/hub_test.go
@@ -231,11 +231,11 @@
 		hub := fleet.nodes[index].hub
 		tests := []struct {
 			name     string
-			question Question
+			question FollowRequest
 		}{
-			{"empty poll", Question{}},
-			{"unknown tables", Question{Tables: []Position{{Table: "a"}, {Table: "b"}, {Table: "c"}}}},
-			{"future position", Question{Tables: []Position{{Table: tableNames[0], After: 1 << 60, Age: -time.Hour}}}},
+			{"empty poll", FollowRequest{}},
+			{"unknown tables", FollowRequest{Tables: []Position{{Table: "a"}, {Table: "b"}, {Table: "c"}}}},
+			{"future position", FollowRequest{Tables: []Position{{Table: tableNames[0], After: 1 << 60, Age: -time.Hour}}}},
 		}
 		for _, test := range tests {
 			var news News
--- a/core/duty/dogwoodhub/keep_test.go
+++ b/core/duty/dogwoodhub/keep_test.go
@@ -28,7 +28,7 @@
 		return ctx.Err()
 	}
 	caller.calls.Add(1)
-	if args.(Question).Fleet == caller.fleet.Version {
+	if args.(FollowRequest).Fleet == caller.fleet.Version {
 		select {
 		case <-time.After(maxHold):
 		case <-ctx.Done():
@@ -52,7 +52,7 @@
 		caller := &remoteOnlyCaller{fleet: Fleet{Version: 1, Hubs: []dogwoodhubs.Daemon{hub("far", "1", 1), hub("near", "0", 2)}}}
 		tables := newTables()
 		leaf := NewLeaf(LeafOptions{
-			Self: func() dogwoodhubs.Daemon { return hub("self", "0", 3) }, Caller: caller, Feed: tables, Names: tableNames, Clock: tables.clock, Logger: hclog.NewNullLogger(),
+			Self: func() dogwoodhubs.Daemon { return hub("self", "0", 3) }, Caller: caller, Feed: tables, TableNames: tableNames, Clock: tables.clock, Logger: hclog.NewNullLogger(),
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
--- a/core/duty/dogwoodhub/leaf.go
+++ b/core/duty/dogwoodhub/leaf.go
@@ -23,7 +23,7 @@
 	// ErrPromoted means that a hub asked the leaf to become a hub.
 	ErrPromoted = errors.New("promoted to a hub")
 	// ErrAlone means that no hub is listed or that none answered in time.
-	ErrAlone = errors.New("no hub answers")
+	ErrNoHub = errors.New("no hub answers")
 )
 
 const (
@@ -50,7 +50,7 @@
 	// Position returns the version of a table that is known, and the age of its last confirmation.
 	Position(table string) (version int64, age time.Duration)
 	// Feed applies an update of a table.
-	Feed(table string, answer dogwoodcopy.Answer)
+	Apply(table string, answer dogwoodcopy.Answer)
 }
 
 // LeafOptions configure a Leaf.
@@ -60,9 +60,9 @@
 	Caller Caller
 	Feed   Feed
 	// Names are the tables that the leaf follows. The first is the one whose confirmations matter.
-	Names  []string
-	Clock  dogwoodfreshness.Clock
-	Logger hclog.Logger
+	TableNames []string
+	Clock      dogwoodfreshness.Clock
+	Logger     hclog.Logger
 }
 
 // Leaf follows one hub at a time. It is safe for concurrent use.
@@ -116,7 +116,7 @@
 func (leaf *Leaf) Run(ctx context.Context, listed []dogwoodhubs.Daemon) error {
 	leaf.reset()
 	if len(listed) == 0 {
-		return ErrAlone
+		return ErrNoHub
 	}
 	begun, timeout := time.Now(), startSearchTimeout
 	var failed dogwoodfleet.VM // the hub that failed last
@@ -132,7 +132,7 @@
 			continue
 		}
 		if time.Since(begun) > timeout {
-			return ErrAlone
+			return ErrNoHub
 		}
 		failed = "" // it may be back
 		if !dogwoodkernel.Sleep(ctx, dogwoodkernel.Jittered(searchPause)) {
@@ -253,9 +253,9 @@
 
 // poll sends one poll to the hub and feeds the table updates of its answer.
 func (leaf *Leaf) poll(ctx context.Context, hub dogwoodhubs.Daemon, version uint64) (News, error) {
-	question := Question{Leaf: leaf.self(), Fleet: version}
+	question := FollowRequest{Leaf: leaf.self(), Fleet: version}
 	sent, versions := leaf.options.Clock(), map[string]int64{}
-	for _, name := range leaf.options.Names {
+	for _, name := range leaf.options.TableNames {
 		after, age := leaf.options.Feed.Position(name)
 		versions[name] = after
 		question.Tables = append(question.Tables, Position{Table: name, After: after, Age: age})
@@ -266,7 +266,7 @@
 	}
 	for _, table := range news.Tables {
 		if after, wanted := versions[table.Table]; wanted {
-			leaf.options.Feed.Feed(table.Table, table.Heard(sent, after))
+			leaf.options.Feed.Apply(table.Table, table.ToLocalClock(sent, after))
 		}
 	}
 	return news, nil
--- a/core/duty/dogwoodhub/messages.go
+++ b/core/duty/dogwoodhub/messages.go
@@ -49,7 +49,7 @@
 }
 
 // Question is a leaf's poll of its hub. It is also the leaf's heartbeat.
-type Question struct {
+type FollowRequest struct {
 	Leaf   dogwoodhubs.Daemon
 	Tables []Position
 	// Fleet is the version of the list of hubs that the leaf has, 0 for none.
@@ -57,7 +57,7 @@
 }
 
 // TableNews is an update of a table: the changes and the confirmation after the leaf's position.
-type TableNews struct {
+type TableUpdate struct {
 	Table string
 	dogwoodcopy.Told
 }
@@ -72,7 +72,7 @@
 
 // News is a hub's answer to a poll.
 type News struct {
-	Tables []TableNews
+	Tables []TableUpdate
 	// Fleet is nil if the leaf already has this version.
 	Fleet *Fleet
 	// Promoted asks the leaf to become a hub.
--- a/core/duty/dogwoodhub/receiver.go
+++ b/core/duty/dogwoodhub/receiver.go
@@ -23,7 +23,7 @@
 }
 
 // Follow answers as soon as there is an update for the leaf, or after maxHold.
-func (receiver *Receiver) Follow(question Question, news *News) error {
+func (receiver *Receiver) Follow(question FollowRequest, news *News) error {
 	hub := receiver.hub
 	arrived, timer := hub.options.Clock(), time.NewTimer(maxHold)
 	defer timer.Stop()
@@ -53,9 +53,9 @@
 
 // updateFor returns what the hub has and the leaf lacks, whether that must be sent at once, and
 // the signals to wait for otherwise.
-func (hub *Hub) updateFor(question Question, arrived time.Duration) (update News, isUpdate bool, signals signals) {
+func (hub *Hub) updateFor(question FollowRequest, arrived time.Duration) (update News, isUpdate bool, signals signals) {
 	for i, position := range question.Tables[:min(len(question.Tables), len(signals.tables))] {
-		if !slices.Contains(hub.options.Names, position.Table) {
+		if !slices.Contains(hub.options.TableNames, position.Table) {
 			continue // sent by a daemon of another software version
 		}
 		answer, changed, ok := hub.options.Tables.Latest(position.Table, position.After)
@@ -65,7 +65,7 @@
 		}
 		advance := answer.Proven - (arrived - position.Age)
 		isUpdate = isUpdate || answer.Whole || len(answer.Rows) > 0 || i == 0 && advance > minConfirmationStep
-		update.Tables = append(update.Tables, TableNews{Table: position.Table, Told: dogwoodcopy.Tell(answer, arrived)})
+		update.Tables = append(update.Tables, TableUpdate{Table: position.Table, Told: dogwoodcopy.Tell(answer, arrived)})
 	}
 	hub.mutex.Lock()
 	defer hub.mutex.Unlock()
--- a/core/duty/dogwoodmembership/membership.go
+++ b/core/duty/dogwoodmembership/membership.go
@@ -108,7 +108,7 @@
 
 // Beat handles a heartbeat.
 func (receiver *Receiver) Beat(beat dogwoodmember.Beat, reply *dogwoodmember.BeatReply) error {
-	*reply = receiver.members.Hear(beat, time.Now())
+	*reply = receiver.members.ApplyHeartbeat(beat, time.Now())
 	return nil
 }
 
@@ -123,7 +123,7 @@
 	var group sync.WaitGroup
 	defer group.Wait()
 	for {
-		beat, targets := duty.options.Members.NextBeat(time.Now())
+		beat, targets := duty.options.Members.NextHeartbeat(time.Now())
 		for _, target := range targets {
 			if duty.markInFlight(target.Peer) {
 				group.Go(func() {
@@ -133,7 +133,7 @@
 			}
 		}
 		// The jitter spreads out the heartbeats of daemons that started together.
-		timer := time.NewTimer(jittered(dogwoodmember.BeatEvery))
+		timer := time.NewTimer(jittered(dogwoodmember.HeartbeatInterval))
 		select {
 		case <-timer.C:
 		case <-duty.sendNow:
@@ -172,7 +172,7 @@
 		duty.options.Logger.Trace("Heartbeat failed.", "vm", target.VM, "error", err)
 		return
 	}
-	introduction := duty.options.Members.HearReply(reply, time.Now())
+	introduction := duty.options.Members.ApplyReply(reply, time.Now())
 	if introduction.IsEmpty() {
 		return
 	}
@@ -185,7 +185,7 @@
 }
 
 func (duty *Duty) runTicks(ctx context.Context) error {
-	ticker := time.NewTicker(dogwoodmember.TickEvery)
+	ticker := time.NewTicker(dogwoodmember.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/core/duty/dogwoodmembership/membership_test.go
+++ b/core/duty/dogwoodmembership/membership_test.go
@@ -357,8 +357,8 @@
 	other := dogwoodmember.New(dogwoodmember.Options{Self: dogwoodmember.Member{VM: "b", Instance: "b1"}})
 	now := time.Now()
 	members.Introduce(dogwoodmember.Introduction{Members: []dogwoodmember.Member{other.Self()}})
-	beat, _ := other.NextBeat(now)
-	members.Hear(beat, now)
+	beat, _ := other.NextHeartbeat(now)
+	members.ApplyHeartbeat(beat, now)
 	members.Tick(now)
 	tests := []struct {
 		name string
@@ -375,7 +375,7 @@
 			t.Errorf("%s: got %d alive, want %d", test.name, got, test.want)
 		}
 	}
-	for at := 20 * time.Second; at < 24*time.Second; at += dogwoodmember.TickEvery {
+	for at := 20 * time.Second; at < 24*time.Second; at += dogwoodmember.TickInterval {
 		members.Tick(now.Add(at))
 	}
 	if got := len(members.Alive()); got != 1 {
--- a/core/duty/dogwoodorders/orders.go
+++ b/core/duty/dogwoodorders/orders.go
@@ -36,7 +36,7 @@
 	DefaultPeriod = 3 * time.Second
 	// LongestOrder is the timeout for sending one order. A new lease holder waits for this
 	// time before it sends orders to engines that ignore fencing numbers.
-	LongestOrder = 3 * time.Second
+	OrderTimeout = 3 * time.Second
 	// maxConcurrentReports bounds the number of engines queried at the same time.
 	maxConcurrentReports = 32
 )
@@ -75,7 +75,7 @@
 
 // Leases acquires the leases of shards and reports whether this daemon holds them.
 type Leases interface {
-	Want(shards []string)
+	SetWanted(shards []string)
 	Fence(shard string) (dogwoodlease.Fence, error)
 }
 
@@ -157,7 +157,7 @@
 		}
 		duty.reconcileService(ctx, service)
 	}
-	duty.options.Leases.Want(wanted)
+	duty.options.Leases.SetWanted(wanted)
 }
 
 // preferred reports whether this daemon should hold the service's lease. Rendezvous hashing
@@ -227,7 +227,7 @@
 
 // queryEngines queries all endpoints and returns the state of their engines.
 func (duty *Duty) queryEngines(ctx context.Context, endpoints []dogwoodfleet.Endpoint) []dogwoodplacement.Engine {
-	ctx, cancel := context.WithTimeout(ctx, LongestOrder)
+	ctx, cancel := context.WithTimeout(ctx, OrderTimeout)
 	defer cancel()
 	engines := make([]dogwoodplacement.Engine, len(endpoints))
 	var group errgroup.Group
@@ -259,9 +259,9 @@
 	if err != nil || fence.Number != held.fence || !fence.Covers(service.ChecksFencing, time.Now()) {
 		return false
 	}
-	ctx, cancel := context.WithDeadline(ctx, earlier(time.Now().Add(LongestOrder), fence.Until))
+	ctx, cancel := context.WithDeadline(ctx, earlier(time.Now().Add(OrderTimeout), fence.Until))
 	defer cancel()
-	held.planner.Ordered(order, time.Now())
+	held.planner.RecordOrder(order, time.Now())
 	err = duty.options.Engines.Order(ctx, endpoint, fence.Number, order.Wanted)
 	var oldFence *OldFence
 	switch {
--- a/core/duty/dogwoodorders/orders_test.go
+++ b/core/duty/dogwoodorders/orders_test.go
@@ -89,7 +89,7 @@
 	fence dogwoodlease.Fence
 }
 
-func (lease *fakeLease) Want([]string) {}
+func (lease *fakeLease) SetWanted([]string) {}
 
 func (lease *fakeLease) Fence(string) (dogwoodlease.Fence, error) {
 	lease.mutex.Lock()
@@ -162,7 +162,7 @@
 		fleet := newFakeFleet(3)
 		start := time.Now()
 		lease := &fakeLease{}
-		lease.set(dogwoodlease.Fence{Number: 8, Until: start.Add(time.Hour), Unchecked: start.Add(time.Minute)})
+		lease.set(dogwoodlease.Fence{Number: 8, Until: start.Add(time.Hour), UncheckedFrom: start.Add(time.Minute)})
 		run(t, 5*time.Minute, newDuty(fleet, lease, "1"))
 		if got := fleet.loads[0].Sub(start); got < time.Minute {
 			t.Errorf("got the first order after %v, want at least a minute", got)
@@ -201,7 +201,7 @@
 		duty := newDuty(fleet, lease, "1")
 		duty.options.Weights = allowFunc(func() {
 			if len(fleet.orders) == 2 {
-				lease.set(dogwoodlease.Fence{Number: 3, Until: time.Now().Add(time.Hour), Unchecked: time.Now().Add(time.Hour)})
+				lease.set(dogwoodlease.Fence{Number: 3, Until: time.Now().Add(time.Hour), UncheckedFrom: time.Now().Add(time.Hour)})
 			}
 		})
 		run(t, 30*time.Second, duty)
--- a/core/duty/dogwoodowner/acquire.go
+++ b/core/duty/dogwoodowner/acquire.go
@@ -14,7 +14,7 @@
 // waiter is an acquire request that waits for a slot.
 type waiter struct {
 	dogwoodadmission.Work
-	ask      Ask
+	ask      AcquireRequest
 	tokens   int // memory to reserve
 	long     bool
 	suspect  bool
@@ -83,7 +83,7 @@
 
 // Acquire waits until a slot is granted. If no slot will be free in time it returns a
 // *Refusal, at once if that can be predicted. The end of the context withdraws the request.
-func (owner *Owner) Acquire(ctx context.Context, ask Ask) (Grant, error) {
+func (owner *Owner) Acquire(ctx context.Context, ask AcquireRequest) (Grant, error) {
 	deadline := time.Now().Add(ask.Budget)
 	for {
 		granted, refusal := owner.acquire(ctx, ask)
@@ -97,7 +97,7 @@
 	}
 }
 
-func (owner *Owner) acquire(ctx context.Context, ask Ask) (Grant, *Refusal) {
+func (owner *Owner) acquire(ctx context.Context, ask AcquireRequest) (Grant, *Refusal) {
 	waiter, refusal := owner.prepare(ask)
 	switch {
 	case refusal != nil:
@@ -122,7 +122,7 @@
 
 // prepare checks an acquire request and returns its waiter or a refusal; it returns neither if a
 // gang is needed.
-func (owner *Owner) prepare(ask Ask) (*waiter, *Refusal) {
+func (owner *Owner) prepare(ask AcquireRequest) (*waiter, *Refusal) {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	now := time.Now()
@@ -227,7 +227,7 @@
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	if refusal.Reason == dogwoodfleet.ReasonDeadline {
-		waiter.lane.queue.GiveUp(time.Now(), &waiter.Work)
+		waiter.lane.queue.Expire(time.Now(), &waiter.Work)
 	}
 	waiter.lane.remove(waiter)
 	select {
--- a/core/duty/dogwoodowner/benchmark_test.go
+++ b/core/duty/dogwoodowner/benchmark_test.go
@@ -24,7 +24,7 @@
 			}
 			owner.SetEndpoints(endpoints, testText(16, 16))
 			time.Sleep(600 * time.Millisecond) // longer than a new owner's time without grants, on the real clock
-			asks := make([]dogwoodowner.Ask, size.customers)
+			asks := make([]dogwoodowner.AcquireRequest, size.customers)
 			for i := range asks {
 				asks[i] = testRequest(i, time.Minute)
 				asks[i].Request.Customer = dogwoodfleet.Customer(fmt.Sprint("customer-", i))
--- a/core/duty/dogwoodowner/endpoint.go
+++ b/core/duty/dogwoodowner/endpoint.go
@@ -130,13 +130,13 @@
 // serving reports whether ordinary work can be granted as slots become free.
 func (endpoint *endpoint) serving(now time.Time) bool {
 	suspect := endpoint.alone || endpoint.reservation != nil && endpoint.reservation.waiter.suspect
-	return endpoint.description.InForce && !suspect && !now.Before(endpoint.limiter.Opens())
+	return endpoint.description.InForce && !suspect && !now.Before(endpoint.limiter.BlockedUntil())
 }
 
 // ready reports whether the endpoint accepts new grants.
 func (endpoint *endpoint) ready(now time.Time) bool {
 	return endpoint.description.InForce && !endpoint.alone &&
-		!now.Before(endpoint.noGrantsUntil) && !now.Before(endpoint.limiter.Opens())
+		!now.Before(endpoint.noGrantsUntil) && !now.Before(endpoint.limiter.BlockedUntil())
 }
 
 // hasFreeSlot reports whether there is a slot for ordinary work.
@@ -163,7 +163,7 @@
 
 // usableTokens returns the memory that one request may reserve; 0 means unknown.
 func (endpoint *endpoint) usableTokens() int {
-	return endpoint.description.MemoryTokens - endpoint.description.MemoryTokens/dogwoodmemory.ShortPart
+	return endpoint.description.MemoryTokens - endpoint.description.MemoryTokens/dogwoodmemory.GangHeadroomDivisor
 }
 
 // fits reports whether the waiter can be granted a slot now.
--- a/core/duty/dogwoodowner/gang.go
+++ b/core/duty/dogwoodowner/gang.go
@@ -27,7 +27,7 @@
 		Detail: fmt.Sprintf("%d tokens fit no engine and no gang of engines", tokens),
 	}
 	if maxTokens > 0 && maxTokens < tokens {
-		refusal.Detail = (&dogwoodmemory.TooLarge{Tokens: tokens, Most: maxTokens}).Error()
+		refusal.Detail = (&dogwoodmemory.TooLarge{Tokens: tokens, LimitTokens: maxTokens}).Error()
 	}
 	return refusal
 }
@@ -35,20 +35,20 @@
 // maxRequestTokens returns how many tokens a request may have on the engines in force, alone
 // or as a gang.
 func maxRequestTokens(engines []GangEngine) int {
-	rooms := make([]dogwoodmemory.Room, 0, len(engines))
+	rooms := make([]dogwoodmemory.EngineMemory, 0, len(engines))
 	for i := range engines {
 		if engines[i].InForce {
-			rooms = append(rooms, dogwoodmemory.Room{Memory: engines[i].MemoryTokens})
+			rooms = append(rooms, dogwoodmemory.EngineMemory{Memory: engines[i].MemoryTokens})
 		}
 	}
-	return dogwoodmemory.Most(rooms)
+	return dogwoodmemory.MaxRequestTokens(rooms)
 }
 
 // acquireGang acquires several engines, or none, for a prompt that exceeds one. To prevent
 // deadlocks, all owners acquire the members in the order of their IDs: of two gangs that need
 // the same engines, one waits at the first shared engine and holds none of the later ones. The
 // wait is bounded, and if it fails all members acquired so far are released.
-func (owner *Owner) acquireGang(ctx context.Context, ask Ask) (Grant, *Refusal) {
+func (owner *Owner) acquireGang(ctx context.Context, ask AcquireRequest) (Grant, *Refusal) {
 	started := time.Now()
 	request := &ask.Request
 	engines := owner.options.Gangs.Engines(request.Service, request.Model)
@@ -100,7 +100,7 @@
 }
 
 // memberRequest returns the acquire request for one of count members.
-func memberRequest(ask Ask, member dogwoodfleet.EndpointID, count int, spent time.Duration) Ask {
+func memberRequest(ask AcquireRequest, member dogwoodfleet.EndpointID, count int, spent time.Duration) AcquireRequest {
 	ask.Pin = member
 	ask.Budget -= spent
 	ask.Hold = min(ask.Budget, gangHoldTimeout)
@@ -119,7 +119,7 @@
 
 // Lendable returns an owned engine with the memory that a member of a gang could reserve on it
 // at once.
-func (owner *Owner) Lendable(engine dogwoodfleet.Endpoint) GangEngine {
+func (owner *Owner) GangEngine(engine dogwoodfleet.Endpoint) GangEngine {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	gangEngine := GangEngine{Endpoint: engine}
@@ -146,7 +146,7 @@
 	for count := 2; count <= len(eligible); count++ {
 		share := (request.PromptTokens+count-1)/count + (request.MaxTokens+count-1)/count
 		large := slices.DeleteFunc(slices.Clone(eligible), func(engine GangEngine) bool {
-			return share > engine.MemoryTokens-engine.MemoryTokens/dogwoodmemory.ShortPart
+			return share > engine.MemoryTokens-engine.MemoryTokens/dogwoodmemory.GangHeadroomDivisor
 		})
 		if len(large) < count {
 			continue
--- a/core/duty/dogwoodowner/lane.go
+++ b/core/duty/dogwoodowner/lane.go
@@ -127,7 +127,7 @@
 		}
 		waiter := work.Value.(*waiter)
 		if now.After(work.LatestStart()) {
-			lane.queue.GiveUp(now, work)
+			lane.queue.Expire(now, work)
 			waiter.reject(refusalDeadline())
 			continue
 		}
@@ -155,9 +155,9 @@
 		lane.candidateEndpoints = append(lane.candidateEndpoints, state)
 		lane.candidates = append(lane.candidates, dogwoodrouting.Candidate{
 			InFlight: state.running + state.unknownStreams, Limit: state.limit(lane.now),
-			AheadTokens: state.aheadTokens(lane.now),
-			HitTokens:   lane.owner.prefixes.Hits(state.description.ID, request.Blocks) * (dogwoodprefix.BlockBytes / bytesPerToken),
-			PerToken:    state.limiter.PerToken(), Slowness: state.limiter.Slowness(), Measured: state.limiter.Measured(),
+			PendingPromptTokens: state.aheadTokens(lane.now),
+			HitTokens:           lane.owner.prefixes.Hits(state.description.ID, request.Blocks) * (dogwoodprefix.BlockBytes / bytesPerToken),
+			PerToken:            state.limiter.PerToken(), Slowness: state.limiter.Slowness(), MeasuredAt: state.limiter.MeasuredAt(),
 			Distance: dogwoodownership.Distance(request.Origin, state.description.Place),
 		})
 	}
@@ -226,7 +226,7 @@
 	owner.grants[held.ID] = held
 	owner.byRequest[held.request.ID] = held
 	owner.trackRunLocked(held)
-	owner.prefixes.Expect(state.description.ID, held.request.Blocks)
+	owner.prefixes.AddExpected(state.description.ID, held.request.Blocks)
 	waiter.outcomes <- outcome{grant: held.Grant}
 }
 
--- a/core/duty/dogwoodowner/messages.go
+++ b/core/duty/dogwoodowner/messages.go
@@ -19,7 +19,7 @@
 }
 
 // Ask is an entry daemon's request to acquire a slot on an endpoint.
-type Ask struct {
+type AcquireRequest struct {
 	// Request is the request to run. The owner sets its Arrived and Deadline from Budget,
 	// since the clocks of two VMs differ.
 	Request dogwoodfleet.Request
--- a/core/duty/dogwoodowner/owner.go
+++ b/core/duty/dogwoodowner/owner.go
@@ -48,10 +48,10 @@
 type SuspectPeers interface {
 	// Trial requests or returns a permit at the digest's home, the owner that
 	// dogwoodsuspect.Home returns. That may be this owner.
-	Trial(ctx context.Context, trial dogwoodsuspect.Trial) (dogwoodsuspect.TrialAnswer, error)
+	RequestPermit(ctx context.Context, trial dogwoodsuspect.PermitRequest) (dogwoodsuspect.PermitResponse, error)
 	// Spread sends the notices to all other owners and returns when they have confirmed them
 	// or the context ends.
-	Spread(ctx context.Context, notices []dogwoodsuspect.Notice)
+	Notify(ctx context.Context, notices []dogwoodsuspect.Notice)
 }
 
 // GangPeers acquires and releases engines of any owner for gangs. The daemon implements it.
@@ -60,7 +60,7 @@
 	// The memory of each is known.
 	Engines(service dogwoodfleet.Service, model dogwoodfleet.Model) []GangEngine
 	// Acquire acquires a slot on the endpoint from its owner. ask.Pin is the endpoint's ID.
-	Acquire(ctx context.Context, endpoint dogwoodfleet.Endpoint, ask Ask) (Grant, error)
+	Acquire(ctx context.Context, endpoint dogwoodfleet.Endpoint, ask AcquireRequest) (Grant, error)
 	// Release ends a grant at the owner of the endpoint.
 	Release(ctx context.Context, endpoint dogwoodfleet.Endpoint, release Release)
 }
@@ -185,7 +185,7 @@
 			owner.untrackRunLocked(grant)
 		}
 	}
-	owner.prefixes.Forget(state.description.ID)
+	owner.prefixes.RemoveEngine(state.description.ID)
 }
 
 // assignLanesLocked assigns the endpoints to their lanes. Requests that wait in a lane
@@ -273,7 +273,7 @@
 	owner.grantWaitingLocked(now)
 	owner.wakeAt = time.Time{}
 	for _, state := range owner.endpointList {
-		for _, at := range []time.Time{state.noGrantsUntil, state.settlingUntil, state.limiter.Opens()} {
+		for _, at := range []time.Time{state.noGrantsUntil, state.settlingUntil, state.limiter.BlockedUntil()} {
 			owner.scheduleWakeLocked(at)
 		}
 	}
@@ -293,7 +293,7 @@
 		owner.assignLanesLocked()
 	}
 	if restarted {
-		owner.prefixes.Forget(id)
+		owner.prefixes.RemoveEngine(id)
 	}
 	owner.grantWaitingLocked(now)
 }
--- a/core/duty/dogwoodowner/owner_test.go
+++ b/core/duty/dogwoodowner/owner_test.go
@@ -28,8 +28,8 @@
 	}}
 }
 
-func testRequest(number int, budget time.Duration) dogwoodowner.Ask {
-	return dogwoodowner.Ask{
+func testRequest(number int, budget time.Duration) dogwoodowner.AcquireRequest {
+	return dogwoodowner.AcquireRequest{
 		Request: dogwoodfleet.Request{
 			ID: dogwoodfleet.RequestID(fmt.Sprintf("ask-%d", number)), Customer: "one", Service: pool, Model: model,
 			PromptTokens: 1000, MaxTokens: 100, Repeatable: true, Digest: digestOf(number),
--- a/core/duty/dogwoodowner/release.go
+++ b/core/duty/dogwoodowner/release.go
@@ -57,7 +57,7 @@
 		update = owner.judgeReleaseLocked(now, grant, release)
 	}
 	owner.grantWaitingLocked(now)
-	owner.scheduleWakeLocked(grant.endpoint.limiter.Opens())
+	owner.scheduleWakeLocked(grant.endpoint.limiter.BlockedUntil())
 	return update
 }
 
@@ -92,7 +92,7 @@
 	}
 	if release.Instance != "" && release.Instance != state.description.Instance {
 		if state.description.Instance != "" {
-			owner.prefixes.Forget(state.description.ID)
+			owner.prefixes.RemoveEngine(state.description.ID)
 		}
 		state.description.Instance = release.Instance
 	}
@@ -105,7 +105,7 @@
 		Instance: release.Instance, Cold: release.Cold, Sent: grant.grantedAt,
 	})
 	if release.Result == dogwoodfleet.ResultDied {
-		owner.prefixes.Forget(state.description.ID)
+		owner.prefixes.RemoveEngine(state.description.ID)
 	}
 }
 
@@ -194,12 +194,12 @@
 		if !grant.expired && now.Sub(grant.renewedAt) > GrantLease {
 			grant.expired, grant.expiredAt = true, now
 		}
-		if grant.expired && now.Sub(grant.expiredAt) >= dogwoodmemory.LapseGrace {
+		if grant.expired && now.Sub(grant.expiredAt) >= dogwoodmemory.ExpiryGrace {
 			orphans = append(orphans, Orphan{Grant: id, Endpoint: grant.Endpoint, Gang: grant.Gang, Request: grant.request.ID})
 		}
 	}
 	for _, lane := range owner.laneList {
-		lane.queue.Forget()
+		lane.queue.DropIdle()
 	}
 	owner.grantWaitingLocked(now)
 	return orphans
--- a/core/duty/dogwoodowner/site_test.go
+++ b/core/duty/dogwoodowner/site_test.go
@@ -174,12 +174,12 @@
 // peerLatency is how long a call between owners takes.
 const peerLatency = time.Millisecond
 
-func (peers *peers) Trial(_ context.Context, trial dogwoodsuspect.Trial) (dogwoodsuspect.TrialAnswer, error) {
+func (peers *peers) RequestPermit(_ context.Context, trial dogwoodsuspect.PermitRequest) (dogwoodsuspect.PermitResponse, error) {
 	time.Sleep(peerLatency)
 	return peers.site.owners[dogwoodsuspect.Home(trial.Digest, peers.site.instances)].Judge(trial), nil
 }
 
-func (peers *peers) Spread(_ context.Context, notices []dogwoodsuspect.Notice) {
+func (peers *peers) Notify(_ context.Context, notices []dogwoodsuspect.Notice) {
 	time.Sleep(peerLatency)
 	for i, owner := range peers.site.owners {
 		if i != peers.self {
@@ -191,12 +191,12 @@
 func (peers *peers) Engines(dogwoodfleet.Service, dogwoodfleet.Model) []dogwoodowner.GangEngine {
 	var engines []dogwoodowner.GangEngine
 	for _, endpoint := range peers.site.endpoints() {
-		engines = append(engines, peers.site.ownerOf(endpoint.ID).Lendable(endpoint))
+		engines = append(engines, peers.site.ownerOf(endpoint.ID).GangEngine(endpoint))
 	}
 	return engines
 }
 
-func (peers *peers) Acquire(ctx context.Context, endpoint dogwoodfleet.Endpoint, ask dogwoodowner.Ask) (dogwoodowner.Grant, error) {
+func (peers *peers) Acquire(ctx context.Context, endpoint dogwoodfleet.Endpoint, ask dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
 	return peers.site.ownerOf(endpoint.ID).Acquire(ctx, ask)
 }
 
@@ -278,7 +278,7 @@
 		ID: id, Customer: got.Customer, Service: pool, Model: model, PromptTokens: got.Prompt, MaxTokens: got.Output,
 		Repeatable: true, Digest: got.Digest, Blocks: got.Blocks, Origin: place,
 	}
-	grant, err := site.owners[owner].Acquire(ctx, dogwoodowner.Ask{
+	grant, err := site.owners[owner].Acquire(ctx, dogwoodowner.AcquireRequest{
 		Request: request, Holder: "entry", Try: try, Avoid: avoid, Budget: got.Deadline - time.Since(started),
 	})
 	if err != nil {
--- a/core/duty/dogwoodowner/suspect.go
+++ b/core/duty/dogwoodowner/suspect.go
@@ -28,7 +28,7 @@
 // peerUpdate is what the other owners are notified of once the lock is released.
 type peerUpdate struct {
 	notices        []dogwoodsuspect.Notice
-	returnedPermit *dogwoodsuspect.Trial
+	returnedPermit *dogwoodsuspect.PermitRequest
 }
 
 // trackRunLocked records on which endpoint an unproven digest runs.
@@ -90,7 +90,7 @@
 	}
 	update := &peerUpdate{notices: notices}
 	if grant.Alone {
-		update.returnedPermit = &dogwoodsuspect.Trial{Digest: run.Digest, Request: run.Request, Ended: true}
+		update.returnedPermit = &dogwoodsuspect.PermitRequest{Digest: run.Digest, Request: run.Request, Ended: true}
 	}
 	if len(notices) == 0 && update.returnedPermit == nil {
 		return nil
@@ -139,10 +139,10 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), notifyTimeout)
 	defer cancel()
 	if len(update.notices) > 0 {
-		peers.Spread(ctx, update.notices)
+		peers.Notify(ctx, update.notices)
 	}
 	if update.returnedPermit != nil {
-		_, _ = peers.Trial(ctx, *update.returnedPermit) // a permit whose return is lost expires with its lease
+		_, _ = peers.RequestPermit(ctx, *update.returnedPermit) // a permit whose return is lost expires with its lease
 	}
 }
 
@@ -161,13 +161,13 @@
 		if !now.Before(request.Deadline) {
 			return refusalDeadline()
 		}
-		trial := dogwoodsuspect.Trial{Digest: request.Digest, Request: request.ID, Lease: request.Deadline.Sub(now) + GrantLease}
+		trial := dogwoodsuspect.PermitRequest{Digest: request.Digest, Request: request.ID, Lease: request.Deadline.Sub(now) + GrantLease}
 		answer, err := owner.requestPermit(ctx, trial)
 		switch {
 		case err != nil:
 			timer.Reset(permitRetryInterval)
 		case answer.Standing == dogwoodsuspect.Convicted:
-			return refusalSuspect(now, now.Add(dogwoodsuspect.ConvictionKept))
+			return refusalSuspect(now, now.Add(dogwoodsuspect.ConvictionTTL))
 		case answer.Allowed:
 			return nil
 		default:
@@ -177,11 +177,11 @@
 }
 
 // requestPermit requests a permit from the digest's home.
-func (owner *Owner) requestPermit(ctx context.Context, trial dogwoodsuspect.Trial) (dogwoodsuspect.TrialAnswer, error) {
+func (owner *Owner) requestPermit(ctx context.Context, trial dogwoodsuspect.PermitRequest) (dogwoodsuspect.PermitResponse, error) {
 	if owner.options.Suspects == nil {
 		return owner.Judge(trial), nil
 	}
-	answer, err := owner.options.Suspects.Trial(ctx, trial)
+	answer, err := owner.options.Suspects.RequestPermit(ctx, trial)
 	return answer, Error.Wrap(err)
 }
 
@@ -191,11 +191,11 @@
 		return
 	}
 	request := &waiter.ask.Request
-	owner.notifyPeers(ctx, peerUpdate{returnedPermit: &dogwoodsuspect.Trial{Digest: request.Digest, Request: request.ID, Ended: true}})
+	owner.notifyPeers(ctx, peerUpdate{returnedPermit: &dogwoodsuspect.PermitRequest{Digest: request.Digest, Request: request.ID, Ended: true}})
 }
 
 // Judge decides, as the digest's home, on a request for a permit or its return.
-func (owner *Owner) Judge(trial dogwoodsuspect.Trial) dogwoodsuspect.TrialAnswer {
+func (owner *Owner) Judge(trial dogwoodsuspect.PermitRequest) dogwoodsuspect.PermitResponse {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	return owner.suspects.Judge(time.Now(), trial)
@@ -220,7 +220,7 @@
 }
 
 // Convictions lists the digests whose requests are rejected now.
-func (owner *Owner) Convictions() []dogwoodsuspect.Convict {
+func (owner *Owner) Convictions() []dogwoodsuspect.ConvictedDigest {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	return owner.suspects.Convictions(time.Now())
--- a/core/duty/dogwoodquotas/quotas.go
+++ b/core/duty/dogwoodquotas/quotas.go
@@ -52,7 +52,7 @@
 
 // Slots grants requests their slots at endpoints.
 type Slots interface {
-	Acquire(ctx context.Context, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error)
+	Acquire(ctx context.Context, ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error)
 	ToldCold(ctx context.Context, endpoint dogwoodfleet.Endpoint, instance dogwoodfleet.InstanceID)
 	Release(ctx context.Context, grant dogwoodowner.Grant, release dogwoodowner.Release)
 }
@@ -123,7 +123,7 @@
 }
 
 // Acquire rejects a first try over the limit, otherwise it acquires a slot.
-func (limited *limited) Acquire(ctx context.Context, ask *dogwoodowner.Ask) (dogwoodowner.Grant, error) {
+func (limited *limited) Acquire(ctx context.Context, ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
 	if ask.Try <= 1 {
 		if refusal := limited.quotas.Admit(&ask.Request); refusal != nil {
 			return dogwoodowner.Grant{}, refusal
@@ -156,10 +156,10 @@
 	alive := quotas.options.Alive()
 	quotas.mutex.Lock()
 	defer quotas.mutex.Unlock()
-	quotas.home.Drop(func(entry dogwoodfleet.InstanceID) bool {
+	quotas.home.RevokeDead(func(entry dogwoodfleet.InstanceID) bool {
 		return slices.ContainsFunc(alive, func(member Member) bool { return member.Instance == entry })
 	})
-	quotas.home.Forget(now)
+	quotas.home.DropIdle(now)
 }
 
 // sendDue sends the due reports, grouped by home.
--- a/core/duty/dogwoodquotas/quotas_test.go
+++ b/core/duty/dogwoodquotas/quotas_test.go
@@ -94,7 +94,7 @@
 // countingSlots counts the requests that acquire a slot.
 type countingSlots struct{ acquired int }
 
-func (slots *countingSlots) Acquire(context.Context, *dogwoodowner.Ask) (dogwoodowner.Grant, error) {
+func (slots *countingSlots) Acquire(context.Context, *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
 	slots.acquired++
 	return dogwoodowner.Grant{}, nil
 }
@@ -112,7 +112,7 @@
 	limited := quotas.Limited(slots)
 	var refusal *dogwoodowner.Refusal
 	for range 5 {
-		_, err := limited.Acquire(t.Context(), &dogwoodowner.Ask{Request: dogwoodfleet.Request{Customer: "one"}, Try: 1})
+		_, err := limited.Acquire(t.Context(), &dogwoodowner.AcquireRequest{Request: dogwoodfleet.Request{Customer: "one"}, Try: 1})
 		errors.As(err, &refusal)
 	}
 	if refusal == nil || refusal.Reason != dogwoodfleet.ReasonLimit || !refusal.NotRun || refusal.RetryAfter <= 0 {
--- a/core/duty/dogwoodreader/reader.go
+++ b/core/duty/dogwoodreader/reader.go
@@ -169,7 +169,7 @@
 	reader.mutex.Lock()
 	reader.answeredAt[table] = reader.options.Clock()
 	reader.mutex.Unlock()
-	reader.copyOf(table).Take(answer, true)
+	reader.copyOf(table).Apply(answer, true)
 }
 
 // freshFor returns how much longer this daemon may forward its copy of a table; zero or less if
@@ -192,7 +192,7 @@
 		reader.backOff(peer, err)
 		return answer, true, false
 	}
-	reader.copyOf(table).Take(answer, false)
+	reader.copyOf(table).Apply(answer, false)
 	return answer, true, true
 }
 
@@ -235,8 +235,8 @@
 }
 
 // Feed applies an answer that the hub sent for a table.
-func (reader *Reader) Feed(table string, answer dogwoodcopy.Answer) {
-	reader.copyOf(table).Take(answer, false)
+func (reader *Reader) Apply(table string, answer dogwoodcopy.Answer) {
+	reader.copyOf(table).Apply(answer, false)
 }
 
 // Position returns the version of a table that this daemon has, -1 for none, and the age of the
@@ -258,13 +258,13 @@
 	defer cancel()
 	sentAt := reader.options.Clock()
 	var told Told
-	if err := reader.options.Caller.Call(ctx, peer.Address, Name+".Changes", Question{Table: table, After: after}, &told); err != nil {
+	if err := reader.options.Caller.Call(ctx, peer.Address, Name+".Changes", Query{Table: table, After: after}, &told); err != nil {
 		return dogwoodcopy.Answer{}, Error.Wrap(err)
 	}
 	if told.Stale {
 		return dogwoodcopy.Answer{}, Error.Wrap(errStale)
 	}
-	return told.Heard(sentAt, after), nil
+	return told.ToLocalClock(sentAt, after), nil
 }
 
 // choosePeer returns the first reader that has not failed recently.
--- a/core/duty/dogwoodreader/reader_test.go
+++ b/core/duty/dogwoodreader/reader_test.go
@@ -27,7 +27,7 @@
 
 func newStore() *storeStandin {
 	store := &storeStandin{table: dogwoodcopy.New(), version: 1}
-	store.table.Take(dogwoodcopy.Answer{Whole: true, Version: 1}, true)
+	store.table.Apply(dogwoodcopy.Answer{Whole: true, Version: 1}, true)
 	return store
 }
 
@@ -35,7 +35,7 @@
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.version++
-	store.table.Take(dogwoodcopy.Answer{Rows: []dogwoodcopy.Row{{Key: key, Version: store.version}}, Version: store.version}, true)
+	store.table.Apply(dogwoodcopy.Answer{Rows: []dogwoodcopy.Row{{Key: key, Version: store.version}}, Version: store.version}, true)
 }
 
 func (store *storeStandin) count() int {
@@ -109,7 +109,7 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	err := called.Receiver().Changes(args.(Question), reply.(*Told))
+	err := called.Receiver().Changes(args.(Query), reply.(*Told))
 	time.Sleep(time.Millisecond)
 	return err
 }
--- a/core/duty/dogwoodreader/receiver.go
+++ b/core/duty/dogwoodreader/receiver.go
@@ -7,7 +7,7 @@
 )
 
 // Question is a query to a reader for the changes of a table after a version.
-type Question struct {
+type Query struct {
 	Table string
 	After int64
 }
@@ -31,7 +31,7 @@
 
 // Changes answers as soon as the table has changed after the version or the store has confirmed
 // it again, and after maxHold at the latest.
-func (receiver *Receiver) Changes(question Question, told *Told) error {
+func (receiver *Receiver) Changes(question Query, told *Told) error {
 	reader := receiver.reader
 	clock, table := reader.options.Clock, reader.copyOf(question.Table)
 	arrived := clock()
--- a/core/duty/dogwoodreconcile/reconcile.go
+++ b/core/duty/dogwoodreconcile/reconcile.go
@@ -47,7 +47,7 @@
 }
 
 // Cache holds the events of an engine's prefix cache since the previous query.
-type Cache struct {
+type CacheReport struct {
 	Instance dogwoodfleet.InstanceID
 	Events   []dogwoodprefix.Event
 	Gap      bool
@@ -59,7 +59,7 @@
 type Engines interface {
 	State(ctx context.Context, endpoint dogwoodfleet.Endpoint) (State, error)
 	Cancel(ctx context.Context, endpoint dogwoodfleet.Endpoint, id dogwoodfleet.RequestID) error
-	Cache(ctx context.Context, endpoint dogwoodfleet.Endpoint, after uint64) (Cache, error)
+	Cache(ctx context.Context, endpoint dogwoodfleet.Endpoint, after uint64) (CacheReport, error)
 }
 
 // Owner receives the engines' reports.
--- a/core/duty/dogwoodreconcile/reconcile_test.go
+++ b/core/duty/dogwoodreconcile/reconcile_test.go
@@ -51,12 +51,12 @@
 	return State{Instance: fakes.instance, MemoryTokens: 100, Listed: []dogwoodmemory.Listed{{Request: "r1", Tokens: 10}}}, nil
 }
 
-func (fakes *fakes) Cache(_ context.Context, _ dogwoodfleet.Endpoint, after uint64) (Cache, error) {
+func (fakes *fakes) Cache(_ context.Context, _ dogwoodfleet.Endpoint, after uint64) (CacheReport, error) {
 	fakes.mutex.Lock()
 	defer fakes.mutex.Unlock()
 	fakes.queriedAfter = append(fakes.queriedAfter, after)
 	sequence := after + 1
-	return Cache{Instance: fakes.instance, Last: sequence, Events: []dogwoodprefix.Event{{Sequence: sequence}}}, nil
+	return CacheReport{Instance: fakes.instance, Last: sequence, Events: []dogwoodprefix.Event{{Sequence: sequence}}}, nil
 }
 
 func (fakes *fakes) Report(id dogwoodfleet.EndpointID, report dogwoodowner.LoadReport) {
--- a/core/duty/dogwoodrelay/fakes_test.go
+++ b/core/duty/dogwoodrelay/fakes_test.go
@@ -42,10 +42,10 @@
 	reservations map[string]int
 }
 
-func (fake *fakeEndpoints) Send(ctx context.Context, order *Order) (*Response, error) {
+func (fake *fakeEndpoints) Send(ctx context.Context, order *EndpointRequest) (*Response, error) {
 	fake.mutex.Lock()
 	fake.sends = append(fake.sends, sentOrder{
-		endpoint: order.Endpoint.ID, lastEvent: order.LastEvent, helpers: order.Helpers, left: order.Left,
+		endpoint: order.Endpoint.ID, lastEvent: order.LastEventID, helpers: order.Helpers, left: order.Left,
 	})
 	step := fake.script[min(len(fake.sends), len(fake.script))-1]
 	fake.mutex.Unlock()
@@ -98,8 +98,8 @@
 	places.Board.Writes(time.Now(), id, predicted, seen)
 }
 
-func (places places) Paced(endpoint dogwoodfleet.EndpointID, pause time.Duration) {
-	places.Board.Paced(endpoint, pause)
+func (places places) RecordPace(endpoint dogwoodfleet.EndpointID, pause time.Duration) {
+	places.Board.RecordPace(endpoint, pause)
 }
 
 // fixture is a relay over a pool of three endpoints.
@@ -123,7 +123,7 @@
 	fixture.setEndpoints(3, engine)
 	fixture.relay = New(Options{
 		Places: places{fixture.board}, Endpoints: fixture.endpoints,
-		Retries: &dogwoodretry.Shared{Ratio: 0.2, Allowance: 10, Window: 10 * time.Second},
+		Retries: &dogwoodretry.SharedBudget{Ratio: 0.2, Allowance: 10, Window: 10 * time.Second},
 		Daemons: func() int { return 1 },
 		Fresh:   func() bool { return !fixture.stale.Load() },
 		Logger:  hclog.NewNullLogger(),
@@ -149,7 +149,7 @@
 func (fixture *fixture) takeSlots(t *testing.T, count int) {
 	t.Helper()
 	for slot := range count {
-		ask := &dogwoodpacking.Ask{ID: dogwoodpacking.WorkID(fmt.Sprint(slot)), Service: "s", Prompt: 10, Until: time.Now().Add(time.Second)}
+		ask := &dogwoodpacking.PlacementRequest{ID: dogwoodpacking.WorkID(fmt.Sprint(slot)), Service: "s", Prompt: 10, Until: time.Now().Add(time.Second)}
 		if _, refusal := fixture.board.Place(time.Now(), ask); refusal != dogwoodpacking.Placed {
 			t.Fatalf("slot %d: got %q, want it free", slot, refusal)
 		}
--- a/core/duty/dogwoodrelay/hedge_test.go
+++ b/core/duty/dogwoodrelay/hedge_test.go
@@ -156,7 +156,7 @@
 func TestOneRetryLeftAllowsOneSecondRun(t *testing.T) {
 	runRelayTest(t, testEngine, []step{fallsSilent(firstEvents)}, func(t *testing.T, fixture *fixture) {
 		fixture.setEndpoints(30, testEngine)
-		fixture.relay.options.Retries = &dogwoodretry.Shared{Allowance: 1, Window: 100 * time.Second}
+		fixture.relay.options.Retries = &dogwoodretry.SharedBudget{Allowance: 1, Window: 100 * time.Second}
 		lines := &lockedBuffer{}
 		fixture.relay.options.Logger = hclog.New(&hclog.LoggerOptions{Output: lines, Level: hclog.Info})
 		fixture.relay.options.Endpoints = &slowReservations{fakeEndpoints: fixture.endpoints, fastCount: 100, delay: 50 * time.Millisecond}
--- a/core/duty/dogwoodrelay/line.go
+++ b/core/duty/dogwoodrelay/line.go
@@ -28,7 +28,7 @@
 // waiter is a try that waits. Its result is sent once.
 type waiter struct {
 	request dogwoodwaiting.Request
-	ask     *dogwoodpacking.Ask
+	ask     *dogwoodpacking.PlacementRequest
 	result  chan placementResult
 	// lastRefusal is the outcome of its latest placement.
 	lastRefusal dogwoodpacking.Refusal
--- a/core/duty/dogwoodrelay/line_test.go
+++ b/core/duty/dogwoodrelay/line_test.go
@@ -14,7 +14,7 @@
 	id string
 }
 
-func (panicking panickingPlaces) Place(now time.Time, ask *dogwoodpacking.Ask) (dogwoodpacking.Placement, dogwoodpacking.Refusal) {
+func (panicking panickingPlaces) Place(now time.Time, ask *dogwoodpacking.PlacementRequest) (dogwoodpacking.Placement, dogwoodpacking.Refusal) {
 	if strings.HasPrefix(string(ask.ID), panicking.id) {
 		panic("unplaceable request")
 	}
@@ -27,7 +27,7 @@
 	queue := &queue{places: panickingPlaces{places: places{board}, id: "odd"}}
 	join := func(id string) (panicked bool) {
 		defer func() { panicked = recover() != nil }()
-		queue.add(&waiter{ask: &dogwoodpacking.Ask{ID: dogwoodpacking.WorkID(id), Service: "s"}, result: make(chan placementResult, 1)})
+		queue.add(&waiter{ask: &dogwoodpacking.PlacementRequest{ID: dogwoodpacking.WorkID(id), Service: "s"}, result: make(chan placementResult, 1)})
 		return false
 	}
 	if !join("odd") {
--- a/core/duty/dogwoodrelay/place.go
+++ b/core/duty/dogwoodrelay/place.go
@@ -13,23 +13,23 @@
 
 // placementRequest returns the placement request of a new try. The request avoids endpoints that
 // were already tried, unless there are no others.
-func (attempt *attempt) placementRequest() *dogwoodpacking.Ask {
+func (attempt *attempt) placementRequest() *dogwoodpacking.PlacementRequest {
 	request, options := attempt.request, &attempt.relay.options
-	ask := &dogwoodpacking.Ask{
+	ask := &dogwoodpacking.PlacementRequest{
 		ID:      dogwoodpacking.WorkID(fmt.Sprintf("%s.%d", request.ID, tryNumber.Add(1))),
 		Service: request.Service, Prompt: request.Prompt, Answer: request.Answer,
 		Aim: request.Route.Aim, Pause: request.Route.Pause,
 		Arrived: request.Arrived, Until: request.Deadline, CanWait: true,
 		Avoid: attempt.triedEndpoints, Origin: options.Place,
 	}
-	if len(attempt.triedEndpoints) > 0 && !options.Places.Other(ask) {
+	if len(attempt.triedEndpoints) > 0 && !options.Places.HasOtherEndpoint(ask) {
 		ask.Avoid = nil // every endpoint was tried; trying one again is better than none
 	}
 	return ask
 }
 
 // awaitPlacement waits for a placement as long as the caller can still be served in time.
-func (attempt *attempt) awaitPlacement(ctx context.Context, ask *dogwoodpacking.Ask) (dogwoodpacking.Placement, error) {
+func (attempt *attempt) awaitPlacement(ctx context.Context, ask *dogwoodpacking.PlacementRequest) (dogwoodpacking.Placement, error) {
 	request := attempt.request
 	waiter := &waiter{ask: ask, result: make(chan placementResult, 1), request: dogwoodwaiting.Request{
 		Arrived: request.Arrived, Deadline: request.Deadline, Aim: request.Route.Aim, Pause: request.Route.Pause,
@@ -37,7 +37,7 @@
 	}}
 	queue := &attempt.relay.queue
 	queue.add(waiter)
-	maxWait := time.NewTimer(dogwoodwaiting.Patience(time.Now(), &waiter.request))
+	maxWait := time.NewTimer(dogwoodwaiting.MaxWait(time.Now(), &waiter.request))
 	defer maxWait.Stop()
 	var err error
 	select {
@@ -67,7 +67,7 @@
 	if refusal != dogwoodpacking.Placed {
 		return placement, attempt.placementError(refusal)
 	}
-	if placement.Predicted > dogwoodwaiting.Borne(time.Now(), &waiter.request) {
+	if placement.Predicted > dogwoodwaiting.CallerTimeLeft(time.Now(), &waiter.request) {
 		attempt.relay.options.Places.End(waiter.ask.ID)
 		return placement, attempt.newFailure(dogwoodfleet.ReasonLimit, dogwoodkernel.Jittered(fullRetryAfter),
 			fmt.Sprintf("the first event would come after %s", placement.Predicted))
--- a/core/duty/dogwoodrelay/random_test.go
+++ b/core/duty/dogwoodrelay/random_test.go
@@ -123,7 +123,7 @@
 	behavior.ended = true
 }
 
-func (endpoints *randomEndpoints) Send(ctx context.Context, order *Order) (*Response, error) {
+func (endpoints *randomEndpoints) Send(ctx context.Context, order *EndpointRequest) (*Response, error) {
 	behavior := endpoints.begin(ctx)
 	if behavior.kind == unsent {
 		endpoints.end(behavior)
@@ -158,12 +158,12 @@
 }
 
 // write writes the answer and returns the error that it ends with.
-func (endpoints *randomEndpoints) write(ctx context.Context, behavior *behavior, order *Order, writer io.Writer) error {
+func (endpoints *randomEndpoints) write(ctx context.Context, behavior *behavior, order *EndpointRequest, writer io.Writer) error {
 	if behavior.kind == returnsFailure || behavior.kind == rejects || behavior.kind == declines {
 		_, err := io.WriteString(writer, bodyOf(behavior.kind))
 		return err
 	}
-	last, _ := strconv.Atoi(order.LastEvent) // none is 0
+	last, _ := strconv.Atoi(order.LastEventID) // none is 0
 	for i := last; i < scriptedEvents; i++ {
 		if !dogwoodkernel.Sleep(ctx, behavior.pauses[i]) {
 			return ctx.Err()
@@ -258,8 +258,8 @@
 		endpoints := &randomEndpoints{fakeEndpoints: fixture.endpoints, seed: seed}
 		randomCase := newRandomCase(rand.New(rand.NewPCG(seed, 0)))
 		options := &fixture.relay.options
-		options.Endpoints, options.UnusedMemory = endpoints, randomCase.maxUnused
-		options.Retries = &dogwoodretry.Shared{Allowance: randomCase.allowance, Window: time.Minute}
+		options.Endpoints, options.UnusedMemoryTimeout = endpoints, randomCase.maxUnused
+		options.Retries = &dogwoodretry.SharedBudget{Allowance: randomCase.allowance, Window: time.Minute}
 		fixture.setEndpoints(6, testEngine)
 		fixture.takeSlots(t, randomCase.takenSlots)
 		ctx, disconnect := context.WithCancel(t.Context())
@@ -379,7 +379,7 @@
 	if got := len(fixture.endpoints.reservations); got != 0 {
 		t.Errorf("got %d reservations left, want none", got)
 	}
-	for _, work := range fixture.board.Works("") {
+	for _, work := range fixture.board.WorkExcept("") {
 		if strings.HasPrefix(string(work.ID), "r1.") {
 			t.Errorf("got the slot of %s still taken, want it free", work.ID)
 		}
--- a/core/duty/dogwoodrelay/relay.go
+++ b/core/duty/dogwoodrelay/relay.go
@@ -50,7 +50,7 @@
 	// both are 0 for plain calls.
 	Prompt, Answer int
 	// LastEvent is the ID of the event after which a stream resumes; empty for the whole stream.
-	LastEvent string
+	LastEventID string
 	// Keyed is true if the request was authorized by a key. It is rejected while that key may
 	// have been withdrawn.
 	Keyed bool
@@ -87,14 +87,14 @@
 }
 
 // Order is one try: a request with the endpoint that it is sent to.
-type Order struct {
+type EndpointRequest struct {
 	Request  *Request
 	Endpoint dogwoodfleet.Endpoint
 	// Left is the time left until the deadline, after which the endpoint may stop.
 	Left time.Duration
 	// LastEvent is the ID of the event after which the endpoint resumes the stream.
-	LastEvent string
-	Helpers   []Helper
+	LastEventID string
+	Helpers     []Helper
 }
 
 // Response is an endpoint's response to an order.
@@ -109,12 +109,12 @@
 	// Genuine is false for a success without the endpoint's seal. Its body is not the answer.
 	Genuine bool
 	// Fault is the helper at which a joint request failed, if one did.
-	Fault netip.AddrPort
+	FaultyHelper netip.AddrPort
 }
 
 // Endpoints sends requests to endpoints. Its errors are *NotSent and *Broken.
 type Endpoints interface {
-	Send(ctx context.Context, order *Order) (*Response, error)
+	Send(ctx context.Context, order *EndpointRequest) (*Response, error)
 	// Reserve reserves memory for a prompt under a ticket, or renews the reservation.
 	Reserve(ctx context.Context, endpoint dogwoodfleet.Endpoint, ticket string, tokens int, lease time.Duration) error
 	// Release releases the memory reserved under a ticket.
@@ -125,11 +125,11 @@
 type Places interface {
 	// Place chooses an endpoint, and helpers for a long prompt, and counts the work there until
 	// End.
-	Place(now time.Time, ask *dogwoodpacking.Ask) (dogwoodpacking.Placement, dogwoodpacking.Refusal)
+	Place(now time.Time, ask *dogwoodpacking.PlacementRequest) (dogwoodpacking.Placement, dogwoodpacking.Refusal)
 	// Writes records the first event of an answer with its predicted and its observed time.
 	Writes(id dogwoodpacking.WorkID, predicted, seen time.Duration)
 	// Paced records a short pause between two events, which shows how fast the endpoint decodes.
-	Paced(endpoint dogwoodfleet.EndpointID, pause time.Duration)
+	RecordPace(endpoint dogwoodfleet.EndpointID, pause time.Duration)
 	// End drops work that has ended.
 	End(id dogwoodpacking.WorkID)
 	// Failed records that an endpoint failed a request.
@@ -139,7 +139,7 @@
 	// Changed returns a channel that is closed when a slot may have become free.
 	Changed() <-chan struct{}
 	// Other reports whether the service has an endpoint that the request doesn't avoid.
-	Other(ask *dogwoodpacking.Ask) bool
+	HasOtherEndpoint(ask *dogwoodpacking.PlacementRequest) bool
 }
 
 // Metrics records latencies by name and label.
@@ -158,7 +158,7 @@
 	Places    Places
 	Endpoints Endpoints
 	// Retries is this daemon's share of the retry budget.
-	Retries *dogwoodretry.Shared
+	Retries *dogwoodretry.SharedBudget
 	// Daemons returns the number of daemons that share the budget.
 	Daemons func() int
 	// Fresh reports whether the keys were confirmed recently enough that none can have been
@@ -166,7 +166,7 @@
 	Fresh func() bool
 	Place dogwoodfleet.Place
 	// UnusedMemory is how long reserved memory may stay unused; 0 for no limit.
-	UnusedMemory time.Duration
+	UnusedMemoryTimeout time.Duration
 	// Metrics records latencies; nil for none.
 	Metrics Metrics
 	// Logger receives one line for each decision.
--- a/core/duty/dogwoodrelay/run.go
+++ b/core/duty/dogwoodrelay/run.go
@@ -178,7 +178,7 @@
 
 // limitUnusedMemory ends the run if its helpers' reserved memory stays unused for too long.
 func (run *run) limitUnusedMemory() {
-	limit := run.attempt.relay.options.UnusedMemory
+	limit := run.attempt.relay.options.UnusedMemoryTimeout
 	if limit <= 0 || !reservesMemory(run.placement) {
 		return
 	}
--- a/core/duty/dogwoodrelay/serve.go
+++ b/core/duty/dogwoodrelay/serve.go
@@ -80,7 +80,7 @@
 	ctx, cancel := context.WithDeadline(ctx, request.Deadline)
 	defer cancel()
 	attempt := &attempt{relay: relay, request: request, answer: answer, runState: dogwoodfleet.NotRun}
-	attempt.stream.lastEvent = request.LastEvent
+	attempt.stream.lastEvent = request.LastEventID
 	for {
 		tryResult := attempt.try(ctx)
 		if tryResult.done || tryResult.err != nil {
@@ -137,7 +137,7 @@
 // preparedTry is a try with its placement and its helpers' memory.
 type preparedTry struct {
 	attempt   *attempt
-	order     *Order
+	order     *EndpointRequest
 	placement dogwoodpacking.Placement
 	id        dogwoodpacking.WorkID
 	release   func()
@@ -187,16 +187,16 @@
 	}
 	relay.options.Logger.Info(dogwoodlog.Placed, "request", request.ID, "try", attempt.tries, "endpoint", placement.Endpoint.ID,
 		"waited", time.Since(waitStart), "helpers", helperNames(placement), "prompt", request.Prompt, "predicted", placement.Predicted,
-		"writers", placement.Load.Writers, "queued", placement.Load.Queued, "queuedtokens", placement.Load.QueuedTokens)
+		"writers", placement.Load.DecodingRequests, "queued", placement.Load.Queued, "queuedtokens", placement.Load.QueuedTokens)
 	helpers, release, err := relay.reserve(ctx, ask.ID, placement)
 	if err != nil {
 		relay.options.Places.End(ask.ID)
 		return nil, attempt.tryNotSent(err)
 	}
 	attempt.triedEndpoints = append(attempt.triedEndpoints, placement.Endpoint.ID)
-	order := &Order{
+	order := &EndpointRequest{
 		Request: request, Endpoint: placement.Endpoint.Endpoint, Helpers: helpers,
-		Left: time.Until(request.Deadline), LastEvent: attempt.stream.lastEvent,
+		Left: time.Until(request.Deadline), LastEventID: attempt.stream.lastEvent,
 	}
 	return &preparedTry{attempt: attempt, order: order, placement: placement, id: ask.ID, release: release}, tryResult{}
 }
--- a/core/duty/dogwoodrelay/silent_test.go
+++ b/core/duty/dogwoodrelay/silent_test.go
@@ -40,7 +40,7 @@
 func TestPausedStreamContinuesIfNoneTakesOver(t *testing.T) {
 	const pause, whole = 4 * time.Second, firstEvents + lastEvents
 	noBudget := func(fixture *fixture) {
-		fixture.relay.options.Retries = &dogwoodretry.Shared{Window: 10 * time.Second}
+		fixture.relay.options.Retries = &dogwoodretry.SharedBudget{Window: 10 * time.Second}
 	}
 	full := func(t *testing.T, fixture *fixture) { t.Helper(); fixture.takeSlots(t, 3*testEngine.Slots-1) }
 	stale := func(_ *testing.T, fixture *fixture) { fixture.stale.Store(true) }
@@ -239,10 +239,10 @@
 	late := delayed(hangs, responds(200, "whole"))
 	tests := []struct {
 		name    string
-		retries *dogwoodretry.Shared
+		retries *dogwoodretry.SharedBudget
 		other   step
 	}{
-		{"the retry budget is used up", &dogwoodretry.Shared{Window: 10 * time.Second}, responds(200, "other")},
+		{"the retry budget is used up", &dogwoodretry.SharedBudget{Window: 10 * time.Second}, responds(200, "other")},
 		{"the other endpoint does not begin", nil, notRun(http.StatusServiceUnavailable)},
 		{"the other endpoint breaks off", nil, fails(&Broken{Cause: errors.New("reset")})},
 		{"the other endpoint fails", nil, responds(500, "failed")},
--- a/core/duty/dogwoodrelay/stream.go
+++ b/core/duty/dogwoodrelay/stream.go
@@ -23,7 +23,7 @@
 	attempt.runState = dogwoodfleet.WasRun
 	attempt.relay.liveness.record(time.Now(), endpoint)
 	if pause, ok := run.pace.record(time.Now()); ok {
-		places.Paced(endpoint, pause)
+		places.RecordPace(endpoint, pause)
 	}
 	if run.firstEventSeen {
 		return
--- a/core/duty/dogwoodrelay/unused_test.go
+++ b/core/duty/dogwoodrelay/unused_test.go
@@ -30,7 +30,7 @@
 
 func testUnusedMemory(t *testing.T, engine *dogwoodenginetime.Engine, attempts int, maxUnused time.Duration) {
 	runRelayTest(t, engine, []step{fallsSilent("")}, func(t *testing.T, fixture *fixture) {
-		fixture.relay.options.UnusedMemory = maxUnused
+		fixture.relay.options.UnusedMemoryTimeout = maxUnused
 		request := streamRequest()
 		request.Prompt, request.Route.Aim, request.Route.Attempts = 150_000, 10*time.Second, attempts
 		request.Deadline = time.Now().Add(15 * time.Second)
@@ -63,7 +63,7 @@
 	const maxUnused, prefillTime = 9 * time.Second, 12 * time.Second
 	late := delayed(prefillTime, responds(200, firstEvents))
 	runRelayTest(t, &slow, []step{late}, func(t *testing.T, fixture *fixture) {
-		fixture.relay.options.UnusedMemory = maxUnused
+		fixture.relay.options.UnusedMemoryTimeout = maxUnused
 		request := streamRequest()
 		request.Prompt, request.Route.Aim = 150_000, 30*time.Second
 		request.Deadline = time.Now().Add(time.Minute)
--- a/core/duty/dogwoodrelay/verdict.go
+++ b/core/duty/dogwoodrelay/verdict.go
@@ -70,7 +70,7 @@
 
 // declined returns the result of a response that is not an answer: the endpoint did not begin,
 // or its success is not genuine. The second value is false for other responses.
-func (attempt *attempt) declined(order *Order, placement dogwoodpacking.Placement, response *Response) (tryResult, bool) {
+func (attempt *attempt) declined(order *EndpointRequest, placement dogwoodpacking.Placement, response *Response) (tryResult, bool) {
 	success := response.Status >= 200 && response.Status < 300
 	switch {
 	case response.OtherInstance:
@@ -85,7 +85,7 @@
 	}
 	counters.Add("NotBegun", 1)
 	attempt.relay.options.Logger.Info("An endpoint did not begin.", "request", order.Request.ID,
-		"endpoint", placement.Endpoint.ID, "status", response.Status, "fault", response.Fault)
+		"endpoint", placement.Endpoint.ID, "status", response.Status, "fault", response.FaultyHelper)
 	return tryResult{retry: true, reached: true, reason: "the endpoint did not begin", finalError: func() error {
 		return attempt.newFailure(dogwoodfleet.ReasonLimit, dogwoodkernel.Jittered(fullRetryAfter), "the endpoints did not begin")
 	}}, true
@@ -94,7 +94,7 @@
 // avoidFaultyHelper sends no new work for a while to the helper at which a joint request failed.
 func (attempt *attempt) avoidFaultyHelper(placement dogwoodpacking.Placement, response *Response) {
 	for _, helper := range placement.Helpers {
-		if helper.Endpoint.Address == response.Fault {
+		if helper.Endpoint.Address == response.FaultyHelper {
 			attempt.relay.options.Places.Avoid(time.Now(), helper.Endpoint.ID, avoidUnreachableFor)
 		}
 	}
--- a/core/duty/dogwoodwitness/witness.go
+++ b/core/duty/dogwoodwitness/witness.go
@@ -50,32 +50,32 @@
 }
 
 // Witnesses queries the other daemons about calls. It is safe for concurrent use.
-type Witnesses struct {
+type Peers struct {
 	options Options
 }
 
-var _ dogwoodclaim.Witnesses = (*Witnesses)(nil)
+var _ dogwoodclaim.Peers = (*Peers)(nil)
 
 // New returns Witnesses with these options.
-func New(options Options) *Witnesses {
-	return &Witnesses{options: options}
+func New(options Options) *Peers {
+	return &Peers{options: options}
 }
 
 // Recall queries all other daemons for what they hold about a call. A daemon that can't be reached
 // counts as one that may have dropped its record. Recall returns false if there are more than
 // maxPeers daemons, or if a daemon that was lost recently may have sent the call.
-func (witnesses *Witnesses) Recall(ctx context.Context, question dogwoodclaim.Question) ([]dogwoodclaim.Testimony, bool) {
+func (witnesses *Peers) Recall(ctx context.Context, question dogwoodclaim.RecallQuery) ([]dogwoodclaim.RecallReply, bool) {
 	peers := witnesses.options.Members.Peers()
 	if len(peers) > maxPeers {
 		return nil, false
 	}
-	testimonies := make([]dogwoodclaim.Testimony, len(peers))
+	testimonies := make([]dogwoodclaim.RecallReply, len(peers))
 	var group sync.WaitGroup
 	for i, peer := range peers {
 		group.Go(func() {
 			err := witnesses.options.Caller.Call(ctx, peer.Peer, Name+".Recall", question, &testimonies[i])
 			if err != nil {
-				testimonies[i] = dogwoodclaim.Testimony{Forgot: true}
+				testimonies[i] = dogwoodclaim.RecallReply{Forgot: true}
 			}
 		})
 	}
@@ -85,25 +85,25 @@
 }
 
 // Testifier answers queries about calls from this daemon's own claims.
-type Testifier interface {
-	Testify(question dogwoodclaim.Question) dogwoodclaim.Testimony
+type RecallAnswerer interface {
+	AnswerRecall(question dogwoodclaim.RecallQuery) dogwoodclaim.RecallReply
 }
 
 // Receiver answers other daemons over net/rpc.
 type Receiver struct {
-	claims  Testifier
+	claims  RecallAnswerer
 	members Members
 }
 
 // NewReceiver returns the receiver to register as Name.
-func NewReceiver(claims Testifier, members Members) *Receiver {
+func NewReceiver(claims RecallAnswerer, members Members) *Receiver {
 	return &Receiver{claims: claims, members: members}
 }
 
 // Recall reports what this daemon holds about a call. It sets Forgot also if this daemon has lost
 // another one recently, because the querying daemon may have started after that loss.
-func (receiver *Receiver) Recall(question dogwoodclaim.Question, testimony *dogwoodclaim.Testimony) error {
-	*testimony = receiver.claims.Testify(question)
+func (receiver *Receiver) Recall(question dogwoodclaim.RecallQuery, testimony *dogwoodclaim.RecallReply) error {
+	*testimony = receiver.claims.AnswerRecall(question)
 	lost := receiver.members.Lost()
 	if !lost.IsZero() && time.Since(lost) < dogwoodclaim.DefaultKeepFor {
 		testimony.Forgot = true
--- a/core/edge/dogwoodcaller/caller.go
+++ b/core/edge/dogwoodcaller/caller.go
@@ -30,7 +30,7 @@
 	HeaderDeadline       = "Dogwood-Deadline"
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderRequestID      = "Dogwood-Request-Id"
-	HeaderStored         = "Dogwood-Stored-Answer"
+	HeaderStoredAnswer   = "Dogwood-Stored-Answer"
 	HeaderService        = "Dogwood-Service"
 	HeaderLoadID         = "X-Load-Id"
 )
@@ -67,7 +67,7 @@
 // Dispatcher sends requests to endpoints. Its errors are of type *dogwooddispatch.Failure.
 type Dispatcher interface {
 	NewID() dogwoodfleet.RequestID
-	Prompt(ctx context.Context, call *dogwooddispatch.Call, answer dogwooddispatch.PromptAnswer) error
+	Prompt(ctx context.Context, call *dogwooddispatch.Call, answer dogwooddispatch.PromptAnswerWriter) error
 	Service(ctx context.Context, call *dogwooddispatch.Call) (*dogwooddispatch.WholeAnswer, error)
 }
 
--- a/core/edge/dogwoodcaller/caller_test.go
+++ b/core/edge/dogwoodcaller/caller_test.go
@@ -30,7 +30,7 @@
 
 func (fake *fakeDispatcher) NewID() dogwoodfleet.RequestID { return "request-1" }
 
-func (fake *fakeDispatcher) Prompt(_ context.Context, call *dogwooddispatch.Call, answer dogwooddispatch.PromptAnswer) error {
+func (fake *fakeDispatcher) Prompt(_ context.Context, call *dogwooddispatch.Call, answer dogwooddispatch.PromptAnswerWriter) error {
 	fake.call = call
 	for i, event := range fake.events {
 		if err := answer.Event(dogwooddispatch.Event{Index: i, Data: []byte(event)}); err != nil {
@@ -158,7 +158,7 @@
 		t.Errorf("got a deadline after %v, want the cap of %v", got, want)
 	}
 	if recorder.Code != http.StatusCreated || recorder.Body.String() != "held" || recorder.Header().Get("X-Answer") != "1" ||
-		recorder.Header().Get("X-Hop") != "" || recorder.Header().Get(HeaderStored) != "true" {
+		recorder.Header().Get("X-Hop") != "" || recorder.Header().Get(HeaderStoredAnswer) != "true" {
 		t.Errorf("got %d %q %v", recorder.Code, recorder.Body, recorder.Header())
 	}
 }
--- a/core/edge/dogwoodcaller/service.go
+++ b/core/edge/dogwoodcaller/service.go
@@ -57,7 +57,7 @@
 // forwardedHeader returns the headers that the endpoint receives: without those of this
 // connection, the deadline and the API key, which must not leave this system.
 func forwardedHeader(header http.Header) http.Header {
-	forwarded := dogwoodservice.EndToEnd(header)
+	forwarded := dogwoodservice.EndToEndHeader(header)
 	forwarded.Del("Authorization")
 	forwarded.Del(HeaderDeadline)
 	forwarded.Del("Content-Length") // net/http sets it for the body that it sends
@@ -90,7 +90,7 @@
 // writeAnswer writes an endpoint's answer.
 func (exchange *exchange) writeAnswer(answer *dogwooddispatch.WholeAnswer) {
 	header := exchange.writer.Header()
-	for name, values := range dogwoodservice.EndToEnd(answer.Header) {
+	for name, values := range dogwoodservice.EndToEndHeader(answer.Header) {
 		header[name] = values
 	}
 	header.Set(HeaderRequestID, string(exchange.id))
@@ -99,7 +99,7 @@
 		header.Set("Content-Length", answer.Header.Get("Content-Length"))
 	}
 	if answer.Stored {
-		header.Set(HeaderStored, "true")
+		header.Set(HeaderStoredAnswer, "true")
 	}
 	exchange.status = answer.Status
 	exchange.setWriteDeadline()
--- a/core/edge/dogwoodengine/cold_test.go
+++ b/core/edge/dogwoodengine/cold_test.go
@@ -32,7 +32,7 @@
 			}
 			_, _ = writer.Write([]byte(test.body))
 		}))
-		client := New(Options{Silence: 10 * time.Second})
+		client := New(Options{SilenceTimeout: 10 * time.Second})
 		endpoint := dogwoodfleet.Endpoint{ID: "engine", Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
 		load, err := client.Load(t.Context(), endpoint)
 		if err != nil || load.Cold != test.want {
--- a/core/edge/dogwoodengine/connection.go
+++ b/core/edge/dogwoodengine/connection.go
@@ -22,9 +22,9 @@
 	// doneData is the data of the event that ends a stream.
 	doneData = "[DONE]"
 	// EventError is the type of the event by which an engine reports that a request failed.
-	EventError = "error"
+	EventTypeError = "error"
 	// EventProgress is the type of the event that an engine sends while it has no other to send.
-	EventProgress = "progress"
+	EventTypeProgress = "progress"
 )
 
 // frame is one event as received over a connection, before Stream.accept checks it.
--- a/core/edge/dogwoodengine/engine.go
+++ b/core/edge/dogwoodengine/engine.go
@@ -29,15 +29,15 @@
 
 // DefaultSilence is the default of Options.Silence. Engines send a comment every 500 ms while
 // they have nothing else to send, so four comments in a row must be missing.
-const DefaultSilence = 2 * time.Second
+const DefaultSilenceTimeout = 2 * time.Second
 
 // Options configure a client.
 type Options struct {
 	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// Silence is how long a connection may deliver no bytes before it is closed.
-	Silence time.Duration
-	Logger  hclog.Logger
+	SilenceTimeout time.Duration
+	Logger         hclog.Logger
 }
 
 // Client sends requests and orders to engines. It is safe for concurrent use.
@@ -56,14 +56,14 @@
 
 // New returns a client.
 func New(options Options) *Client {
-	if options.Silence <= 0 {
-		options.Silence = DefaultSilence
+	if options.SilenceTimeout <= 0 {
+		options.SilenceTimeout = DefaultSilenceTimeout
 	}
 	if options.Logger == nil {
 		options.Logger = hclog.NewNullLogger()
 	}
 	if options.Dial == nil {
-		dialer := &net.Dialer{Timeout: options.Silence}
+		dialer := &net.Dialer{Timeout: options.SilenceTimeout}
 		options.Dial = dialer.DialContext
 	}
 	transport := &http.Transport{
@@ -79,7 +79,7 @@
 		}))
 	lifetime, cancel := context.WithCancel(context.Background())
 	return &Client{
-		http: client, silence: options.Silence, logger: options.Logger.Named("engine"),
+		http: client, silence: options.SilenceTimeout, logger: options.Logger.Named("engine"),
 		lifetime: lifetime, cancelLifetime: cancel,
 	}
 }
