--- a/core/edge/dogwoodengine/run.go
+++ b/core/edge/dogwoodengine/run.go
@@ -130,7 +130,7 @@
 	stream.run.setHeaders(call, stream.gang)
 	if method == http.MethodGet {
 		call.SetHeader("Accept", "text/event-stream")
-		call.SetHeader(HeaderLastEvent, eventID(string(stream.run.ID), stream.nextIndex-1))
+		call.SetHeader(HeaderLastEventID, eventID(string(stream.run.ID), stream.nextIndex-1))
 	} else {
 		call.SetBody(body)
 	}
--- a/core/edge/dogwoodengine/start_test.go
+++ b/core/edge/dogwoodengine/start_test.go
@@ -76,7 +76,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			server := httptest.NewServer(test.engine)
 			defer server.Close()
-			client := New(Options{Silence: 10 * time.Second})
+			client := New(Options{SilenceTimeout: 10 * time.Second})
 			defer client.Close(t.Context())
 			endpoint := dogwoodfleet.Endpoint{ID: "engine", Instance: test.recorded, Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
 			stream, err := client.Start(t.Context(), endpoint, Run{ID: "r1", Path: PathChat, Body: []byte(`{}`)})
@@ -97,7 +97,7 @@
 // run and may be sent to another engine at once.
 func TestFailedConnectionIsNotStarted(t *testing.T) {
 	client := New(Options{
-		Silence: 50 * time.Millisecond,
+		SilenceTimeout: 50 * time.Millisecond,
 		Dial: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
--- a/core/edge/dogwoodengine/stream.go
+++ b/core/edge/dogwoodengine/stream.go
@@ -122,9 +122,9 @@
 // caller.
 func (stream *Stream) accept(received frame) (event Event, accepted bool, err error) {
 	switch {
-	case received.kind == EventProgress:
+	case received.kind == EventTypeProgress:
 		return Event{}, false, nil
-	case received.kind == EventError:
+	case received.kind == EventTypeError:
 		stream.ended = true
 		return Event{}, false, errorFromEvent(stream, received.data)
 	case received.id != string(stream.run.ID):
@@ -144,11 +144,11 @@
 }
 
 // CodeGangLost is the code of the error event that reports that a gang lost a member.
-const CodeGangLost = "gang_member_lost"
+const CodeGangMemberLost = "gang_member_lost"
 
 // errorFromEvent returns the error for the data of an engine's error event.
 func errorFromEvent(stream *Stream, data string) error {
-	if code := errorCode(data); code == CodeGangLost {
+	if code := errorCode(data); code == CodeGangMemberLost {
 		return &Broken{Endpoint: stream.endpoint.ID, Events: stream.nextIndex, Cause: Error.New("a gang's member was lost")}
 	}
 	return &Answered{Status: http.StatusInternalServerError, Body: []byte(data)}
--- a/core/edge/dogwoodengine/wire.go
+++ b/core/edge/dogwoodengine/wire.go
@@ -18,7 +18,7 @@
 	// HeaderNotRun is "true" if the engine refused a request that it did not begin.
 	HeaderNotRun = "X-Not-Run"
 	// HeaderLastEvent is the standard header by which a client resumes an event stream.
-	HeaderLastEvent = "Last-Event-Id"
+	HeaderLastEventID = "Last-Event-Id"
 )
 
 // The paths of the engine protocol.
--- a/core/edge/dogwoodplatform/client.go
+++ b/core/edge/dogwoodplatform/client.go
@@ -165,7 +165,7 @@
 }
 
 // TablesAnswer reports whether the table service answered the last call to it.
-func (client *Client) TablesAnswer() bool {
+func (client *Client) TablesReachable() bool {
 	breaker := client.tables.breaker
 	return breaker.State() == gobreaker.StateClosed && breaker.Counts().ConsecutiveFailures == 0
 }
--- a/core/edge/dogwoodplatform/tables.go
+++ b/core/edge/dogwoodplatform/tables.go
@@ -133,7 +133,7 @@
 		if write.Version == 0 {
 			request.SetHeader("If-None-Match", "*")
 		} else {
-			request.SetHeader("If-Match", Tag(write.Version))
+			request.SetHeader("If-Match", ETag(write.Version))
 		}
 		if write.KeepFor > 0 {
 			request.SetQueryParam("KeepFor", write.KeepFor.String())
@@ -185,7 +185,7 @@
 }
 
 // Tag returns the HTTP entity tag for a row's version.
-func Tag(version uint64) string {
+func ETag(version uint64) string {
 	return `"` + strconv.FormatUint(version, 10) + `"`
 }
 
--- a/core/edge/dogwoodservice/service.go
+++ b/core/edge/dogwoodservice/service.go
@@ -66,7 +66,7 @@
 func (err *BrokenError) Unwrap() error { return err.Err }
 
 // Order is a call to a plain service.
-type Order struct {
+type Request struct {
 	ID     dogwoodfleet.RequestID
 	Method string
 	// Target is the path and query, as the caller wrote them.
@@ -112,7 +112,7 @@
 
 // Do sends a call. The error is *NotSentError or *BrokenError. The caller must close the
 // response body, which is readable until the context ends. Do does not follow redirects.
-func (client *Client) Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, call Order) (*http.Response, error) {
+func (client *Client) Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, call Request) (*http.Response, error) {
 	var connected atomic.Bool
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
@@ -121,7 +121,7 @@
 	if err != nil {
 		return nil, Error.Wrap(&NotSentError{Endpoint: endpoint.ID, Err: err})
 	}
-	request.Header = EndToEnd(call.Header)
+	request.Header = EndToEndHeader(call.Header)
 	request.Header.Set(HeaderRequestID, string(call.ID))
 	if _, given := request.Header["User-Agent"]; !given {
 		request.Header["User-Agent"] = nil // keeps net/http from adding its default
@@ -147,7 +147,7 @@
 }
 
 // EndToEnd returns a copy of the header without the fields that apply to one connection only.
-func EndToEnd(header http.Header) http.Header {
+func EndToEndHeader(header http.Header) http.Header {
 	endToEnd := header.Clone()
 	if endToEnd == nil {
 		endToEnd = http.Header{}
--- a/core/edge/dogwoodservice/service_test.go
+++ b/core/edge/dogwoodservice/service_test.go
@@ -120,7 +120,7 @@
 		if breaks {
 			header.Set("X-Break", "1")
 		}
-		response, err := client.Do(t.Context(), endpoint, Order{Method: http.MethodPost, Target: "/holds", Header: header, Body: body})
+		response, err := client.Do(t.Context(), endpoint, Request{Method: http.MethodPost, Target: "/holds", Header: header, Body: body})
 		if err != nil {
 			return err
 		}
@@ -136,7 +136,7 @@
 func TestFailedConnectionIsNotSent(t *testing.T) {
 	refused := &net.OpError{Op: "dial", Err: errors.New("refused")}
 	client := New(func(context.Context, string, string) (net.Conn, error) { return nil, refused })
-	response, err := client.Do(t.Context(), endpoint, Order{Method: http.MethodPost, Target: "/holds"})
+	response, err := client.Do(t.Context(), endpoint, Request{Method: http.MethodPost, Target: "/holds"})
 	if err == nil {
 		_ = response.Body.Close()
 	}
@@ -151,7 +151,7 @@
 		"Connection": {"close, X-Hop"}, "X-Hop": {"1"}, "Te": {"trailers"}, "Transfer-Encoding": {"chunked"},
 		"Upgrade": {"h2c"}, "Keep-Alive": {"timeout=5"}, "X-Kept": {"1", "2"},
 	}
-	got := EndToEnd(header)
+	got := EndToEndHeader(header)
 	if len(got) != 1 || len(got["X-Kept"]) != 2 {
 		t.Errorf("got %v, want only X-Kept", got)
 	}
--- a/core/state/dogwoodchange/submit.go
+++ b/core/state/dogwoodchange/submit.go
@@ -69,7 +69,7 @@
 
 // KeepProvisional writes the provisional take-outs to the log. It returns how many are still
 // provisional.
-func (log *Log) KeepProvisional(ctx context.Context) int {
+func (log *Log) StoreProvisional(ctx context.Context) int {
 	select {
 	case log.submitting <- struct{}{}:
 		defer func() { <-log.submitting }()
--- a/core/state/dogwoodclaim/claim.go
+++ b/core/state/dogwoodclaim/claim.go
@@ -147,7 +147,7 @@
 	// Alive reports whether the members list a daemon's instance as alive.
 	Alive func(instance dogwoodfleet.InstanceID) bool
 	// Witnesses queries the other daemons. It is nil if there are none.
-	Witnesses Witnesses
+	Peers Peers
 	// KeepFor is the time after which a claim expires; 0 means DefaultKeepFor.
 	KeepFor time.Duration
 	// Logger may be nil to disable logging.
@@ -297,7 +297,7 @@
 	if progress.taken.Outcome != "" {
 		return progress.taken, nil
 	}
-	known, certain := claims.queryPeers(ctx, Question{Row: progress.row, Digest: progress.wanted.Digest})
+	known, certain := claims.queryPeers(ctx, RecallQuery{Row: progress.row, Digest: progress.wanted.Digest})
 	if known.Outcome != "" {
 		return known, nil
 	}
--- a/core/state/dogwoodclaim/commit.go
+++ b/core/state/dogwoodclaim/commit.go
@@ -58,7 +58,7 @@
 }
 
 func newCommitter(store Store) *committer {
-	return &committer{store: store, queue: dogwoodring.New[*pendingWrite]("claim writes", maxQueuedWrites, dogwoodring.Refuse), stopped: make(chan struct{})}
+	return &committer{store: store, queue: dogwoodring.New[*pendingWrite]("claim writes", maxQueuedWrites, dogwoodring.Reject), stopped: make(chan struct{})}
 }
 
 // commit makes one write, grouped with others. Its errors are those of the store. If the
--- a/core/state/dogwoodclaim/witness.go
+++ b/core/state/dogwoodclaim/witness.go
@@ -25,14 +25,14 @@
 )
 
 // Question is a query for what a daemon holds in memory about a call.
-type Question struct {
+type RecallQuery struct {
 	// Row is the key of the claim's row, and Digest is the digest of the call.
 	Row    string
 	Digest string
 }
 
 // Testimony is a daemon's answer to such a query.
-type Testimony struct {
+type RecallReply struct {
 	// Known is true if the daemon claimed the call; Taken is then its outcome.
 	Known bool
 	Taken Taken
@@ -41,10 +41,10 @@
 }
 
 // Witnesses queries the other daemons.
-type Witnesses interface {
+type Peers interface {
 	// Recall queries all other daemons. complete is false if one of them can't answer, or if
 	// a daemon was lost within the time for which claims are kept.
-	Recall(ctx context.Context, question Question) (testimonies []Testimony, complete bool)
+	Recall(ctx context.Context, question RecallQuery) (testimonies []RecallReply, complete bool)
 }
 
 // rowHistory records which rows this daemon has claimed.
@@ -78,32 +78,32 @@
 }
 
 // Testify answers a query from another daemon.
-func (claims *Claims) Testify(question Question) Testimony {
+func (claims *Claims) AnswerRecall(question RecallQuery) RecallReply {
 	if taken, known := claims.lookupRecent(question.Row, question.Digest); known {
-		return Testimony{Known: true, Taken: taken}
+		return RecallReply{Known: true, Taken: taken}
 	}
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
 	if claims.history.rows.Contains(historyKey(question.Row)) {
-		return Testimony{Known: true, Taken: Taken{Outcome: OutcomeUnknown, Holder: claims.options.Self}}
+		return RecallReply{Known: true, Taken: Taken{Outcome: OutcomeUnknown, Holder: claims.options.Self}}
 	}
 	lastEvicted := claims.history.lastEvicted
-	return Testimony{Forgot: !lastEvicted.IsZero() && time.Since(lastEvicted) < claims.options.KeepFor}
+	return RecallReply{Forgot: !lastEvicted.IsZero() && time.Since(lastEvicted) < claims.options.KeepFor}
 }
 
 // queryPeers returns the outcome of a call for which the store could not be reached. If it
 // is empty, certain reports that no daemon has sent a call under this key.
-func (claims *Claims) queryPeers(ctx context.Context, question Question) (taken Taken, certain bool) {
-	own := claims.Testify(question)
+func (claims *Claims) queryPeers(ctx context.Context, question RecallQuery) (taken Taken, certain bool) {
+	own := claims.AnswerRecall(question)
 	if own.Known {
 		return own.Taken, true
 	}
-	if claims.options.Witnesses == nil {
+	if claims.options.Peers == nil {
 		return Taken{}, !own.Forgot
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), queryTimeout)
 	defer cancel()
-	testimonies, complete := claims.options.Witnesses.Recall(ctx, question)
+	testimonies, complete := claims.options.Peers.Recall(ctx, question)
 	for _, testimony := range testimonies {
 		if testimony.Known {
 			return testimony.Taken, true
--- a/core/state/dogwoodclaim/witness_test.go
+++ b/core/state/dogwoodclaim/witness_test.go
@@ -30,14 +30,14 @@
 // peers are the other daemons; a nil element does not answer.
 type peers []*Claims
 
-func (peers peers) Recall(_ context.Context, question Question) (testimonies []Testimony, complete bool) {
+func (peers peers) Recall(_ context.Context, question RecallQuery) (testimonies []RecallReply, complete bool) {
 	complete = true
 	for _, peer := range peers {
 		if peer == nil {
 			complete = false
 			continue
 		}
-		testimonies = append(testimonies, peer.Testify(question))
+		testimonies = append(testimonies, peer.AnswerRecall(question))
 	}
 	return testimonies, complete
 }
@@ -70,9 +70,9 @@
 				defer group.Wait()
 				defer cancel()
 				store := &outageStore{}
-				start := func(self dogwoodfleet.InstanceID, witnesses Witnesses) *Claims {
+				start := func(self dogwoodfleet.InstanceID, witnesses Peers) *Claims {
 					claims := New(Options{
-						Store: store, Self: self, Witnesses: witnesses,
+						Store: store, Self: self, Peers: witnesses,
 						Alive: func(dogwoodfleet.InstanceID) bool { return true },
 					})
 					group.Go(func() { _ = claims.Run(ctx) })
--- a/core/state/dogwoodcopy/copy.go
+++ b/core/state/dogwoodcopy/copy.go
@@ -63,7 +63,7 @@
 // Take applies an answer. If fromStore is true, it came from the store itself. Only such an
 // answer is a confirmation that may be forwarded; otherwise two daemons could confirm to each
 // other what neither has learned from the store.
-func (table *Copy) Take(answer Answer, fromStore bool) {
+func (table *Copy) Apply(answer Answer, fromStore bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	if answer.Whole {
--- a/core/state/dogwoodcopy/copy_test.go
+++ b/core/state/dogwoodcopy/copy_test.go
@@ -25,8 +25,8 @@
 	if _, _, ok := table.Since(-1); ok {
 		t.Error("got an answer of an empty copy, want none")
 	}
-	table.Take(Answer{Whole: true, Rows: []Row{{Key: "a", Version: 3}, {Key: "b", Version: 7}}, Version: 10}, true)
-	table.Take(Answer{Rows: []Row{{Key: "c", Version: 11}, {Key: "a", Version: 12, Deleted: true}}, Version: 12}, true)
+	table.Apply(Answer{Whole: true, Rows: []Row{{Key: "a", Version: 3}, {Key: "b", Version: 7}}, Version: 10}, true)
+	table.Apply(Answer{Rows: []Row{{Key: "c", Version: 11}, {Key: "a", Version: 12, Deleted: true}}, Version: 12}, true)
 	tests := []struct {
 		name    string
 		version int64
@@ -57,8 +57,8 @@
 // a confirmation, they would accept withdrawn keys for ever.
 func TestPeerAnswerIsNoConfirmation(t *testing.T) {
 	table := New()
-	table.Take(Answer{Whole: true, Version: 5, Proven: time.Second}, true)
-	table.Take(Answer{Version: 5, Proven: time.Minute}, false)
+	table.Apply(Answer{Whole: true, Version: 5, Proven: time.Second}, true)
+	table.Apply(Answer{Version: 5, Proven: time.Minute}, false)
 	if answer, _, _ := table.Since(5); answer.Proven != time.Second {
 		t.Errorf("got a confirmation as of %s, want as of the store's own answer, %s", answer.Proven, time.Second)
 	}
@@ -70,19 +70,19 @@
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		table, version := New(), int64(1)
-		table.Take(Answer{Whole: true, Version: version}, true)
+		table.Apply(Answer{Whole: true, Version: version}, true)
 		followers := make([]*Copy, 4)
 		for i := range followers {
 			followers[i] = New()
 		}
 		follow := func(follower *Copy) {
 			answer, _, _ := table.Since(follower.version)
-			follower.Take(answer, true)
+			follower.Apply(answer, true)
 		}
 		for range 4000 {
 			version++
 			row := Row{Key: fmt.Sprint(random.IntN(3000)), Value: fmt.Append(nil, version), Version: version, Deleted: random.IntN(2) == 0}
-			table.Take(Answer{Rows: []Row{row}, Version: version}, true)
+			table.Apply(Answer{Rows: []Row{row}, Version: version}, true)
 			if random.IntN(10) == 0 {
 				follow(followers[random.IntN(len(followers)-1)])
 			}
@@ -104,17 +104,17 @@
 // table.
 func TestDeletionThatExceedsHistoryReachesFollowers(t *testing.T) {
 	table := New()
-	table.Take(Answer{Whole: true, Rows: []Row{{Key: "last", Version: 1}}, Version: 1}, true)
+	table.Apply(Answer{Whole: true, Rows: []Row{{Key: "last", Version: 1}}, Version: 1}, true)
 	for i := range int64(maxDeletedRows) {
-		table.Take(Answer{Rows: []Row{{Key: fmt.Sprint(i), Version: i + 2, Deleted: true}}, Version: i + 2}, true)
+		table.Apply(Answer{Rows: []Row{{Key: fmt.Sprint(i), Version: i + 2, Deleted: true}}, Version: i + 2}, true)
 	}
 	follower := New()
 	before, _, _ := table.Since(-1)
-	follower.Take(before, true)
+	follower.Apply(before, true)
 	version := int64(maxDeletedRows) + 2
-	table.Take(Answer{Rows: []Row{{Key: "last", Version: version, Deleted: true}}, Version: version}, true)
+	table.Apply(Answer{Rows: []Row{{Key: "last", Version: version, Deleted: true}}, Version: version}, true)
 	after, _, _ := table.Since(follower.version)
-	follower.Take(after, true)
+	follower.Apply(after, true)
 	got, _, _ := follower.Since(-1)
 	if len(got.Rows) != 0 {
 		t.Errorf("got rows %v at the follower, want none", got.Rows)
--- a/core/state/dogwoodcopy/told.go
+++ b/core/state/dogwoodcopy/told.go
@@ -20,7 +20,7 @@
 // Heard converts the answer to the clock of the daemon that sent the query. sent is when the query
 // was sent, on that clock, and after is the version of the table that the daemon had then. The
 // network latency makes the confirmation look older than it is, never younger.
-func (told Told) Heard(sent time.Duration, after int64) Answer {
+func (told Told) ToLocalClock(sent time.Duration, after int64) Answer {
 	answer := told.Answer
 	answer.Proven = sent + told.ProvenAfter
 	if answer.Version < after {
--- a/core/state/dogwoodcopy/told_test.go
+++ b/core/state/dogwoodcopy/told_test.go
@@ -38,7 +38,7 @@
 			if err := gob.NewDecoder(&wire).Decode(&told); err != nil {
 				t.Fatal(err)
 			}
-			got := told.Heard(sent, test.after)
+			got := told.ToLocalClock(sent, test.after)
 			if got.Proven != sent-age {
 				t.Errorf("got a confirmation %s before the query, want %s", sent-got.Proven, age)
 			}
--- a/core/state/dogwoodlease/lease.go
+++ b/core/state/dogwoodlease/lease.go
@@ -71,7 +71,7 @@
 	Term time.Duration
 	// LongestOrder is the longest time from the check of a lease until the order sent under
 	// it has ended or was abandoned.
-	LongestOrder time.Duration
+	OrderTimeout time.Duration
 	// Logger may be nil to disable logging.
 	Logger hclog.Logger
 }
@@ -84,13 +84,13 @@
 	Until time.Time
 	// Unchecked is the earliest time for orders to endpoints that ignore fencing numbers:
 	// by then the last order of the previous holder has ended.
-	Unchecked time.Time
+	UncheckedFrom time.Time
 }
 
 // Covers reports whether an order may be sent now to an endpoint. checksFencing is true if the
 // endpoint checks fencing numbers.
 func (fence Fence) Covers(checksFencing bool, now time.Time) bool {
-	return now.Before(fence.Until) && (checksFencing || !now.Before(fence.Unchecked))
+	return now.Before(fence.Until) && (checksFencing || !now.Before(fence.UncheckedFrom))
 }
 
 // NotHeld is the error for a shard for which this daemon may not issue orders.
@@ -179,7 +179,7 @@
 
 // Want sets the shards that this daemon should hold. For shards that are no longer wanted,
 // no more orders are permitted; they are released after the last order sent has ended.
-func (holder *Holder) Want(shards []string) {
+func (holder *Holder) SetWanted(shards []string) {
 	holder.mutex.Lock()
 	defer holder.mutex.Unlock()
 	holder.wanted = map[string]bool{}
@@ -189,7 +189,7 @@
 	now := time.Now()
 	for name, held := range holder.held {
 		switch {
-		case holder.wanted[name] && !held.unwantedSince.IsZero() && now.Sub(held.unwantedSince) < holder.options.LongestOrder:
+		case holder.wanted[name] && !held.unwantedSince.IsZero() && now.Sub(held.unwantedSince) < holder.options.OrderTimeout:
 			held.unwantedSince = time.Time{}
 		case !holder.wanted[name] && held.unwantedSince.IsZero():
 			held.unwantedSince = now
@@ -226,7 +226,7 @@
 	case holder.termIsOver(now):
 		return Fence{}, &NotHeld{Shard: shard, Reason: "the session's term is over"}
 	}
-	return Fence{Number: held.number, Until: holder.leaseEnd(), Unchecked: held.unchecked}, nil
+	return Fence{Number: held.number, Until: holder.leaseEnd(), UncheckedFrom: held.unchecked}, nil
 }
 
 // leaseEnd returns when the leases end: the end of the session's term less the margin.
--- a/core/state/dogwoodlease/run.go
+++ b/core/state/dogwoodlease/run.go
@@ -148,7 +148,7 @@
 	defer holder.mutex.Unlock()
 	release = map[string]uint64{}
 	for name, held := range holder.held {
-		if !held.unwantedSince.IsZero() && now.Sub(held.unwantedSince) >= holder.options.LongestOrder {
+		if !held.unwantedSince.IsZero() && now.Sub(held.unwantedSince) >= holder.options.OrderTimeout {
 			release[name] = held.number
 		}
 	}
@@ -188,7 +188,7 @@
 		// which.
 		if !stored.Settled {
 			// The previous holder may have sent an order just before its term ended.
-			unchecked = time.Now().Add(holder.options.LongestOrder)
+			unchecked = time.Now().Add(holder.options.OrderTimeout)
 		}
 		version = row.Version
 	}
--- a/core/state/dogwoodmember/beat.go
+++ b/core/state/dogwoodmember/beat.go
@@ -36,7 +36,7 @@
 
 // NextBeat increments this daemon's count and returns the next heartbeat and the daemons to
 // which it must be sent now.
-func (members *Members) NextBeat(now time.Time) (Beat, []Target) {
+func (members *Members) NextHeartbeat(now time.Time) (Beat, []Target) {
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
 	members.counter++
@@ -112,7 +112,7 @@
 }
 
 // Hear applies a received heartbeat and returns the reply.
-func (members *Members) Hear(beat Beat, now time.Time) BeatReply {
+func (members *Members) ApplyHeartbeat(beat Beat, now time.Time) BeatReply {
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
 	if id, _, _, _, ok := cutUpdate(beat.News); ok {
@@ -127,7 +127,7 @@
 
 // HearReply applies the reply to a heartbeat. It returns the records to introduce to the peer
 // and the ids to request from it.
-func (members *Members) HearReply(reply BeatReply, now time.Time) Introduction {
+func (members *Members) ApplyReply(reply BeatReply, now time.Time) Introduction {
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
 	wanted := members.applyUpdates(reply.News, now)
--- a/core/state/dogwoodmember/beat_test.go
+++ b/core/state/dogwoodmember/beat_test.go
@@ -21,8 +21,8 @@
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	countProbes := func(from, until time.Duration) int {
 		count := 0
-		for at := from; at < until; at += BeatEvery {
-			_, targets := members.NextBeat(start.Add(at))
+		for at := from; at < until; at += HeartbeatInterval {
+			_, targets := members.NextHeartbeat(start.Add(at))
 			count += len(targets)
 		}
 		return count
--- a/core/state/dogwoodmember/member.go
+++ b/core/state/dogwoodmember/member.go
@@ -34,7 +34,7 @@
 
 const (
 	// BeatEvery is the time between two heartbeats to a neighbour.
-	BeatEvery = 500 * time.Millisecond
+	HeartbeatInterval = 500 * time.Millisecond
 	// DefaultSilence is the maximum age of the latest update about a living daemon. It is four
 	// and a half heartbeats: three heartbeats lost in a row are tolerated, and a dead daemon is
 	// detected in less than 3 s, including the latency of the last update and of the next tick.
@@ -45,7 +45,7 @@
 	// as dead.
 	directHeartbeatAge = 1500 * time.Millisecond
 	// TickEvery is the time between two calls of Tick.
-	TickEvery = 100 * time.Millisecond
+	TickInterval = 100 * time.Millisecond
 	// probeInterval is the time between two heartbeats to a daemon that is listed but silent.
 	// It is long, so that regions that lost their connection don't reconnect with a thundering
 	// herd.
@@ -56,7 +56,7 @@
 	startupProbeWindow = 3 * time.Second
 	// inboundHeartbeatTTL is how long after a neighbour's heartbeat this daemon need not send its
 	// own to that neighbour. It is slightly more than the time of two heartbeats.
-	inboundHeartbeatTTL = 2*BeatEvery + 200*time.Millisecond
+	inboundHeartbeatTTL = 2*HeartbeatInterval + 200*time.Millisecond
 	// peerTTL is how long a daemon is kept that is neither listed nor sends heartbeats.
 	peerTTL = 10 * time.Minute
 	// leavingTTL is how long an endpoint's report that it is leaving stays valid. Its owner
@@ -252,8 +252,8 @@
 // endpoint. A late tick shows such a pause; the updates that were recent before the pause
 // are then aged only by the time that the process was running. The caller holds the mutex.
 func (members *Members) compensatePause(now time.Time) {
-	late := now.Sub(members.lastTick) - TickEvery
-	if !members.lastTick.IsZero() && late > BeatEvery {
+	late := now.Sub(members.lastTick) - TickInterval
+	if !members.lastTick.IsZero() && late > HeartbeatInterval {
 		for _, peer := range members.peers {
 			if peer.lastSeen.After(members.lastTick.Add(-members.options.Silence)) {
 				peer.lastSeen = peer.lastSeen.Add(late)
--- a/core/state/dogwoodview/view.go
+++ b/core/state/dogwoodview/view.go
@@ -123,7 +123,7 @@
 }
 
 // OnlyOut records that exactly these data centres are taken out.
-func (view *View) OnlyOut(dataCentres []dogwoodfleet.DataCentre) {
+func (view *View) ReplaceOut(dataCentres []dogwoodfleet.DataCentre) {
 	view.mutex.Lock()
 	var restored []dogwoodfleet.DataCentre
 	for known := range view.takenOut {
--- a/core/state/dogwoodview/view_test.go
+++ b/core/state/dogwoodview/view_test.go
@@ -153,7 +153,7 @@
 	if got, want := fixture.inForce(), ""; got != want {
 		t.Errorf("taken out: got %q, want %q", got, want)
 	}
-	fixture.view.OnlyOut(nil)
+	fixture.view.ReplaceOut(nil)
 	if got, want := fixture.inForce(), "x"; got != want {
 		t.Errorf("taken back: got %q, want %q", got, want)
 	}
--- a/dogwoodctl/dogwoodplace/bringback.go
+++ b/dogwoodctl/dogwoodplace/bringback.go
@@ -13,8 +13,8 @@
 
 // NewBringBack returns the subcommand that brings a data centre or a VM back into service.
 // run replaces its implementation in tests; nil means the real one.
-func NewBringBack(factory *dogwoodfactory.Factory, run func(context.Context, *MoveOptions) error) *dogwoodsubcommand.Command {
-	options := &MoveOptions{Factory: factory}
+func NewBringBack(factory *dogwoodfactory.Factory, run func(context.Context, *TakeOutOptions) error) *dogwoodsubcommand.Command {
+	options := &TakeOutOptions{Factory: factory}
 	if run == nil {
 		run = runBringBack
 	}
@@ -36,6 +36,6 @@
 	})
 }
 
-func runBringBack(ctx context.Context, options *MoveOptions) error {
+func runBringBack(ctx context.Context, options *TakeOutOptions) error {
 	return options.submit(ctx, (*dogwoodadminapi.Client).BringBack)
 }
--- a/dogwoodctl/dogwoodplace/move.go
+++ b/dogwoodctl/dogwoodplace/move.go
@@ -17,7 +17,7 @@
 
 // MoveOptions holds the arguments, flags and dependencies of takeout and bringback. Exactly
 // one of DataCentre and VM is set.
-type MoveOptions struct {
+type TakeOutOptions struct {
 	Factory    *dogwoodfactory.Factory
 	DataCentre dogwoodfleet.DataCentre
 	VM         dogwoodfleet.VM
@@ -26,7 +26,7 @@
 }
 
 // setTarget sets the data centre or the VM from the positional arguments.
-func (options *MoveOptions) setTarget(arguments []string) error {
+func (options *TakeOutOptions) setTarget(arguments []string) error {
 	if len(arguments) != 2 {
 		return dogwoodsubcommand.NewUsageError("give \"datacentre NAME\" or \"vm NAME\"")
 	}
@@ -42,14 +42,14 @@
 	return nil
 }
 
-func (options *MoveOptions) setWait(flags *flag.FlagSet) {
+func (options *TakeOutOptions) setWait(flags *flag.FlagSet) {
 	flags.DurationVar(&options.Wait, "wait", dogwoodcommand.DefaultWait, "how long to wait until it is in force everywhere")
 }
 
 // submitter is the client method that sends the request of a subcommand.
 type submitter func(client *dogwoodadminapi.Client, ctx context.Context, move dogwoodadminapi.Move) (dogwoodadminapi.Accepted, error)
 
-func (options *MoveOptions) submit(ctx context.Context, submit submitter) error {
+func (options *TakeOutOptions) submit(ctx context.Context, submit submitter) error {
 	client, err := options.Factory.Client()
 	if err != nil {
 		return err
--- a/dogwoodctl/dogwoodplace/takeout.go
+++ b/dogwoodctl/dogwoodplace/takeout.go
@@ -13,8 +13,8 @@
 
 // NewTakeOut returns the subcommand that takes a data centre or a VM out of service. run
 // replaces its implementation in tests; nil means the real one.
-func NewTakeOut(factory *dogwoodfactory.Factory, run func(context.Context, *MoveOptions) error) *dogwoodsubcommand.Command {
-	options := &MoveOptions{Factory: factory}
+func NewTakeOut(factory *dogwoodfactory.Factory, run func(context.Context, *TakeOutOptions) error) *dogwoodsubcommand.Command {
+	options := &TakeOutOptions{Factory: factory}
 	if run == nil {
 		run = runTakeOut
 	}
@@ -44,6 +44,6 @@
 	})
 }
 
-func runTakeOut(ctx context.Context, options *MoveOptions) error {
+func runTakeOut(ctx context.Context, options *TakeOutOptions) error {
 	return options.submit(ctx, (*dogwoodadminapi.Client).TakeOut)
 }
--- a/dogwoodload/dogwoodsoak/careless_test.go
+++ b/dogwoodload/dogwoodsoak/careless_test.go
@@ -77,7 +77,7 @@
 
 // runCareless runs a careless daemon with the settings that the subcommand "serve" of the platform would read.
 func runCareless(ctx context.Context, fault fault) error {
-	source, err := os.ReadFile(os.Getenv(dogwoodboot.Variable))
+	source, err := os.ReadFile(os.Getenv(dogwoodboot.SettingsVariable))
 	if err != nil {
 		return err
 	}
@@ -149,7 +149,7 @@
 	defer careless.mutex.Unlock()
 	careless.takenOut = map[string]bool{}
 	for _, row := range rows {
-		if dataCentre, ok := strings.CutPrefix(row.Key, dogwoodwire.OutPrefix); ok {
+		if dataCentre, ok := strings.CutPrefix(row.Key, dogwoodwire.TakenOutPrefix); ok {
 			careless.takenOut[dataCentre] = true
 			continue
 		}
--- a/dogwoodload/dogwoodsoak/daemon.go
+++ b/dogwoodload/dogwoodsoak/daemon.go
@@ -48,7 +48,7 @@
 		VM: name, DataCentre: dataCentres[number%len(dataCentres)], DataCentres: dataCentres, Address: address,
 		Store: store.Address(), FirstStart: true, Bounds: daemonBounds,
 	}
-	if daemon.callersProxy, err = site.startProxy(ctx, daemon.settings.Callers()); err != nil {
+	if daemon.callersProxy, err = site.startProxy(ctx, daemon.settings.CallersAddress()); err != nil {
 		return err
 	}
 	site.daemons = append(site.daemons, daemon)
--- a/dogwoodload/dogwoodsoak/history.go
+++ b/dogwoodload/dogwoodsoak/history.go
@@ -35,7 +35,7 @@
 		if endpoint.service != engineName {
 			continue
 		}
-		tokens, err := dogwoodstandin.ReservedAt(ctx, endpoint.address)
+		tokens, err := dogwoodstandin.FetchReservedTokens(ctx, endpoint.address)
 		if err != nil {
 			return nil, err
 		}
--- a/dogwoodload/dogwoodsoak/operators.go
+++ b/dogwoodload/dogwoodsoak/operators.go
@@ -17,7 +17,7 @@
 	faults := dogwoodstandin.StoreFaults{}
 	switch step.Kind {
 	case dogwoodsoakplan.StoreForgets:
-		return site.recordFault(&site.storeMutex, storeFault, func() error { return site.control.Forget(ctx) })
+		return site.recordFault(&site.storeMutex, storeFault, func() error { return site.control.DropHistory(ctx) })
 	case dogwoodsoakplan.TextChanged:
 		return site.publish(ctx, nil)
 	case dogwoodsoakplan.StoreDown:
--- a/dogwoodload/dogwoodsoak/site.go
+++ b/dogwoodload/dogwoodsoak/site.go
@@ -111,7 +111,7 @@
 	daemonAddresses := make([]dogwoodsoakcaller.Daemon, len(site.daemons))
 	for i, daemon := range site.daemons {
 		daemonAddresses[i] = dogwoodsoakcaller.Daemon{
-			Name: daemon.name, Address: daemon.settings.Callers(), By: daemon.callersProxy.Address(), Directory: daemon.settings.Directory(),
+			Name: daemon.name, Address: daemon.settings.CallersAddress(), By: daemon.callersProxy.Address(), Directory: daemon.settings.Directory(),
 		}
 	}
 	site.callers = dogwoodsoakcaller.New(dogwoodsoakcaller.Options{
--- a/dogwoodload/dogwoodstandinrun/run.go
+++ b/dogwoodload/dogwoodstandinrun/run.go
@@ -109,8 +109,8 @@
 		options: options, recorder: recorder, control: dogwoodstandin.NewStoreControl(options.Store), recordErrors: make(chan error, 1),
 		signals: make(chan os.Signal, 4), //nolint:mnd // room for signals of both kinds while one is handled
 	}
-	options.Endpoint.Announced = options.Announced
-	options.Endpoint.EventEvery, options.Endpoint.MemoryTokens = options.Endpoint.Work, dogwoodstandin.EngineMemoryTokens
+	options.Endpoint.AnnouncedAddress = options.Announced
+	options.Endpoint.EventInterval, options.Endpoint.MemoryTokens = options.Endpoint.Work, dogwoodstandin.EngineMemoryTokens
 	options.Endpoint.Record = func(arrival dogwoodstandin.Arrival) { running.record(dogwoodstandin.Record{Arrival: &arrival}) }
 	running.endpoint = dogwoodstandin.NewEndpoint(options.Endpoint)
 	signal.Notify(running.signals, syscall.SIGTERM, syscall.SIGHUP)
--- a/dogwoodlocal/dogwoodenginestandin/gang.go
+++ b/dogwoodlocal/dogwoodenginestandin/gang.go
@@ -65,7 +65,7 @@
 		engine.mutex.Lock()
 		defer engine.mutex.Unlock()
 		if engine.find(sequence.id) == sequence && !sequence.ended() {
-			sequence.end(dogwoodengine.PhaseFailed, dogwoodengine.CodeGangLost, time.Now())
+			sequence.end(dogwoodengine.PhaseFailed, dogwoodengine.CodeGangMemberLost, time.Now())
 		}
 	})
 }
--- a/dogwoodlocal/dogwoodenginestandin/streaming.go
+++ b/dogwoodlocal/dogwoodenginestandin/streaming.go
@@ -118,7 +118,7 @@
 		return
 	}
 	engine.mutex.Unlock()
-	last, found := strings.CutPrefix(request.Header.Get(dogwoodengine.HeaderLastEvent), id+"/")
+	last, found := strings.CutPrefix(request.Header.Get(dogwoodengine.HeaderLastEventID), id+"/")
 	from, err := strconv.Atoi(cmp.Or(last, "-1"))
 	if err != nil || (last != "" && !found) {
 		writeJSON(writer, http.StatusBadRequest, dogwoodengine.Refused{Detail: "last event id of another request"})
@@ -185,13 +185,13 @@
 // writeUpdate writes the events before the index end. The caller's flush reports failed writes.
 func writeUpdate(writer io.Writer, known *sequence, update streamUpdate, end int, progress bool) {
 	if progress {
-		_, _ = fmt.Fprintf(writer, "event: %s\ndata: {\"PrefilledTokens\":%d,\"PromptTokens\":%d}\n\n", dogwoodengine.EventProgress, update.prefilled, known.promptTokens)
+		_, _ = fmt.Fprintf(writer, "event: %s\ndata: {\"PrefilledTokens\":%d,\"PromptTokens\":%d}\n\n", dogwoodengine.EventTypeProgress, update.prefilled, known.promptTokens)
 	}
 	first := end - len(update.chunks)
 	for offset, chunk := range update.chunks {
 		_, _ = fmt.Fprintf(writer, "id: %s/%d\ndata: %s\n\n", known.id, first+offset, chunk)
 	}
 	if update.failure != "" {
-		_, _ = fmt.Fprintf(writer, "event: %s\ndata: {\"error\":{\"code\":%q,\"message\":%q}}\n\n", dogwoodengine.EventError, update.failure, update.failure)
+		_, _ = fmt.Fprintf(writer, "event: %s\ndata: {\"error\":{\"code\":%q,\"message\":%q}}\n\n", dogwoodengine.EventTypeError, update.failure, update.failure)
 	}
 }
--- a/dogwoodlocal/dogwoodinterleave/change_test.go
+++ b/dogwoodlocal/dogwoodinterleave/change_test.go
@@ -183,7 +183,7 @@
 	scenario.store.SetFaults(dogwoodplatformstandin.Faults{})
 	for range 2 {
 		for _, daemonLog := range scenario.logs {
-			if left := daemonLog.log.KeepProvisional(t.Context()); left > 0 {
+			if left := daemonLog.log.StoreProvisional(t.Context()); left > 0 {
 				t.Errorf("got %d provisional take-outs left, want 0", left)
 			}
 		}
@@ -382,7 +382,7 @@
 		}
 		group.Wait()
 		store.SetFaults(dogwoodplatformstandin.Faults{})
-		if left := log.KeepProvisional(t.Context()); left != 0 {
+		if left := log.StoreProvisional(t.Context()); left != 0 {
 			t.Errorf("got %d provisional, want 0", left)
 		}
 		if got := len(log.Since(0).Changes); got != 3 {
--- a/dogwoodlocal/dogwoodinterleave/lease_test.go
+++ b/dogwoodlocal/dogwoodinterleave/lease_test.go
@@ -147,7 +147,7 @@
 	started := &daemon{
 		name: dogwoodfleet.InstanceID(name),
 		holder: dogwoodlease.New(dogwoodlease.Options{
-			Store: store, Self: dogwoodfleet.InstanceID(name), Term: term, LongestOrder: longestOrder,
+			Store: store, Self: dogwoodfleet.InstanceID(name), Term: term, OrderTimeout: longestOrder,
 		}),
 		store: store, ctx: ctx, kill: cancel,
 	}
@@ -227,7 +227,7 @@
 					shards = append(shards, shard)
 				}
 			}
-			daemon.holder.Want(shards)
+			daemon.holder.SetWanted(shards)
 		}
 		if wait(ctx, scenario.random.duration(40*time.Second)) != nil {
 			return
@@ -287,7 +287,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				scenario := newLeaseScenario(rand.New(rand.NewPCG(1, 1)))
 				first := scenario.start(t, "first")
-				first.holder.Want([]string{"ignores"})
+				first.holder.SetWanted([]string{"ignores"})
 				before := waitForFence(t, first, term)
 				first.kill()
 				scenario.group.Wait()
@@ -297,7 +297,7 @@
 					}
 				}
 				second := scenario.start(t, "second")
-				second.holder.Want([]string{"ignores"})
+				second.holder.SetWanted([]string{"ignores"})
 				after := waitForFence(t, second, test.within)
 				if after.Number <= before.Number {
 					t.Errorf("got fence %d after %d, want a higher one", after.Number, before.Number)
@@ -340,7 +340,7 @@
 				for shard := range test.shards {
 					shards = append(shards, fmt.Sprintf("%d-%d", i, shard))
 				}
-				daemon.holder.Want(shards)
+				daemon.holder.SetWanted(shards)
 			}
 			time.Sleep(time.Minute)
 			writesBefore, _ := scenario.store.Writes()
--- a/dogwoodlocal/dogwoodinterleave/spread_test.go
+++ b/dogwoodlocal/dogwoodinterleave/spread_test.go
@@ -120,7 +120,7 @@
 	case dogwoodchanges.Name + ".Push":
 		return receiver.Push(args.(dogwoodchange.News), reply.(*uint64))
 	case dogwoodchanges.Name + ".Exchange":
-		return receiver.Exchange(args.(dogwoodchanges.Ask), reply.(*dogwoodchanges.Told))
+		return receiver.Exchange(args.(dogwoodchanges.ExchangeRequest), reply.(*dogwoodchanges.Told))
 	case dogwoodchanges.Name + ".Status":
 		return receiver.Status(true, reply.(*dogwoodchanges.Status))
 	}
--- a/dogwoodlocal/dogwoodplatformstandin/handlers.go
+++ b/dogwoodlocal/dogwoodplatformstandin/handlers.go
@@ -40,7 +40,7 @@
 	case !ok:
 		writer.WriteHeader(http.StatusNotFound)
 	default:
-		writer.Header().Set("ETag", dogwoodplatform.Tag(row.Version))
+		writer.Header().Set("ETag", dogwoodplatform.ETag(row.Version))
 		_, _ = writer.Write(row.Value)
 	}
 }
@@ -97,7 +97,7 @@
 		writeError(writer, err)
 		return
 	}
-	writer.Header().Set("ETag", dogwoodplatform.Tag(versions[0]))
+	writer.Header().Set("ETag", dogwoodplatform.ETag(versions[0]))
 	if write.Version == 0 {
 		writer.WriteHeader(http.StatusCreated)
 	}
