--- a/core/decision/dogwoodadmission/doc.go
+++ b/core/decision/dogwoodadmission/doc.go
@@ -27,7 +27,7 @@
 	// over 100,000 tokens; the next lower class bound puts those, and not the ordinary
 	// prompts, into the long band.
 	LongPromptTokens = 64_000
-	// LongShare is the minimum share of the served cost that waiting long work gets while
+	// MinLongShare is the minimum share of the served cost that waiting long work gets while
 	// short work waits too. A fiftieth of the requests, at a hundred times the median cost,
 	// makes up two thirds of the demand by cost. A fifth lets each long prompt start within
 	// its deadline of minutes and leaves four fifths of the slots to short ones.
@@ -37,7 +37,7 @@
 	// ratio of 125; published price ratios lie between 3 and 5. The geometric mean of these
 	// extremes is about 24.
 	DecodeCost = 24
-	// Patience bounds, as a multiple of a request's predicted service time, how long later
+	// MaxDelayFactor bounds, as a multiple of a request's predicted service time, how long later
 	// and shorter work of the same customer may delay it. Users of interactive systems
 	// still attribute a fourfold slowdown to the answer itself. With it a 0.3 s draft goes
 	// before a 5 s review that arrived up to 19 s earlier.
--- a/core/decision/dogwoodadmission/queue.go
+++ b/core/decision/dogwoodadmission/queue.go
@@ -348,7 +348,7 @@
 	queue.correction += correctionGain * (ratio - queue.correction)
 }
 
-// GiveUp removes work that can no longer meet its deadline and updates the correction with
+// Expire removes work that can no longer meet its deadline and updates the correction with
 // its wait. If only served work updated it, the wait in an overlong queue would be
 // underestimated.
 func (queue *Queue) Expire(now time.Time, work *Work) {
@@ -377,7 +377,7 @@
 	queue.DropIdle()
 }
 
-// Forget drops customers that have no waiting work and whose start tags aren't ahead of the
+// DropIdle drops customers that have no waiting work and whose start tags aren't ahead of the
 // virtual time, so that customers that never return hold no memory. Call it periodically.
 func (queue *Queue) DropIdle() {
 	for customer, account := range queue.accounts {
--- a/core/decision/dogwoodadmission/work.go
+++ b/core/decision/dogwoodadmission/work.go
@@ -36,7 +36,7 @@
 	return work.Deadline.Add(-work.service)
 }
 
-// computeRank returns the rank that orders a customer's work: the arrival time plus Patience
+// computeRank returns the rank that orders a customer's work: the arrival time plus MaxDelayFactor
 // times the expected service time. Short work therefore goes before long work that arrived
 // slightly earlier, and work that arrives after the rank of long work never overtakes it.
 // Near its latest start, work is ranked by that time instead.
--- a/core/decision/dogwoodburn/report.go
+++ b/core/decision/dogwoodburn/report.go
@@ -87,7 +87,7 @@
 	Burn  float64
 }
 
-// Make computes the report from the snapshots of several daemons. Of two snapshots of one
+// NewReport computes the report from the snapshots of several daemons. Of two snapshots of one
 // instance it uses the newer.
 func NewReport(now time.Time, text *dogwoodsettings.Text, snapshots []Snapshot) Report {
 	report := Report{At: now}
--- a/core/decision/dogwoodenginetime/enginetime.go
+++ b/core/decision/dogwoodenginetime/enginetime.go
@@ -42,7 +42,7 @@
 	return engine.TokensPerSecond > 0 && engine.Slots > 0
 }
 
-// Read returns the time to prefill a prompt that is split evenly across the given number of
+// PrefillTime returns the time to prefill a prompt that is split evenly across the given number of
 // idle engines. It returns 0 if the figures do not suffice for predictions.
 func (engine *Engine) PrefillTime(tokens, engines int) time.Duration {
 	if !engine.Known() || tokens <= 0 {
@@ -54,7 +54,7 @@
 	return time.Duration((linear + pairs*float64(engine.PerMillionPairs)) / parts)
 }
 
-// Pass returns the time of one pass of an engine that is decoding for the given number of
+// PassTime returns the time of one pass of an engine that is decoding for the given number of
 // requests with the given total context and does not prefill.
 func (engine *Engine) PassTime(decodingRequests, contextTokens int) time.Duration {
 	step := engine.Step + time.Duration(decodingRequests)*engine.PerRequest + time.Duration(float64(contextTokens)/1000*float64(engine.PerThousand))
@@ -67,7 +67,7 @@
 	Queued time.Duration
 	// QueuedTokens is the number of tokens in these prompts.
 	QueuedTokens int
-	// Writers is the number of decoding requests, ContextTokens the total of their contexts.
+	// DecodingRequests is the number of decoding requests, ContextTokens the total of their contexts.
 	DecodingRequests, ContextTokens int
 }
 
--- a/core/decision/dogwoodfreshness/freshness.go
+++ b/core/decision/dogwoodfreshness/freshness.go
@@ -19,7 +19,7 @@
 // Clock returns the time since an arbitrary fixed point, including time spent suspended.
 type Clock func() time.Duration
 
-// Proof tracks the time of the store's last confirmation. It is safe for concurrent use.
+// Tracker tracks the time of the store's last confirmation. It is safe for concurrent use.
 type Tracker struct {
 	clock Clock
 
@@ -28,36 +28,36 @@
 	confirmedAt time.Duration
 }
 
-// New returns a Proof without any confirmation.
+// New returns a Tracker without any confirmation.
 func New(clock Clock) *Tracker {
 	return &Tracker{clock: clock}
 }
 
 // Now returns the current time of the clock. Callers take it before they query the store and pass
-// it to Prove once the store has answered.
-func (proof *Tracker) Now() time.Duration {
-	return proof.clock()
+// it to Confirm once the store has answered.
+func (tracker *Tracker) Now() time.Duration {
+	return tracker.clock()
 }
 
-// Prove records that the store answered a query that was sent at asked. A query older than the last
+// Confirm records that the store answered a query that was sent at asked. A query older than the last
 // confirmation has no effect.
-func (proof *Tracker) Confirm(asked time.Duration) {
-	proof.mutex.Lock()
-	defer proof.mutex.Unlock()
-	if !proof.confirmed || asked > proof.confirmedAt {
-		proof.confirmed, proof.confirmedAt = true, asked
+func (tracker *Tracker) Confirm(asked time.Duration) {
+	tracker.mutex.Lock()
+	defer tracker.mutex.Unlock()
+	if !tracker.confirmed || asked > tracker.confirmedAt {
+		tracker.confirmed, tracker.confirmedAt = true, asked
 	}
 }
 
 // Age returns the age of the last confirmation, and false if there was none.
-func (proof *Tracker) Age() (time.Duration, bool) {
-	proof.mutex.Lock()
-	defer proof.mutex.Unlock()
-	return proof.clock() - proof.confirmedAt, proof.confirmed
+func (tracker *Tracker) Age() (time.Duration, bool) {
+	tracker.mutex.Lock()
+	defer tracker.mutex.Unlock()
+	return tracker.clock() - tracker.confirmedAt, tracker.confirmed
 }
 
 // Within reports whether the last confirmation is younger than the bound.
-func (proof *Tracker) Within(bound time.Duration) bool {
-	age, proven := proof.Age()
+func (tracker *Tracker) Within(bound time.Duration) bool {
+	age, proven := tracker.Age()
 	return proven && age < bound
 }
--- a/core/decision/dogwoodfreshness/freshness_test.go
+++ b/core/decision/dogwoodfreshness/freshness_test.go
@@ -13,18 +13,18 @@
 // age must count from the last answered query and continue to grow while queries go unanswered.
 func TestUnansweredQueriesConfirmNothing(t *testing.T) {
 	clock := &fakeClock{}
-	proof := New(clock.read)
-	if proof.Within(time.Hour) {
+	tracker := New(clock.read)
+	if tracker.Within(time.Hour) {
 		t.Error("got a confirmation before any answer, want none")
 	}
-	asked := proof.Now()
+	asked := tracker.Now()
 	clock.now += 100 * time.Millisecond
-	proof.Confirm(asked)
+	tracker.Confirm(asked)
 	clock.now += 4 * time.Second
-	if got, want := proof.Within(4*time.Second), false; got != want {
+	if got, want := tracker.Within(4*time.Second), false; got != want {
 		t.Errorf("got within 4 s: %v, want %v: the answer counts from the time of the query", got, want)
 	}
-	if got, want := proof.Within(5*time.Second), true; got != want {
+	if got, want := tracker.Within(5*time.Second), true; got != want {
 		t.Errorf("got within 5 s: %v, want %v", got, want)
 	}
 }
@@ -33,10 +33,10 @@
 // suspension of one minute, the last confirmation must be one minute old immediately.
 func TestSuspensionCountsTowardsAge(t *testing.T) {
 	clock := &fakeClock{}
-	proof := New(clock.read)
-	proof.Confirm(proof.Now())
+	tracker := New(clock.read)
+	tracker.Confirm(tracker.Now())
 	clock.now += time.Minute
-	if proof.Within(5 * time.Second) {
+	if tracker.Within(5 * time.Second) {
 		t.Error("got a recent confirmation after a suspension, want an old one")
 	}
 }
@@ -44,10 +44,10 @@
 // Answers of the store may arrive out of order. An older one must not replace a later confirmation.
 func TestOlderAnswerHasNoEffect(t *testing.T) {
 	clock := &fakeClock{now: time.Minute}
-	proof := New(clock.read)
-	proof.Confirm(time.Minute)
-	proof.Confirm(time.Second)
-	if got, _ := proof.Age(); got != 0 {
+	tracker := New(clock.read)
+	tracker.Confirm(time.Minute)
+	tracker.Confirm(time.Second)
+	if got, _ := tracker.Age(); got != 0 {
 		t.Errorf("got age %s, want 0", got)
 	}
 }
--- a/core/decision/dogwoodhubs/hubs.go
+++ b/core/decision/dogwoodhubs/hubs.go
@@ -124,13 +124,13 @@
 	return cmp.Or(cmp.Compare(b.cores(), a.cores()), cmp.Compare(a.tieBreak(), b.tieBreak()))
 }
 
-// JoinPause returns the mean delay before a daemon that found no hub offers itself as one. Larger
+// JoinDelay returns the mean delay before a daemon that found no hub offers itself as one. Larger
 // daemons wait less, so smaller ones find them as hubs.
 func JoinDelay(cores float64) time.Duration {
 	return time.Duration(float64(baseJoinDelay) / max(Daemon{Cores: cores}.cores(), minJoinCores))
 }
 
-// Readers returns the hubs from which the hub self reads the store's contents, in order of
+// StoreReaders returns the hubs from which the hub self reads the store's contents, in order of
 // preference, or none if self reads the store directly. All hubs prefer the same one, which reads
 // the store, so that a large fleet reads it no more often than one daemon. The fallbacks are in
 // other data centres and replace it in order when it fails. In a small fleet every hub reads the
--- a/core/decision/dogwoodhubs/sharers.go
+++ b/core/decision/dogwoodhubs/sharers.go
@@ -6,7 +6,7 @@
 // callers that still use the address of a leaf.
 const hubShare = 0.8
 
-// Sharers returns the number by which a fleet-wide allowance is divided to get one daemon's share.
+// AllowanceDivisor returns the number by which a fleet-wide allowance is divided to get one daemon's share.
 // Hubs get a larger share than leaves: if an allowance of a hundred retries were divided evenly
 // among sixty daemons, each would get one or two, and the few that serve nearly all requests would
 // reject retries while the shares of the others stay unused.
--- a/core/decision/dogwoodlimit/limiter.go
+++ b/core/decision/dogwoodlimit/limiter.go
@@ -148,7 +148,7 @@
 	return max(1, int(limiter.limit))
 }
 
-// Opens returns the time before which a failed endpoint gets no requests.
+// BlockedUntil returns the time before which a failed endpoint gets no requests.
 func (limiter *Limiter) BlockedUntil() time.Time {
 	return limiter.blockedUntil
 }
@@ -176,7 +176,7 @@
 	return max(limiter.recentRatio, 1)
 }
 
-// Measured returns when an answer last updated Slowness.
+// MeasuredAt returns when an answer last updated Slowness.
 func (limiter *Limiter) MeasuredAt() time.Time {
 	return limiter.measuredAt
 }
--- a/core/decision/dogwoodmemory/ledger.go
+++ b/core/decision/dogwoodmemory/ledger.go
@@ -36,7 +36,7 @@
 var Error = errs.Class("memory")
 
 const (
-	// LapseGrace is how long a hold is kept after its lease expires. Process pauses and broken
+	// ExpiryGrace is how long a hold is kept after its lease expires. Process pauses and broken
 	// connections between daemons commonly last some seconds, and cancelling a stream that its
 	// caller still reads is worse than holding an engine's memory for ten seconds longer.
 	ExpiryGrace = 10 * time.Second
@@ -46,7 +46,7 @@
 	UnclaimedGrace = 30 * time.Second
 	// DrainGrace is how long the entry daemon that ended a request has to cancel it.
 	DrainGrace = 5 * time.Second
-	// InFlight is how long a request that its holder ended may still be in transit to the
+	// InFlightGrace is how long a request that its holder ended may still be in transit to the
 	// engine. The engine client's timeout for connecting is two seconds.
 	InFlightGrace = 2 * time.Second
 	// endedTTL is how long an ended request is remembered, so that an answer requested
@@ -103,11 +103,11 @@
 	}
 }
 
-// NoRoom reports that a hold does not fit into the memory that is free now.
+// InsufficientMemory reports that a hold does not fit into the memory that is free now.
 type InsufficientMemory struct{ Free int }
 
-func (room *InsufficientMemory) Error() string {
-	return fmt.Sprintf("memory: %d tokens are free", room.Free)
+func (insufficient *InsufficientMemory) Error() string {
+	return fmt.Sprintf("memory: %d tokens are free", insufficient.Free)
 }
 
 // Hold is memory reserved for a request.
@@ -132,7 +132,7 @@
 // SetMemory sets the engine's memory, for use before its first report.
 func (ledger *Ledger) SetMemory(tokens int) { ledger.memory = tokens }
 
-// Reserve adds a hold for a request that is about to be sent. It returns *NoRoom if the hold
+// Reserve adds a hold for a request that is about to be sent. It returns *InsufficientMemory if the hold
 // does not fit.
 func (ledger *Ledger) Reserve(wanted Hold, now time.Time) error {
 	if hold := ledger.holds[wanted.Request]; hold != nil {
--- a/core/decision/dogwoodmemory/memory_test.go
+++ b/core/decision/dogwoodmemory/memory_test.go
@@ -109,7 +109,7 @@
 }
 
 func TestPlanGang(t *testing.T) {
-	rooms := []EngineMemory{
+	engines := []EngineMemory{
 		{Endpoint: "d", Memory: 400_000, Free: 400_000},
 		{Endpoint: "b", Memory: 400_000, Free: 400_000},
 		{Endpoint: "c", Memory: 400_000, Free: 100_000},
@@ -128,7 +128,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			gang, err := PlanGang(test.tokens, rooms)
+			gang, err := PlanGang(test.tokens, engines)
 			var large *TooLarge
 			if errors.As(err, &large) && large.LimitTokens != test.wantMax {
 				t.Errorf("got maximum %d, want %d", large.LimitTokens, test.wantMax)
--- a/core/decision/dogwoodpacking/board.go
+++ b/core/decision/dogwoodpacking/board.go
@@ -149,13 +149,13 @@
 	board.notifyChange()
 }
 
-// SetSeen sets how many of the expected daemons announce their work here. A daemon that sees
+// SetVisibleDaemons sets how many of the expected daemons announce their work here. A daemon that sees
 // only some of them packs only that share of an engine's slots: after all daemons were killed at
 // once, each would otherwise fill the same engines on its own.
-func (board *Board) SetVisibleDaemons(seen, expected int) {
+func (board *Board) SetVisibleDaemons(visible, expected int) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
-	board.seenShare = min(float64(max(seen, 1))/float64(max(expected, 1)), 1)
+	board.seenShare = min(float64(max(visible, 1))/float64(max(expected, 1)), 1)
 }
 
 // Changed returns a channel that is closed when an endpoint or a slot of this daemon may have
@@ -229,7 +229,7 @@
 	board.notifyChange()
 }
 
-// Works returns the work of all daemons but one.
+// WorkExcept returns the work of all daemons but one.
 func (board *Board) WorkExcept(except dogwoodfleet.InstanceID) []Work {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
@@ -242,7 +242,7 @@
 	return works
 }
 
-// Replace records the complete work of the other daemons, and drops work of theirs that is not
+// ReplacePeerWork records the complete work of the other daemons, and drops work of theirs that is not
 // listed.
 func (board *Board) ReplacePeerWork(now time.Time, works []Work) {
 	board.mutex.Lock()
--- a/core/decision/dogwoodpacking/choose.go
+++ b/core/decision/dogwoodpacking/choose.go
@@ -26,7 +26,7 @@
 	failureCost = 6
 )
 
-// Ask is a request to be placed.
+// PlacementRequest is a request to be placed.
 type PlacementRequest struct {
 	ID      WorkID
 	Holder  dogwoodfleet.InstanceID
@@ -85,36 +85,36 @@
 
 // Place selects an endpoint and records the request there, so that later decisions take it into
 // account.
-func (board *Board) Place(now time.Time, ask *PlacementRequest) (Placement, Refusal) {
+func (board *Board) Place(now time.Time, request *PlacementRequest) (Placement, Refusal) {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
-	candidates, refusal := board.candidates(now, ask)
+	candidates, refusal := board.candidates(now, request)
 	if refusal != Placed {
 		return Placement{}, refusal
 	}
 	var placement Placement
-	if engine := candidates[0].Engine; engine == nil || !engine.Known() || ask.Prompt == 0 {
-		placement = choosePlain(now, ask, candidates)
+	if engine := candidates[0].Engine; engine == nil || !engine.Known() || request.Prompt == 0 {
+		placement = choosePlain(now, request, candidates)
 	} else {
-		placement, refusal = board.chooseEngines(now, ask, candidates)
+		placement, refusal = board.chooseEngines(now, request, candidates)
 	}
 	if refusal != Placed {
 		return Placement{}, refusal
 	}
 	placement.Load = board.endpoints[placement.Endpoint.ID].load(now)
-	placement.Work = newWork(now, ask, &placement)
+	placement.Work = newWork(now, request, &placement)
 	board.put(now, placement.Work)
 	return placement, Placed
 }
 
-func newWork(now time.Time, ask *PlacementRequest, placement *Placement) Work {
+func newWork(now time.Time, request *PlacementRequest, placement *Placement) Work {
 	work := Work{
-		ID: ask.ID, Holder: ask.Holder, Service: ask.Service, Endpoint: placement.Endpoint.ID,
-		Tokens: ask.Prompt + ask.Answer, Prompt: ask.Prompt, Begun: now, Until: ask.Until,
+		ID: request.ID, Holder: request.Holder, Service: request.Service, Endpoint: placement.Endpoint.ID,
+		Tokens: request.Prompt + request.Answer, Prompt: request.Prompt, Begun: now, Until: request.Until,
 	}
 	if engine := placement.Endpoint.Engine; engine != nil {
-		work.Reading = engine.PrefillTime(ask.Prompt, 1+len(placement.Helpers))
-		work.Aim, work.Pause = ask.Aim, ask.Pause
+		work.Reading = engine.PrefillTime(request.Prompt, 1+len(placement.Helpers))
+		work.Aim, work.Pause = request.Aim, request.Pause
 	}
 	for _, helper := range placement.Helpers {
 		work.Helpers = append(work.Helpers, Part{Endpoint: helper.Endpoint.ID, Tokens: helper.Tokens})
@@ -122,12 +122,12 @@
 	return work
 }
 
-// Other reports whether the service has an endpoint in force that is not in ask.Avoid.
-func (board *Board) HasOtherEndpoint(ask *PlacementRequest) bool {
+// HasOtherEndpoint reports whether the service has an endpoint in force that is not in request.Avoid.
+func (board *Board) HasOtherEndpoint(request *PlacementRequest) bool {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
 	for _, state := range board.endpoints {
-		if state.Service == ask.Service && state.InForce && !slices.Contains(ask.Avoid, state.ID) {
+		if state.Service == request.Service && state.InForce && !slices.Contains(request.Avoid, state.ID) {
 			return true
 		}
 	}
@@ -135,14 +135,14 @@
 }
 
 // candidates returns the endpoints that may get the request now, sorted by the daemon's ranks.
-func (board *Board) candidates(now time.Time, ask *PlacementRequest) ([]*endpointState, Refusal) {
+func (board *Board) candidates(now time.Time, request *PlacementRequest) ([]*endpointState, Refusal) {
 	found, requestCount := false, 0
 	available, healthy := board.scratch.available[:0], board.scratch.healthy[:0]
 	for _, state := range board.ranked {
 		if len(available) == maxSurveyed && available[0].Engine != nil {
 			break
 		}
-		if state.Service != ask.Service || !state.InForce || slices.Contains(ask.Avoid, state.ID) {
+		if state.Service != request.Service || !state.InForce || slices.Contains(request.Avoid, state.ID) {
 			continue
 		}
 		found = true
@@ -176,12 +176,12 @@
 
 // choosePlain selects the endpoint with the fewest requests, where a recent failure counts as
 // several. Ties are resolved in favour of the daemon's own data centre, then at random.
-func choosePlain(now time.Time, ask *PlacementRequest, candidates []*endpointState) Placement {
+func choosePlain(now time.Time, request *PlacementRequest, candidates []*endpointState) Placement {
 	rand.Shuffle(len(candidates), func(i, j int) { candidates[i], candidates[j] = candidates[j], candidates[i] })
 	best := slices.MinFunc(candidates, func(a, b *endpointState) int {
 		return cmp.Or(
 			cmp.Compare(a.plainCost(now), b.plainCost(now)),
-			cmp.Compare(distance(ask, a), distance(ask, b)),
+			cmp.Compare(distance(request, a), distance(request, b)),
 		)
 	})
 	return Placement{Endpoint: best.Endpoint}
@@ -191,8 +191,8 @@
 	return float64(len(state.work)) + failureCost*state.health.recentFailures(now)
 }
 
-func distance(ask *PlacementRequest, state *endpointState) int {
-	if state.Place.DataCentre == ask.Origin.DataCentre {
+func distance(request *PlacementRequest, state *endpointState) int {
+	if state.Place.DataCentre == request.Origin.DataCentre {
 		return 0
 	}
 	return 1
--- a/core/decision/dogwoodpacking/cold.go
+++ b/core/decision/dogwoodpacking/cold.go
@@ -50,7 +50,7 @@
 	// Count is the number of these daemons, Index the position of this one among them. All
 	// daemons use the same order.
 	Count, Index int
-	// StandsBy is true if this daemon does not accept callers.
+	// Standby is true if this daemon does not accept callers.
 	Standby bool
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// OwnSent returns the number of requests that this daemon sent within the last second.
+// RecentOwnSends returns the number of requests that this daemon sent within the last second.
 func (board *Board) RecentOwnSends(now time.Time) int {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
--- a/core/decision/dogwoodpacking/cold_test.go
+++ b/core/decision/dogwoodpacking/cold_test.go
@@ -20,10 +20,10 @@
 		board.SetSenders(Senders{Count: daemons, Standby: standby})
 		count := 0
 		for i := range 50 {
-			ask := short(now, 3_000)
-			if _, refusal := board.Place(now.Add(time.Duration(i)*10*time.Millisecond), ask); refusal == Placed {
+			request := short(now, 3_000)
+			if _, refusal := board.Place(now.Add(time.Duration(i)*10*time.Millisecond), request); refusal == Placed {
 				count++
-				board.End(ask.ID)
+				board.End(request.ID)
 			}
 		}
 		return count
@@ -51,10 +51,10 @@
 		board.SetEndpoints([]Endpoint{endpoint})
 		board.SetSenders(Senders{Count: daemons})
 		for i := range 50 {
-			ask := short(now, 3_000)
-			if _, refusal := board.Place(now.Add(time.Duration(i)*time.Millisecond), ask); refusal == Placed {
+			request := short(now, 3_000)
+			if _, refusal := board.Place(now.Add(time.Duration(i)*time.Millisecond), request); refusal == Placed {
 				inBurst++
-				board.End(ask.ID)
+				board.End(request.ID)
 			}
 		}
 	}
@@ -65,10 +65,10 @@
 	board.SetEndpoints([]Endpoint{endpoint})
 	board.SetSenders(Senders{Count: daemons})
 	for i := range 50 {
-		ask := short(now, 3_000)
-		if _, refusal := board.Place(now.Add(time.Duration(i)*20*time.Millisecond), ask); refusal == Placed {
+		request := short(now, 3_000)
+		if _, refusal := board.Place(now.Add(time.Duration(i)*20*time.Millisecond), request); refusal == Placed {
 			spreadOut++
-			board.End(ask.ID)
+			board.End(request.ID)
 		}
 	}
 	if got, minimum := spreadOut, coldRate; got < minimum {
@@ -82,9 +82,9 @@
 	board, now := pool(1), time.Now()
 	for range 500 {
 		now = now.Add(100 * time.Millisecond)
-		ask := short(now, 3_000)
-		mustPlace(t, board, now, ask)
-		board.End(ask.ID)
+		request := short(now, 3_000)
+		mustPlace(t, board, now, request)
+		board.End(request.ID)
 	}
 	state := board.endpoints["e00"]
 	if got, limit := len(state.sends)+len(state.ownSends), 2*10; got > limit {
--- a/core/decision/dogwoodpacking/engines.go
+++ b/core/decision/dogwoodpacking/engines.go
@@ -123,8 +123,8 @@
 
 // search holds the state of finding the best way to prefill one prompt.
 type search struct {
-	now time.Time
-	ask *PlacementRequest
+	now     time.Time
+	request *PlacementRequest
 	// waited is how long the request has waited.
 	waited  time.Duration
 	engines []engine
@@ -144,11 +144,11 @@
 // time, with as few helpers as possible. Helpers must also keep the pauses of the answers that they
 // will decode soon: an engine that only prefills now starts to decode once its own prompt is
 // prefilled.
-func (board *Board) chooseEngines(now time.Time, ask *PlacementRequest, candidates []*endpointState) (Placement, Refusal) {
-	if board.seenShare < minSeenShare && ask.CanWait && ask.Prompt >= dogwoodenginetime.LongPrompt {
+func (board *Board) chooseEngines(now time.Time, request *PlacementRequest, candidates []*endpointState) (Placement, Refusal) {
+	if board.seenShare < minSeenShare && request.CanWait && request.Prompt >= dogwoodenginetime.LongPrompt {
 		return Placement{}, Full
 	}
-	search := board.newSearch(now, ask, candidates)
+	search := board.newSearch(now, request, candidates)
 	if search.minEngines > 1+maxHelpers {
 		return Placement{}, TooLarge
 	}
@@ -164,16 +164,16 @@
 	return search.placement(found), Placed
 }
 
-func (board *Board) newSearch(now time.Time, ask *PlacementRequest, candidates []*endpointState) *search {
+func (board *Board) newSearch(now time.Time, request *PlacementRequest, candidates []*endpointState) *search {
 	search := &search{
-		now: now, ask: ask, engines: board.survey(now, candidates), prefillLimit: time.Duration(aimShare * float64(ask.Aim)),
+		now: now, request: request, engines: board.survey(now, candidates), prefillLimit: time.Duration(aimShare * float64(request.Aim)),
 		primaries: board.scratch.primaries[:0], helpers: board.scratch.helpers[:0],
 	}
-	if !ask.Arrived.IsZero() {
-		search.waited = now.Sub(ask.Arrived)
+	if !request.Arrived.IsZero() {
+		search.waited = now.Sub(request.Arrived)
 	}
 	memory := usableMemory(candidates[0])
-	search.minEngines = max((ask.Prompt+ask.Answer+memory-1)/memory, 1)
+	search.minEngines = max((request.Prompt+request.Answer+memory-1)/memory, 1)
 	for i := range search.engines {
 		engine := &search.engines[i]
 		if !engine.failing {
@@ -211,16 +211,16 @@
 
 // memoryPerEngine returns the tokens that each of minEngines engines holds in its memory.
 func (search *search) memoryPerEngine() int {
-	return (search.ask.Prompt + search.ask.Answer + search.minEngines - 1) / search.minEngines
+	return (search.request.Prompt + search.request.Answer + search.minEngines - 1) / search.minEngines
 }
 
 // fewestHelpers finds the fewest helpers with which the primary engine prefills the prompt in time
 // while all answers keep their pauses.
 func (search *search) fewestHelpers(primary *engine) (choice, bool) {
 	for parts := search.minEngines; parts <= 1+maxHelpers; parts++ {
-		prefill := primary.state.Engine.PrefillTime(search.ask.Prompt, parts)
+		prefill := primary.state.Engine.PrefillTime(search.request.Prompt, parts)
 		found, ok := search.assign(primary, parts, func(helper *engine) bool { return helper.keepsPauses(prefill, 0) })
-		if ok && found.predicted <= search.prefillLimit && primary.keepsPauses(prefill, search.ask.Pause) {
+		if ok && found.predicted <= search.prefillLimit && primary.keepsPauses(prefill, search.request.Pause) {
 			return found, true
 		}
 	}
@@ -234,8 +234,8 @@
 	if primary.usedTokens+share > usableMemory(primary.state) {
 		return choice{}, false
 	}
-	prefill := primary.state.Engine.PrefillTime(search.ask.Prompt, parts)
-	found := choice{primary: primary, predicted: primary.predictOwnPart(search.ask.Prompt/parts, prefill)}
+	prefill := primary.state.Engine.PrefillTime(search.request.Prompt, parts)
+	found := choice{primary: primary, predicted: primary.predictOwnPart(search.request.Prompt/parts, prefill)}
 	for _, helper := range search.helpers {
 		if len(found.helpers) == parts-1 {
 			break
@@ -245,7 +245,7 @@
 			continue
 		}
 		found.helpers = append(found.helpers, helper)
-		found.predicted = max(found.predicted, helper.predictHelperPart(search.ask.Prompt/parts, prefill))
+		found.predicted = max(found.predicted, helper.predictHelperPart(search.request.Prompt/parts, prefill))
 	}
 	return found, len(found.helpers) == parts-1
 }
--- a/core/decision/dogwoodpacking/health.go
+++ b/core/decision/dogwoodpacking/health.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// Paced records a short pause between two events of an answer that an engine decodes. It returns
-// the pace, which the other daemons record with PeerPaced.
+// RecordPace records a short pause between two events of an answer that an engine decodes. It returns
+// the pace, which the other daemons record with RecordPeerPace.
 func (board *Board) RecordPace(id dogwoodfleet.EndpointID, pause time.Duration) float64 {
 	board.mutex.Lock()
 	defer board.mutex.Unlock()
@@ -100,7 +100,7 @@
 	return pace
 }
 
-// PeerPaced records the pace that another daemon observed. Failures are not shared: a daemon
+// RecordPeerPace records the pace that another daemon observed. Failures are not shared: a daemon
 // whose own network fails sees all endpoints fail. Nor are the first tokens of long prompts: a
 // delay by prompts that are prefilled before them would count at each daemon.
 func (board *Board) RecordPeerPace(id dogwoodfleet.EndpointID, pace float64) {
--- a/core/decision/dogwoodpacking/herd_test.go
+++ b/core/decision/dogwoodpacking/herd_test.go
@@ -77,10 +77,10 @@
 
 func (hubPool *hubPool) place(tick int) {
 	hub := hubPool.random.IntN(len(hubPool.boards))
-	ask := short(hubPool.now, 1_000+hubPool.random.IntN(6_000))
-	ask.Holder = dogwoodfleet.InstanceID(fmt.Sprint("hub", hub))
-	ask.Aim = 400 * time.Millisecond
-	placement, refusal := hubPool.boards[hub].Place(hubPool.now, ask)
+	request := short(hubPool.now, 1_000+hubPool.random.IntN(6_000))
+	request.Holder = dogwoodfleet.InstanceID(fmt.Sprint("hub", hub))
+	request.Aim = 400 * time.Millisecond
+	placement, refusal := hubPool.boards[hub].Place(hubPool.now, request)
 	if refusal != Placed {
 		return
 	}
@@ -92,13 +92,13 @@
 	}
 	hubPool.announce(tick, hub, func(board *Board) { board.Put(hubPool.now, placement.Work) })
 	hubPool.schedule(tick+firstTokenAfter, func() {
-		work, _ := hubPool.boards[hub].Writes(hubPool.now, ask.ID, 0, 0)
+		work, _ := hubPool.boards[hub].Writes(hubPool.now, request.ID, 0, 0)
 		hubPool.announce(tick+firstTokenAfter, hub, func(board *Board) { board.Put(hubPool.now, work) })
 	})
 	hubPool.schedule(tick+answeredAfter, func() {
 		hubPool.held[endpoint]--
-		hubPool.boards[hub].End(ask.ID)
-		hubPool.announce(tick+answeredAfter, hub, func(board *Board) { board.Remove(ask.ID) })
+		hubPool.boards[hub].End(request.ID)
+		hubPool.announce(tick+answeredAfter, hub, func(board *Board) { board.Remove(request.ID) })
 	})
 }
 
--- a/core/decision/dogwoodpacking/leastbad.go
+++ b/core/decision/dogwoodpacking/leastbad.go
@@ -37,7 +37,7 @@
 	for i := range search.engines {
 		primary := &search.engines[i]
 		for parts := search.minEngines; parts <= 1+maxHelpers; parts++ {
-			prefill := primary.state.Engine.PrefillTime(search.ask.Prompt, parts)
+			prefill := primary.state.Engine.PrefillTime(search.request.Prompt, parts)
 			found, ok := search.assign(primary, parts, func(helper *engine) bool {
 				return helper.mayHelpLate() || helper.keepsPauses(prefill, 0)
 			})
@@ -50,7 +50,7 @@
 			}
 		}
 	}
-	return best, best.primary != nil && !(search.ask.CanWait && search.prefersWaiting(bestLoss))
+	return best, best.primary != nil && !(search.request.CanWait && search.prefersWaiting(bestLoss))
 }
 
 // prefersWaiting reports whether a new request that can wait should wait instead of taking a
@@ -58,15 +58,15 @@
 // late or causes an equal loss to others. After that, it accepts any placement that is soon enough
 // and harms few requests.
 func (search *search) prefersWaiting(loss float64) bool {
-	weight := weight(search.ask.Prompt)
-	if float64(search.waited) < waitShare*float64(search.ask.Aim) {
+	weight := weight(search.request.Prompt)
+	if float64(search.waited) < waitShare*float64(search.request.Aim) {
 		return loss >= lateLoss*weight
 	}
 	return loss >= (lateLoss+toleratedLoss)*weight
 }
 
 func (search *search) loss(found *choice, prefill time.Duration) float64 {
-	loss := weight(search.ask.Prompt) * lateness(search.waited+found.predicted, search.ask.Aim)
+	loss := weight(search.request.Prompt) * lateness(search.waited+found.predicted, search.request.Aim)
 	if found.primary.failing || found.primary.packed {
 		loss += avoidLoss
 	}
--- a/core/decision/dogwoodpacking/packing_test.go
+++ b/core/decision/dogwoodpacking/packing_test.go
@@ -47,14 +47,14 @@
 }
 
 func long(now time.Time, prompt int) *PlacementRequest {
-	ask := short(now, prompt)
-	ask.Aim, ask.Pause = 3*time.Second, time.Second
-	return ask
+	request := short(now, prompt)
+	request.Aim, request.Pause = 3*time.Second, time.Second
+	return request
 }
 
-func mustPlace(t *testing.T, board *Board, now time.Time, ask *PlacementRequest) Placement {
+func mustPlace(t *testing.T, board *Board, now time.Time, request *PlacementRequest) Placement {
 	t.Helper()
-	placement, refusal := board.Place(now, ask)
+	placement, refusal := board.Place(now, request)
 	if refusal != Placed {
 		t.Fatalf("got refusal %q, want a placement", refusal)
 	}
@@ -112,9 +112,9 @@
 	for _, id := range ids(longPrompt) {
 		prefilling[id] = true
 	}
-	ask := short(now, 3_000)
-	ask.CanWait = true
-	placement, refusal := board.Place(now, ask)
+	request := short(now, 3_000)
+	request.CanWait = true
+	placement, refusal := board.Place(now, request)
 	if refusal == Placed && prefilling[placement.Endpoint.ID] {
 		t.Errorf("got a placement at %s behind a long prompt, want another one or to wait", placement.Endpoint.ID)
 	}
@@ -126,21 +126,21 @@
 func TestRequestsWaitWhenEveryEngineWouldBeLate(t *testing.T) {
 	board, now := pool(1), time.Now()
 	mustPlace(t, board, now, long(now, 300_000))
-	ask := short(now, 3_000)
-	ask.CanWait = true
-	if _, got := board.Place(now, ask); got != Full {
+	request := short(now, 3_000)
+	request.CanWait = true
+	if _, got := board.Place(now, request); got != Full {
 		t.Errorf("got %q, want to wait", got)
 	}
-	ask.CanWait = false
-	mustPlace(t, board, now, ask)
+	request.CanWait = false
+	mustPlace(t, board, now, request)
 }
 
 // A prompt of twice an engine's memory is held on several engines, whose parts add up to the
 // whole.
 func TestPromptsLargerThanOneEngineMemory(t *testing.T) {
 	board, now := pool(8), time.Now()
-	ask := long(now, 800_000)
-	placement := mustPlace(t, board, now, ask)
+	request := long(now, 800_000)
+	placement := mustPlace(t, board, now, request)
 	kept := 0
 	for _, helper := range placement.Helpers {
 		if helper.Tokens > testEngine.MemoryTokens {
@@ -148,7 +148,7 @@
 		}
 		kept += helper.Tokens
 	}
-	if left := ask.Prompt + ask.Answer - kept; left <= 0 || left > testEngine.MemoryTokens {
+	if left := request.Prompt + request.Answer - kept; left <= 0 || left > testEngine.MemoryTokens {
 		t.Errorf("got %d tokens left for the primary engine, want some that fit", left)
 	}
 	if _, got := board.Place(now, long(now, 100_000_000)); got != TooLarge {
@@ -160,8 +160,8 @@
 	board, now := pool(2), time.Now()
 	placed := 0
 	for range 100 {
-		ask := short(now, 100)
-		if _, refusal := board.Place(now, ask); refusal == Placed {
+		request := short(now, 100)
+		if _, refusal := board.Place(now, request); refusal == Placed {
 			placed++
 		}
 	}
@@ -182,10 +182,10 @@
 	var sends []time.Time
 	for range 3000 {
 		now = now.Add(time.Millisecond)
-		ask := short(now, 0)
-		if _, refusal := board.Place(now, ask); refusal == Placed {
+		request := short(now, 0)
+		if _, refusal := board.Place(now, request); refusal == Placed {
 			sends = append(sends, now)
-			board.End(ask.ID)
+			board.End(request.ID)
 		}
 	}
 	for i, start := range sends {
@@ -281,13 +281,13 @@
 	counts := map[dogwoodfleet.EndpointID]int{}
 	for i := range 300 {
 		now = now.Add(50 * time.Millisecond)
-		ask := short(now, 0)
-		placement := mustPlace(t, board, now, ask)
+		request := short(now, 0)
+		placement := mustPlace(t, board, now, request)
 		counts[placement.Endpoint.ID]++
 		if placement.Endpoint.ID == "e00" && i%2 == 0 {
 			board.Failed(now, "e00")
 		}
-		board.End(ask.ID)
+		board.End(request.ID)
 	}
 	if got := counts["e00"]; got*3 > counts["e01"] {
 		t.Errorf("got %d calls at the failing server and %d at a healthy one, want less than a third", got, counts["e01"])
@@ -299,18 +299,18 @@
 		b.Run(fmt.Sprint(engines), func(b *testing.B) {
 			board, now := pool(engines), time.Now()
 			for i := range engines * 8 {
-				ask := short(now, 3000+i)
-				if placement, refusal := board.Place(now, ask); refusal == Placed {
+				request := short(now, 3000+i)
+				if placement, refusal := board.Place(now, request); refusal == Placed {
 					board.Writes(now, placement.Work.ID, placement.Predicted, 0)
 				}
 			}
-			ask := short(now, 4000)
+			request := short(now, 4000)
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, refusal := board.Place(now, ask); refusal != Placed {
+				if _, refusal := board.Place(now, request); refusal != Placed {
 					b.Fatal(refusal)
 				}
-				board.End(ask.ID)
+				board.End(request.ID)
 			}
 		})
 	}
@@ -388,14 +388,14 @@
 func TestLongPromptsWaitUntilDaemonsSeeEachOther(t *testing.T) {
 	board, now := pool(8), time.Now()
 	board.SetVisibleDaemons(1, 8)
-	ask := long(now, 300_000)
-	ask.CanWait = true
-	if _, got := board.Place(now, ask); got != Full {
+	request := long(now, 300_000)
+	request.CanWait = true
+	if _, got := board.Place(now, request); got != Full {
 		t.Errorf("a long prompt: got %q, want to wait", got)
 	}
 	mustPlace(t, board, now, short(now, 3_000))
 	board.SetVisibleDaemons(8, 8)
-	mustPlace(t, board, now, ask)
+	mustPlace(t, board, now, request)
 }
 
 // A slow engine that only prefills decodes nothing from which its pace could be observed. It is
--- a/core/decision/dogwoodpacking/parts_test.go
+++ b/core/decision/dogwoodpacking/parts_test.go
@@ -10,10 +10,10 @@
 // waitingWork returns a long prompt that one engine has to prefill alone, sent the given time ago.
 func waitingWork(endpoint dogwoodfleet.EndpointID, now time.Time, ago, prefill time.Duration) Work {
 	askCount++
-	ask := long(now, 150_000)
+	request := long(now, 150_000)
 	return Work{
-		ID: ask.ID, Holder: "other", Service: "models", Endpoint: endpoint, Prompt: 150_000, Tokens: 151_300,
-		Reading: prefill, Aim: ask.Aim, Pause: ask.Pause, Begun: now.Add(-ago), Until: now.Add(10 * time.Second),
+		ID: request.ID, Holder: "other", Service: "models", Endpoint: endpoint, Prompt: 150_000, Tokens: 151_300,
+		Reading: prefill, Aim: request.Aim, Pause: request.Pause, Begun: now.Add(-ago), Until: now.Add(10 * time.Second),
 	}
 }
 
@@ -31,14 +31,14 @@
 	}
 	for range 8 {
 		now = now.Add(500 * time.Millisecond)
-		ask := long(now, 180_000)
-		placement := mustPlace(t, board, now, ask)
+		request := long(now, 180_000)
+		placement := mustPlace(t, board, now, request)
 		for _, id := range ids(placement) {
 			if id == "e00" {
 				t.Fatalf("got the helpers %v, want none where a prompt is late", ids(placement))
 			}
 		}
-		board.End(ask.ID)
+		board.End(request.ID)
 	}
 }
 
@@ -53,9 +53,9 @@
 		work.Aim = 20 * time.Second
 		board.Put(now, work)
 	}
-	ask := long(now, 180_000)
-	placement := mustPlace(t, board, now, ask)
-	if got, limit := placement.Predicted, ask.Aim/2; got > limit {
+	request := long(now, 180_000)
+	placement := mustPlace(t, board, now, request)
+	if got, limit := placement.Predicted, request.Aim/2; got > limit {
 		t.Errorf("got a first token after %s, want at most %s", got, limit)
 	}
 	if got := placement.Endpoint.ID; got != "e00" {
@@ -81,9 +81,9 @@
 		ahead[waiting.Endpoint] = waiting.Reading
 	}
 	for range 20 {
-		ask := long(now, 110_000)
-		ask.CanWait = true
-		placement, refusal := board.Place(now, ask)
+		request := long(now, 110_000)
+		request.CanWait = true
+		placement, refusal := board.Place(now, request)
 		if refusal != Placed {
 			break
 		}
--- a/core/decision/dogwoodpacking/simulation_test.go
+++ b/core/decision/dogwoodpacking/simulation_test.go
@@ -23,14 +23,14 @@
 
 // job is a request in the simulation.
 type job struct {
-	ask          *PlacementRequest
-	arrived      time.Duration
-	parts        int // engines that have not prefilled their part yet
-	eventsLeft   int // events still to be decoded
-	lastEvent    time.Duration
-	firstEvent   time.Duration
-	longestPause time.Duration
-	primary      *simulatedEngine
+	placementRequest *PlacementRequest
+	arrived          time.Duration
+	parts            int // engines that have not prefilled their part yet
+	eventsLeft       int // events still to be decoded
+	lastEvent        time.Duration
+	firstEvent       time.Duration
+	longestPause     time.Duration
+	primary          *simulatedEngine
 }
 
 const answerEvents = 38
@@ -51,8 +51,8 @@
 		head := simulatedEngine.queue[0]
 		simulatedEngine.queue = simulatedEngine.queue[1:]
 		parts := head.partCount()
-		took += testEngine.PrefillTime(head.ask.Prompt, parts)
-		tokens += head.ask.Prompt / parts
+		took += testEngine.PrefillTime(head.placementRequest.Prompt, parts)
+		tokens += head.placementRequest.Prompt / parts
 		prefilled = append(prefilled, head)
 		if len(simulatedEngine.decoding) == 0 {
 			break
@@ -69,7 +69,7 @@
 	return true
 }
 
-func (job *job) partCount() int { return job.ask.Answer >> 16 }
+func (job *job) partCount() int { return job.placementRequest.Answer >> 16 }
 
 func (simulatedEngine *simulatedEngine) decode() {
 	simulatedEngine.decoding = slices.DeleteFunc(simulatedEngine.decoding, func(job *job) bool {
@@ -82,7 +82,7 @@
 
 // policy places a request and returns the indexes of the primary engine, which decodes the
 // answer, and of the helpers. If the index of the primary engine is negative, the request waits.
-type policy func(now time.Duration, ask *PlacementRequest, engines []*simulatedEngine) (primary int, helpers []int)
+type policy func(now time.Duration, placementRequest *PlacementRequest, engines []*simulatedEngine) (primary int, helpers []int)
 
 // retryInterval is the interval at which the placement of waiting requests is tried again.
 const retryInterval = 20 * time.Millisecond
@@ -104,8 +104,8 @@
 			prompt, aim, pause = 182_000, 3*time.Second, time.Second
 		}
 		size := min(prompt*math.Exp(0.5*random.NormFloat64()-0.125), 390_000)
-		ask := &PlacementRequest{ID: WorkID(fmt.Sprint(len(jobs))), Service: "models", Prompt: int(size), Aim: aim, Pause: pause}
-		jobs = append(jobs, &job{ask: ask, arrived: now, eventsLeft: answerEvents})
+		placementRequest := &PlacementRequest{ID: WorkID(fmt.Sprint(len(jobs))), Service: "models", Prompt: int(size), Aim: aim, Pause: pause}
+		jobs = append(jobs, &job{placementRequest: placementRequest, arrived: now, eventsLeft: answerEvents})
 	}
 	return jobs
 }
@@ -119,12 +119,12 @@
 	}
 	var waiting []*job
 	place := func(now time.Duration, request *job) bool {
-		primary, helpers := choose(now, request.ask, engines)
+		primary, helpers := choose(now, request.placementRequest, engines)
 		if primary < 0 {
 			return false
 		}
 		request.parts = 1 + len(helpers)
-		request.ask.Answer = request.parts << 16 // stores the number of parts; all answers have the same length
+		request.placementRequest.Answer = request.parts << 16 // stores the number of parts; all answers have the same length
 		request.primary = engines[primary]
 		engines[primary].queue = append(engines[primary].queue, request)
 		for _, helper := range helpers {
@@ -158,11 +158,11 @@
 	var good, all [2]float64
 	for _, request := range jobs {
 		kind := 0
-		if request.ask.Aim > time.Second {
+		if request.placementRequest.Aim > time.Second {
 			kind = 1
 		}
 		all[kind]++
-		if request.firstEvent-request.arrived <= request.ask.Aim && request.longestPause <= request.ask.Pause {
+		if request.firstEvent-request.arrived <= request.placementRequest.Aim && request.longestPause <= request.placementRequest.Pause {
 			good[kind]++
 		}
 	}
@@ -173,7 +173,7 @@
 func sortWaiting(now time.Duration, waiting []*job) {
 	epoch := time.Unix(0, 0)
 	queued := func(request *job) *dogwoodwaiting.Request {
-		return &dogwoodwaiting.Request{Arrived: epoch.Add(request.arrived), Aim: request.ask.Aim, Pause: request.ask.Pause}
+		return &dogwoodwaiting.Request{Arrived: epoch.Add(request.arrived), Aim: request.placementRequest.Aim, Pause: request.placementRequest.Pause}
 	}
 	slices.SortStableFunc(waiting, func(a, b *job) int {
 		return dogwoodwaiting.Compare(epoch.Add(now), queued(a), queued(b))
@@ -195,24 +195,24 @@
 	running := map[*job]bool{}
 	byID := map[WorkID]*job{}
 	for _, request := range jobs {
-		byID[request.ask.ID] = request
+		byID[request.placementRequest.ID] = request
 	}
-	return func(now time.Duration, ask *PlacementRequest, _ []*simulatedEngine) (int, []int) {
+	return func(now time.Duration, placementRequest *PlacementRequest, _ []*simulatedEngine) (int, []int) {
 		for request := range running {
 			if request.firstEvent > 0 && request.firstEvent <= now {
-				board.Writes(start.Add(request.firstEvent), request.ask.ID, 0, 0)
+				board.Writes(start.Add(request.firstEvent), request.placementRequest.ID, 0, 0)
 			}
 			if request.eventsLeft == 0 && request.lastEvent <= now {
-				board.End(request.ask.ID)
+				board.End(request.placementRequest.ID)
 				delete(running, request)
 			}
 		}
-		ask.Until, ask.Answer, ask.CanWait = start.Add(now+time.Minute), 1300, true
-		placement, refusal := board.Place(start.Add(now), ask)
+		placementRequest.Until, placementRequest.Answer, placementRequest.CanWait = start.Add(now+time.Minute), 1300, true
+		placement, refusal := board.Place(start.Add(now), placementRequest)
 		if refusal != Placed {
 			return -1, nil
 		}
-		running[byID[ask.ID]] = true
+		running[byID[placementRequest.ID]] = true
 		indexOf := func(id string) (index int) { _, _ = fmt.Sscanf(id, "e%02d", &index); return index }
 		var helpers []int
 		for _, helper := range placement.Helpers {
--- a/core/decision/dogwoodplacement/placement.go
+++ b/core/decision/dogwoodplacement/placement.go
@@ -30,13 +30,13 @@
 	// is short of engines. It exceeds the outages from which engines recover without help
 	// (restarts of minutes), because loading takes minutes and an undone move costs two loads.
 	MinDwell = 10 * time.Minute
-	// Bake is how long the first engine on a new version serves before others follow. It covers
+	// BakeTime is how long the first engine on a new version serves before others follow. It covers
 	// a few hundred requests, enough to expose a version that can't serve.
 	BakeTime = 30 * time.Second
-	// LoadLimit is how long an engine may take to carry out an order. Weights of 140 GB at
+	// LoadTimeout is how long an engine may take to carry out an order. Weights of 140 GB at
 	// 1 GB/s take over two minutes; after more than four times that, the order has failed.
 	LoadTimeout = 10 * time.Minute
-	// OrderAgain is how long the planner waits for an order to appear in an engine's report
+	// OrderResendInterval is how long the planner waits for an order to appear in an engine's report
 	// before it issues the order again. Reports lag by about a second.
 	OrderResendInterval = 10 * time.Second
 )
@@ -110,7 +110,7 @@
 	modelSince map[dogwoodfleet.EndpointID]modelSince
 	// servingSince is when the first engine was seen serving each version.
 	servingSince map[versionKey]time.Time
-	// failed holds the versions that an engine did not load within LoadLimit.
+	// failed holds the versions that an engine did not load within LoadTimeout.
 	failed map[versionKey]bool
 }
 
@@ -129,7 +129,7 @@
 	}
 }
 
-// Ordered records that an order was issued.
+// RecordOrder records that an order was issued.
 func (planner *Planner) RecordOrder(order Order, now time.Time) {
 	first := now
 	if previous, found := planner.orders[order.Endpoint]; found && previous.wanted.equal(order.Wanted) {
--- a/core/decision/dogwoodplacement/view.go
+++ b/core/decision/dogwoodplacement/view.go
@@ -24,7 +24,7 @@
 	// waiting is true from the issue of an order until the engine holds what was ordered.
 	waiting bool
 	// resend is true if an order was issued and has not appeared in the engine's reports
-	// within OrderAgain.
+	// within OrderResendInterval.
 	resend bool
 	model  *Model
 }
@@ -247,7 +247,7 @@
 	return max(assigned-1, 0)
 }
 
-// proven reports whether the version has been served for at least Bake.
+// proven reports whether the version has been served for at least BakeTime.
 func (plan *plan) proven(key versionKey) bool {
 	since, found := plan.planner.servingSince[key]
 	return found && plan.now.Sub(since) >= BakeTime
--- a/core/decision/dogwoodprefix/index.go
+++ b/core/decision/dogwoodprefix/index.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// Expect adds the blocks of a request that was just sent to the engine. The engine will hold
+// AddExpected adds the blocks of a request that was just sent to the engine. The engine will hold
 // them soon, and the next request with the prefix needs the hint before the cache event arrives.
 func (index *Index) AddExpected(id dogwoodfleet.EndpointID, blocks []uint64) {
 	engine := index.engine(id)
@@ -109,7 +109,7 @@
 	})
 }
 
-// Forget removes all blocks of an engine that failed, became cold or has a new owner.
+// RemoveEngine removes all blocks of an engine that failed, became cold or has a new owner.
 func (index *Index) RemoveEngine(id dogwoodfleet.EndpointID) {
 	delete(index.engines, id)
 }
--- a/core/decision/dogwoodquota/home.go
+++ b/core/decision/dogwoodquota/home.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// Drop revokes the shares of entries that aren't alive.
+// RevokeDead revokes the shares of entries that aren't alive.
 func (home *Home) RevokeDead(alive func(dogwoodfleet.InstanceID) bool) {
 	for _, pool := range home.pools {
 		for entry := range pool.grants {
@@ -111,7 +111,7 @@
 	}
 }
 
-// Forget drops customers without granted shares. Call it periodically.
+// DropIdle drops customers without granted shares. Call it periodically.
 func (home *Home) DropIdle(now time.Time) {
 	for customer, pool := range home.pools {
 		pool.sweep(now)
--- a/core/decision/dogwoodretry/retry.go
+++ b/core/decision/dogwoodretry/retry.go
@@ -49,7 +49,7 @@
 	Streamed bool
 	// Try is the number of the try, starting at 1.
 	Try int
-	// Left is the time until the deadline; Needs is the predicted duration of a run.
+	// Left is the time until the deadline; PredictedRun is the predicted duration of a run.
 	Left, PredictedRun time.Duration
 	// After is the minimum wait that the refusal asked for; 0 if it asked for none.
 	After time.Duration
--- a/core/decision/dogwoodretry/share.go
+++ b/core/decision/dogwoodretry/share.go
@@ -7,7 +7,7 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Shared is one daemon's share of a retry budget that covers all daemons. In any window a
+// SharedBudget is one daemon's share of a retry budget that covers all daemons. In any window a
 // service gets at most Ratio retries for each first try, plus a fixed allowance. Each
 // daemon counts only the requests that it accepted, so the retries allowed by the ratio need
 // no coordination; the allowance is divided by the number of daemons. Separate budgets for
--- a/core/decision/dogwoodrouting/routing.go
+++ b/core/decision/dogwoodrouting/routing.go
@@ -44,7 +44,7 @@
 type Candidate struct {
 	// InFlight counts all grants, including those that no load report covers yet.
 	InFlight, Limit int
-	// AheadTokens is the number of prompt tokens in granted requests without an answer yet.
+	// PendingPromptTokens is the number of prompt tokens in granted requests without an answer yet.
 	PendingPromptTokens int
 	// HitTokens estimates how many of the prompt's tokens are in the endpoint's cache.
 	HitTokens int
@@ -53,7 +53,7 @@
 	// Slowness is the ratio of the recent latency to the allowed one, which is three times the
 	// normal latency; 1 or less is healthy.
 	Slowness float64
-	// Measured is when the latency was last reported.
+	// MeasuredAt is when the latency was last reported.
 	MeasuredAt time.Time
 	// Distance is 0 within the entry daemon's data centre, 1 within its region and 2 elsewhere.
 	Distance int
--- a/core/decision/dogwoodsuspect/suspect.go
+++ b/core/decision/dogwoodsuspect/suspect.go
@@ -25,10 +25,10 @@
 )
 
 const (
-	// StrikeKept is the time after which a strike expires. A caller resends a request within
+	// StrikeTTL is the time after which a strike expires. A caller resends a request within
 	// its deadline of a few minutes, so ten minutes cover every resend.
 	StrikeTTL = 10 * time.Minute
-	// ConvictionKept is the time for which a convicted digest is refused. After it the digest
+	// ConvictionTTL is the time for which a convicted digest is refused. After it the digest
 	// may run again as a suspect, which costs at most one endpoint each time, and so fewer
 	// than six endpoints an hour.
 	ConvictionTTL = 10 * time.Minute
@@ -264,7 +264,7 @@
 	ledger.proven[0][digest] = struct{}{}
 }
 
-// Convict is a convicted digest and the end of its conviction, as shown to operators.
+// ConvictedDigest is a convicted digest and the end of its conviction, as shown to operators.
 type ConvictedDigest struct {
 	Digest dogwoodfleet.Digest
 	Until  time.Time
--- a/core/decision/dogwoodsuspect/trial.go
+++ b/core/decision/dogwoodsuspect/trial.go
@@ -8,18 +8,18 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Trial asks the owner returned by Home for a permit to run a suspect, or returns the permit.
+// PermitRequest asks the owner returned by Home for a permit to run a suspect, or returns the permit.
 type PermitRequest struct {
 	Digest  dogwoodfleet.Digest
 	Request dogwoodfleet.RequestID
-	// Lease is the time for which the permit is valid. A further Trial of the same request
+	// Lease is the time for which the permit is valid. A further PermitRequest for the same request
 	// renews it.
 	Lease time.Duration
 	// Ended is true if the run ended or was never started. It returns the permit.
 	Ended bool
 }
 
-// TrialAnswer is the answer to a Trial.
+// PermitResponse is the answer to a PermitRequest.
 type PermitResponse struct {
 	Allowed bool
 	// Standing is the standing in the answering owner's ledger. A convicted digest is never
@@ -33,14 +33,14 @@
 // a permit. Runs of suspects take from tenths of a second to seconds.
 const permitPollInterval = 200 * time.Millisecond
 
-// Judge answers a Trial. It permits only one run of a suspect at a time across all owners.
+// Judge answers a PermitRequest. It permits only one run of a suspect at a time across all owners.
 // Otherwise a caller that resends a crashing request through four entry daemons at the same
 // moment would kill four more endpoints.
-func (ledger *Ledger) Judge(now time.Time, trial PermitRequest) PermitResponse {
-	standing, _ := ledger.Standing(now, trial.Digest)
-	found := ledger.records[trial.Digest]
-	if trial.Ended {
-		if found != nil && found.permitHolder == trial.Request {
+func (ledger *Ledger) Judge(now time.Time, request PermitRequest) PermitResponse {
+	standing, _ := ledger.Standing(now, request.Digest)
+	found := ledger.records[request.Digest]
+	if request.Ended {
+		if found != nil && found.permitHolder == request.Request {
 			found.permitHolder = ""
 		}
 		return PermitResponse{Standing: standing}
@@ -50,14 +50,14 @@
 	}
 	if found == nil {
 		// The asking owner has a strike whose notice hasn't arrived here yet.
-		found = ledger.add(now, trial.Digest)
+		found = ledger.add(now, request.Digest)
 	}
-	held := found.permitHolder != "" && found.permitHolder != trial.Request && now.Before(found.permitExpires)
+	held := found.permitHolder != "" && found.permitHolder != request.Request && now.Before(found.permitExpires)
 	if held {
 		return PermitResponse{Standing: standing, Again: permitPollInterval}
 	}
-	found.permitHolder = trial.Request
-	found.permitExpires = now.Add(trial.Lease)
+	found.permitHolder = request.Request
+	found.permitExpires = now.Add(request.Lease)
 	return PermitResponse{Allowed: true, Standing: standing}
 }
 
--- a/core/decision/dogwoodtopology/weigh.go
+++ b/core/decision/dogwoodtopology/weigh.go
@@ -31,7 +31,7 @@
 	HopsMax  int
 }
 
-// Weigh computes the load of a topology with count members, some of which are lost. Lost members
+// ComputeLoad computes the load of a topology with count members, some of which are lost. Lost members
 // are still in every member's list, as in the seconds before a loss is detected, but neither
 // forward nor answer.
 func ComputeLoad(topology Topology, count int, lost map[int]bool) Load {
--- a/core/decision/dogwoodwaiting/waiting.go
+++ b/core/decision/dogwoodwaiting/waiting.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// Borne returns how much longer the caller waits for the first event before it gives up.
+// CallerTimeLeft returns how much longer the caller waits for the first event before it gives up.
 func CallerTimeLeft(now time.Time, request *Request) time.Duration {
 	untilDeadline := request.Deadline.Sub(now)
 	if request.Pause <= 0 || request.Begun {
@@ -97,7 +97,7 @@
 	return max(toleratedAims*request.Aim, toleratedPauses*request.Pause, minTolerance)
 }
 
-// Patience returns how much longer the request may wait for a slot.
+// MaxWait returns how much longer the request may wait for a slot.
 func MaxWait(now time.Time, request *Request) time.Duration {
 	maxWait := time.Duration(deadlineShare * float64(request.Deadline.Sub(now)))
 	switch {
--- a/core/dogwooddaemon/suspects.go
+++ b/core/dogwooddaemon/suspects.go
@@ -20,24 +20,24 @@
 	self      dogwoodfleet.InstanceID
 }
 
-// Trial sends a permit request to the digest's home, the daemon that grants the permits to
+// RequestPermit sends a permit request to the digest's home, the daemon that grants the permits to
 // run the suspect, and returns the answer. The home may be this daemon.
-func (peers *suspectPeers) RequestPermit(ctx context.Context, trial dogwoodsuspect.PermitRequest) (dogwoodsuspect.PermitResponse, error) {
+func (peers *suspectPeers) RequestPermit(ctx context.Context, request dogwoodsuspect.PermitRequest) (dogwoodsuspect.PermitResponse, error) {
 	alive := peers.members.Alive()
 	instances := make([]dogwoodfleet.InstanceID, len(alive))
 	for i, member := range alive {
 		instances[i] = member.Instance
 	}
-	home := dogwoodsuspect.Home(trial.Digest, instances)
+	home := dogwoodsuspect.Home(request.Digest, instances)
 	if home < 0 || alive[home].Instance == peers.self {
-		return peers.ownership.local.Judge(trial), nil
+		return peers.ownership.local.Judge(request), nil
 	}
 	var answer dogwoodsuspect.PermitResponse
-	err := peers.peer.Call(ctx, alive[home].Peer, "Owner.Judge", trial, &answer)
+	err := peers.peer.Call(ctx, alive[home].Peer, "Owner.Judge", request, &answer)
 	return answer, Error.Wrap(err)
 }
 
-// Spread sends notices to all other owners.
+// Notify sends notices to all other owners.
 func (peers *suspectPeers) Notify(ctx context.Context, notices []dogwoodsuspect.Notice) {
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentNotices)
--- a/core/dogwoodkernel/parts.go
+++ b/core/dogwoodkernel/parts.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// Made is a part that provides a value of type T to other plug-ins.
+// ValuePart is a part that provides a value of type T to other plug-ins.
 type ValuePart[T any] struct {
 	Value T
 	// OnStop stops the part. It may be nil.
@@ -10,14 +10,14 @@
 }
 
 // Stop calls OnStop if it is set.
-func (made *ValuePart[T]) Stop(ctx context.Context) error {
-	if made.OnStop == nil {
+func (part *ValuePart[T]) Stop(ctx context.Context) error {
+	if part.OnStop == nil {
 		return nil
 	}
-	return made.OnStop(ctx)
+	return part.OnStop(ctx)
 }
 
-// Use returns the value that the named plug-in provides.
+// ValueOf returns the value that the named plug-in provides.
 func ValueOf[T any](kernel *Kernel, name string) (T, error) {
 	part, err := PartOf[*ValuePart[T]](kernel, name)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return value
 }
 
-// MakePlugin returns a plug-in that provides a T, from kernel settings of type S.
+// NewPlugin returns a plug-in that provides a T, from kernel settings of type S.
 func NewPlugin[S, T any](name string, needs []string, start func(ctx context.Context, kernel *Kernel, settings S) (*ValuePart[T], error)) Plugin {
 	return Plugin{
 		Name:  name,
--- a/core/dogwoodring/ring.go
+++ b/core/dogwoodring/ring.go
@@ -16,7 +16,7 @@
 
 // The behaviors of a full ring.
 const (
-	// Refuse keeps the queued values and rejects the new one; Put returns false.
+	// Reject keeps the queued values and rejects the new one; Put returns false.
 	Reject WhenFull = iota
 	// DropOldest drops the value queued longest.
 	DropOldest
--- a/core/dogwoodsettings/checktext.go
+++ b/core/dogwoodsettings/checktext.go
@@ -16,11 +16,11 @@
 	// LongestDeadline bounds MaxDeadline. Claims of non-repeatable calls expire after a
 	// multiple of it.
 	LongestDeadline = 6 * time.Hour
-	// MostInFlight bounds ColdLimit and WarmLimit.
+	// MaxInFlight bounds ColdLimit and WarmLimit.
 	MaxInFlight = 100_000
-	// MostReplicas bounds Replicas of one model.
+	// MaxReplicas bounds Replicas of one model.
 	MaxReplicas = 100_000
-	// MostWeight bounds a customer's weight.
+	// MaxWeight bounds a customer's weight.
 	MaxWeight = 10_000
 	// digestBytes is the length of a SHA-256 digest.
 	digestBytes = 32
--- a/core/duty/dogwoodboard/board.go
+++ b/core/duty/dogwoodboard/board.go
@@ -248,12 +248,12 @@
 }
 
 // Place assigns a request to an endpoint and announces the work.
-func (duty *Duty) Place(now time.Time, ask *dogwoodpacking.PlacementRequest) (dogwoodpacking.Placement, dogwoodpacking.Refusal) {
-	if duty.isLeaf() && ask.Prompt > 0 {
+func (duty *Duty) Place(now time.Time, request *dogwoodpacking.PlacementRequest) (dogwoodpacking.Placement, dogwoodpacking.Refusal) {
+	if duty.isLeaf() && request.Prompt > 0 {
 		duty.view.request(now)
 	}
-	ask.Holder = duty.options.Self
-	placement, refusal := duty.options.Board.Place(now, ask)
+	request.Holder = duty.options.Self
+	placement, refusal := duty.options.Board.Place(now, request)
 	if refusal == dogwoodpacking.Placed {
 		duty.recordWork(placement.Work)
 	}
@@ -283,7 +283,7 @@
 	duty.options.Board.Failed(now, endpoint)
 }
 
-// Paced records a short pause between two events of an engine's answer. The resulting pace is
+// RecordPace records a short pause between two events of an engine's answer. The resulting pace is
 // announced: otherwise each daemon would have to send a few requests to an engine that has
 // become slow before it detects that.
 func (duty *Duty) RecordPace(endpoint dogwoodfleet.EndpointID, pause time.Duration) {
@@ -313,9 +313,9 @@
 	return duty.options.Board.Changed()
 }
 
-// Other reports whether the service has an endpoint in force that is not in ask.Avoid.
-func (duty *Duty) HasOtherEndpoint(ask *dogwoodpacking.PlacementRequest) bool {
-	return duty.options.Board.HasOtherEndpoint(ask)
+// HasOtherEndpoint reports whether the service has an endpoint in force that is not in request.Avoid.
+func (duty *Duty) HasOtherEndpoint(request *dogwoodpacking.PlacementRequest) bool {
+	return duty.options.Board.HasOtherEndpoint(request)
 }
 
 // Serves reports whether a peer recently announced that it serves callers.
--- a/core/duty/dogwoodboard/board_test.go
+++ b/core/duty/dogwoodboard/board_test.go
@@ -172,8 +172,8 @@
 func (node *node) visibleWork() int {
 	now, free := time.Now(), 0
 	for ; ; free++ {
-		ask := &dogwoodpacking.PlacementRequest{ID: dogwoodpacking.WorkID(fmt.Sprintf("probe%d", free)), Service: "s", Until: now.Add(time.Second)}
-		if _, refusal := node.board.Place(now, ask); refusal != dogwoodpacking.Placed {
+		request := &dogwoodpacking.PlacementRequest{ID: dogwoodpacking.WorkID(fmt.Sprintf("probe%d", free)), Service: "s", Until: now.Add(time.Second)}
+		if _, refusal := node.board.Place(now, request); refusal != dogwoodpacking.Placed {
 			break
 		}
 	}
@@ -375,11 +375,11 @@
 			time.Sleep(2 * announceInterval)
 		}
 		for i, node := range nodes {
-			ask := &dogwoodpacking.PlacementRequest{
+			request := &dogwoodpacking.PlacementRequest{
 				ID: dogwoodpacking.WorkID(fmt.Sprint("draft", i)), Service: "models", Prompt: 3_000, Answer: 100,
 				Aim: 300 * time.Millisecond, Pause: 250 * time.Millisecond, Until: time.Now().Add(time.Minute),
 			}
-			placement, refusal := node.board.Place(time.Now(), ask)
+			placement, refusal := node.board.Place(time.Now(), request)
 			if refusal != dogwoodpacking.Placed || placement.Endpoint.ID != "well" {
 				t.Errorf("daemon %d: got %q and refusal %q, want the healthy engine", i, placement.Endpoint.ID, refusal)
 			}
--- a/core/duty/dogwoodboard/news_test.go
+++ b/core/duty/dogwoodboard/news_test.go
@@ -73,8 +73,8 @@
 			for i, node := range nodes {
 				placedAt := map[dogwoodfleet.EndpointID]int{}
 				for number := range 10 {
-					ask := &dogwoodpacking.PlacementRequest{ID: dogwoodpacking.WorkID(fmt.Sprint(i, number)), Service: "s", Until: time.Now().Add(time.Second)}
-					placement, _ := node.board.Place(time.Now(), ask)
+					request := &dogwoodpacking.PlacementRequest{ID: dogwoodpacking.WorkID(fmt.Sprint(i, number)), Service: "s", Until: time.Now().Add(time.Second)}
+					placement, _ := node.board.Place(time.Now(), request)
 					placedAt[placement.Endpoint.ID]++
 				}
 				if got := placedAt["e"]; got != 0 {
--- a/core/duty/dogwoodburnkeeper/keeper.go
+++ b/core/duty/dogwoodburnkeeper/keeper.go
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// Keepers returns the members that hold the copies of self's counters. These are the ones that
+// CopyHolders returns the members that hold the copies of self's counters. These are the ones that
 // follow it in the order of VM names, so that copies are spread evenly over the daemons.
 func CopyHolders(self Member, members []Member) []Member {
 	others := slices.DeleteFunc(slices.Clone(members), func(member Member) bool { return member.VM == self.VM })
--- a/core/duty/dogwoodburnkeeper/service.go
+++ b/core/duty/dogwoodburnkeeper/service.go
@@ -19,7 +19,7 @@
 // Kept is the empty reply of Keep.
 type Kept struct{}
 
-// Ask is the empty argument of Service.Holdings.
+// HoldingsArgs is the empty argument of Service.Holdings.
 type HoldingsArgs struct{}
 
 // Holdings are a daemon's own counters and its copies of other daemons' counters.
--- a/core/duty/dogwoodchanges/changes.go
+++ b/core/duty/dogwoodchanges/changes.go
@@ -207,9 +207,9 @@
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	current := duty.options.Log.Current()
-	ask := ExchangeRequest{Version: current.Version, Provisional: len(current.Provisional)}
+	request := ExchangeRequest{Version: current.Version, Provisional: len(current.Provisional)}
 	var told Told
-	if err := duty.options.Caller.Call(ctx, peer, Name+".Exchange", ask, &told); err != nil {
+	if err := duty.options.Caller.Call(ctx, peer, Name+".Exchange", request, &told); err != nil {
 		return false, Error.Wrap(err)
 	}
 	duty.options.Log.Merge(told.News)
--- a/core/duty/dogwoodchanges/receiver.go
+++ b/core/duty/dogwoodchanges/receiver.go
@@ -4,13 +4,13 @@
 	"dogwoodmux.example/core/state/dogwoodchange"
 )
 
-// Ask is the query of an exchange: it holds the state of the daemon that sends it.
+// ExchangeRequest is the query of an exchange: it holds the state of the daemon that sends it.
 type ExchangeRequest struct {
 	Version     uint64
 	Provisional int
 }
 
-// Told is the answer to Ask.
+// Told is the answer to an ExchangeRequest.
 type Told struct {
 	News dogwoodchange.News
 	// Ready is true if the answering daemon has loaded the log itself.
@@ -35,8 +35,8 @@
 }
 
 // Exchange returns the changes that the querying daemon lacks.
-func (receiver *Receiver) Exchange(ask ExchangeRequest, told *Told) error {
-	told.News = receiver.duty.options.Log.Since(ask.Version)
+func (receiver *Receiver) Exchange(request ExchangeRequest, told *Told) error {
+	told.News = receiver.duty.options.Log.Since(request.Version)
 	select {
 	case <-receiver.duty.ready:
 		told.Ready = true
--- a/core/duty/dogwooddispatch/choose.go
+++ b/core/duty/dogwooddispatch/choose.go
@@ -18,16 +18,16 @@
 	firstBlock uint64
 }
 
-func (owners *Owners) chooser(ask *dogwoodowner.AcquireRequest) *chooser {
-	chooser := &chooser{owners: owners, groups: owners.ownership().groupsServing(ask.Request.Service, ask.Request.Model)}
+func (owners *Owners) chooser(acquireRequest *dogwoodowner.AcquireRequest) *chooser {
+	chooser := &chooser{owners: owners, groups: owners.ownership().groupsServing(acquireRequest.Request.Service, acquireRequest.Request.Model)}
 	if owners.options.Policy == dogwoodowner.PolicyBaseline {
 		groups := chooser.groups
 		rand.Shuffle(len(groups), func(i, j int) { groups[i], groups[j] = groups[j], groups[i] })
 		return chooser
 	}
-	chooser.loads = owners.loads(chooser.groups, ask.Request.Service)
-	if len(ask.Request.Blocks) > 0 {
-		chooser.firstBlock = ask.Request.Blocks[0]
+	chooser.loads = owners.loads(chooser.groups, acquireRequest.Request.Service)
+	if len(acquireRequest.Request.Blocks) > 0 {
+		chooser.firstBlock = acquireRequest.Request.Blocks[0]
 	}
 	return chooser
 }
--- a/core/duty/dogwooddispatch/choose_bench_test.go
+++ b/core/duty/dogwooddispatch/choose_bench_test.go
@@ -49,10 +49,10 @@
 	for _, size := range benchSizes {
 		b.Run(fmt.Sprintf("%d daemons, %d endpoints", size.daemons, size.endpoints), func(b *testing.B) {
 			owners := newBenchOwners(newBenchMembers(size.daemons, size.endpoints))
-			ask := dogwoodowner.AcquireRequest{Request: dogwoodfleet.Request{Service: "pool", Blocks: []uint64{7}}}
+			acquireRequest := dogwoodowner.AcquireRequest{Request: dogwoodfleet.Request{Service: "pool", Blocks: []uint64{7}}}
 			b.ReportAllocs()
 			for b.Loop() {
-				chooser := owners.chooser(&ask)
+				chooser := owners.chooser(&acquireRequest)
 				for range maxOwnersAsked {
 					if _, ok := chooser.nextOwner(); !ok {
 						b.Fatal("got fewer owners than maxOwnersAsked")
--- a/core/duty/dogwooddispatch/dispatch.go
+++ b/core/duty/dogwooddispatch/dispatch.go
@@ -54,7 +54,7 @@
 	Data []byte
 }
 
-// PromptAnswer receives a model's answer while it is generated.
+// PromptAnswerWriter receives a model's answer while it is generated.
 type PromptAnswerWriter interface {
 	// Event receives the next chunk. An error means that the caller has disconnected.
 	Event(event Event) error
@@ -96,7 +96,7 @@
 	Cancel(ctx context.Context, endpoint dogwoodfleet.Endpoint, id dogwoodfleet.RequestID) error
 }
 
-// ServiceOrder is a call to a plain service.
+// ServiceRequest is a call to a plain service.
 type ServiceRequest struct {
 	ID     dogwoodfleet.RequestID
 	Method string
@@ -115,14 +115,14 @@
 // Services sends calls to plain services, each at most once. Its errors are *NotStarted
 // and *Broken.
 type Services interface {
-	Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, order ServiceRequest) (*ServiceAnswer, error)
+	Do(ctx context.Context, endpoint dogwoodfleet.Endpoint, request ServiceRequest) (*ServiceAnswer, error)
 }
 
 // Slots assigns requests to slots at endpoints.
 type Slots interface {
-	// Acquire waits for a grant. It sets ask.Request.ID to the ID under which the slot was
+	// Acquire waits for a grant. It sets acquireRequest.Request.ID to the ID under which the slot was
 	// granted, since it may send several acquire requests. The error is a *dogwoodowner.Refusal.
-	Acquire(ctx context.Context, ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error)
+	Acquire(ctx context.Context, acquireRequest *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error)
 	// ToldCold notifies the owner of an endpoint that reported at the start of an answer
 	// that it is cold.
 	ToldCold(ctx context.Context, endpoint dogwoodfleet.Endpoint, instance dogwoodfleet.InstanceID)
--- a/core/duty/dogwooddispatch/dispatch_test.go
+++ b/core/duty/dogwooddispatch/dispatch_test.go
@@ -38,11 +38,11 @@
 	fakes.log = append(fakes.log, fmt.Sprintf(format, arguments...))
 }
 
-func (fakes *fakes) Acquire(_ context.Context, ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
-	if fakes.refuse != nil && ask.Try >= fakes.refuseFrom {
+func (fakes *fakes) Acquire(_ context.Context, acquireRequest *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
+	if fakes.refuse != nil && acquireRequest.Try >= fakes.refuseFrom {
 		return dogwoodowner.Grant{}, fakes.refuse
 	}
-	id := dogwoodfleet.EndpointID(fmt.Sprintf("e%d", len(ask.Avoid)))
+	id := dogwoodfleet.EndpointID(fmt.Sprintf("e%d", len(acquireRequest.Avoid)))
 	return dogwoodowner.Grant{Endpoint: dogwoodfleet.Endpoint{ID: id}}, nil
 }
 
--- a/core/duty/dogwooddispatch/fallback.go
+++ b/core/duty/dogwooddispatch/fallback.go
@@ -64,8 +64,8 @@
 }
 
 // acquireFallback grants a slot from this daemon's share.
-func (owners *Owners) acquireFallback(ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, bool) {
-	service, ok := owners.options.Text().Service(ask.Request.Service)
+func (owners *Owners) acquireFallback(acquireRequest *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, bool) {
+	service, ok := owners.options.Text().Service(acquireRequest.Request.Service)
 	if !ok {
 		return dogwoodowner.Grant{}, false
 	}
@@ -84,13 +84,13 @@
 	fallback.maxDaemons = max(fallback.maxDaemons, len(alive))
 	for _, endpoint := range endpoints {
 		lastGood, known := fallback.lastGood[endpoint.ID]
-		if !endpoint.InForce || endpoint.Service != ask.Request.Service || !known || now.Sub(lastGood) > warmTTL {
+		if !endpoint.InForce || endpoint.Service != acquireRequest.Request.Service || !known || now.Sub(lastGood) > warmTTL {
 			continue
 		}
-		if slices.Contains(ask.Avoid, endpoint.ID) || !mayHoldModel(&endpoint, ask.Request.Model) {
+		if slices.Contains(acquireRequest.Avoid, endpoint.ID) || !mayHoldModel(&endpoint, acquireRequest.Request.Model) {
 			continue
 		}
-		if endpoint.MemoryTokens > 0 && endpoint.MemoryTokens < ask.Request.Tokens() {
+		if endpoint.MemoryTokens > 0 && endpoint.MemoryTokens < acquireRequest.Request.Tokens() {
 			continue
 		}
 		if fallback.running[endpoint.ID] >= limitShare(service.WarmLimit, fallback.maxDaemons, rank, endpoint.ID) {
@@ -101,7 +101,7 @@
 		return dogwoodowner.Grant{
 			ID:       dogwoodowner.GrantID{Owner: owners.options.Self + fallbackSuffix, Number: fallback.grantNumber},
 			Endpoint: endpoint,
-			Priority: dogwoodfleet.PriorityNormal, ReservedTokens: ask.Request.Tokens(), Lease: dogwoodowner.GrantLease,
+			Priority: dogwoodfleet.PriorityNormal, ReservedTokens: acquireRequest.Request.Tokens(), Lease: dogwoodowner.GrantLease,
 		}, true
 	}
 	return dogwoodowner.Grant{}, false
--- a/core/duty/dogwooddispatch/fallback_test.go
+++ b/core/duty/dogwooddispatch/fallback_test.go
@@ -59,8 +59,8 @@
 				for range 4 {
 					deadline := time.Now().Add(2 * time.Second)
 					ctx, cancel := context.WithDeadline(t.Context(), deadline)
-					ask := &dogwoodowner.AcquireRequest{Request: dogwoodfleet.Request{Service: "pool", Deadline: deadline}, Budget: 2 * time.Second}
-					grant, err := owners.Acquire(ctx, ask)
+					acquireRequest := &dogwoodowner.AcquireRequest{Request: dogwoodfleet.Request{Service: "pool", Deadline: deadline}, Budget: 2 * time.Second}
+					grant, err := owners.Acquire(ctx, acquireRequest)
 					cancel()
 					var refusal *dogwoodowner.Refusal
 					switch {
--- a/core/duty/dogwooddispatch/gangs.go
+++ b/core/duty/dogwooddispatch/gangs.go
@@ -97,13 +97,13 @@
 }
 
 // Acquire acquires a slot for a gang member from the owner of its engine.
-func (gangs *Gangs) Acquire(ctx context.Context, endpoint dogwoodfleet.Endpoint, ask dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
+func (gangs *Gangs) Acquire(ctx context.Context, endpoint dogwoodfleet.Endpoint, acquireRequest dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
 	gangs.markFull(endpoint.ID)
 	member, ok := gangs.Owners.ownerOf(&endpoint)
 	if !ok {
 		return dogwoodowner.Grant{}, Error.New("no owner of %s is alive", endpoint.ID)
 	}
-	return gangs.Owners.acquireFrom(ctx, member, ask)
+	return gangs.Owners.acquireFrom(ctx, member, acquireRequest)
 }
 
 // markFull marks an engine as full in the cached list, so that the next gang chooses other
--- a/core/duty/dogwooddispatch/hedge.go
+++ b/core/duty/dogwooddispatch/hedge.go
@@ -38,14 +38,14 @@
 // becomes the request's ID if it is granted. With a shared ID, the end of the acquire request
 // that wasn't granted would count as the end of the request. That matters most for a suspect,
 // of which only one copy may run at a time.
-func (owners *Owners) acquireHedged(ctx context.Context, member Member, ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
-	if owners.options.Policy == dogwoodowner.PolicyBaseline || dogwoodadmission.ClassOf(ask.Request.PromptTokens).Long() {
-		return owners.acquireFrom(ctx, member, *ask)
+func (owners *Owners) acquireHedged(ctx context.Context, member Member, acquireRequest *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
+	if owners.options.Policy == dogwoodowner.PolicyBaseline || dogwoodadmission.ClassOf(acquireRequest.Request.PromptTokens).Long() {
+		return owners.acquireFrom(ctx, member, *acquireRequest)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // withdraws the acquire request that was not granted
 	results := make(chan acquireResult, 2)
-	owners.acquireInBackground(ctx, member, *ask, results)
+	owners.acquireInBackground(ctx, member, *acquireRequest, results)
 	pending := 1
 	timer := time.NewTimer(hedgeDelay)
 	defer timer.Stop()
@@ -60,14 +60,14 @@
 				cancel()
 				owners.releaseLateGrant(ctx, results)
 			}
-			ask.Request.ID = result.request
+			acquireRequest.Request.ID = result.request
 			return result.grant, result.err
 		case <-timer.C:
-			if second, ok := owners.idleOwner(ask, member); ok {
+			if second, ok := owners.idleOwner(acquireRequest, member); ok {
 				counters.Add("Hedges", 1)
-				secondAsk := *ask
+				secondAsk := *acquireRequest
 				secondAsk.Request.ID += hedgeSuffix
-				secondAsk.Budget = time.Until(ask.Request.Deadline)
+				secondAsk.Budget = time.Until(acquireRequest.Request.Deadline)
 				owners.acquireInBackground(ctx, second, secondAsk, results)
 				pending++
 			}
@@ -75,13 +75,13 @@
 	}
 }
 
-func (owners *Owners) acquireInBackground(ctx context.Context, member Member, ask dogwoodowner.AcquireRequest, results chan<- acquireResult) {
+func (owners *Owners) acquireInBackground(ctx context.Context, member Member, acquireRequest dogwoodowner.AcquireRequest, results chan<- acquireResult) {
 	started := owners.runInBackground(func() {
-		grant, err := owners.acquireFrom(ctx, member, ask)
-		results <- acquireResult{member: member, request: ask.Request.ID, grant: grant, err: err}
+		grant, err := owners.acquireFrom(ctx, member, acquireRequest)
+		results <- acquireResult{member: member, request: acquireRequest.Request.ID, grant: grant, err: err}
 	})
 	if !started {
-		results <- acquireResult{member: member, request: ask.Request.ID, err: shutdownRefusal()}
+		results <- acquireResult{member: member, request: acquireRequest.Request.ID, err: shutdownRefusal()}
 	}
 }
 
@@ -100,9 +100,9 @@
 
 // idleOwner returns the nearest owner, and among equally near ones the least loaded, that has
 // free slots and isn't the excluded one.
-func (owners *Owners) idleOwner(ask *dogwoodowner.AcquireRequest, excluded Member) (Member, bool) {
-	groups := owners.ownership().groupsServing(ask.Request.Service, ask.Request.Model)
-	loads := owners.loads(groups, ask.Request.Service)
+func (owners *Owners) idleOwner(acquireRequest *dogwoodowner.AcquireRequest, excluded Member) (Member, bool) {
+	groups := owners.ownership().groupsServing(acquireRequest.Request.Service, acquireRequest.Request.Model)
+	loads := owners.loads(groups, acquireRequest.Request.Service)
 	best := -1
 	for i := range loads {
 		load := &loads[i]
--- a/core/duty/dogwooddispatch/hedge_test.go
+++ b/core/duty/dogwooddispatch/hedge_test.go
@@ -77,14 +77,14 @@
 				})
 				owners.updateOwned()
 				time.Sleep(dogwoodowner.SettleTimeout)
-				ask := &dogwoodowner.AcquireRequest{Request: dogwoodfleet.Request{
+				acquireRequest := &dogwoodowner.AcquireRequest{Request: dogwoodfleet.Request{
 					ID: "r", Service: "pool", PromptTokens: test.tokens, MaxTokens: 10, Deadline: time.Now().Add(30 * time.Second),
 				}, Holder: self.Instance, Budget: 30 * time.Second}
-				if _, err := owners.acquireHedged(t.Context(), slowMember, ask); err != nil {
+				if _, err := owners.acquireHedged(t.Context(), slowMember, acquireRequest); err != nil {
 					t.Fatal(err)
 				}
 				time.Sleep(10 * time.Second)
-				if got := ask.Request.ID; got != test.wantID {
+				if got := acquireRequest.Request.ID; got != test.wantID {
 					t.Errorf("got the grant of %s, want %s", got, test.wantID)
 				}
 				slow.mutex.Lock()
--- a/core/duty/dogwooddispatch/owners.go
+++ b/core/duty/dogwooddispatch/owners.go
@@ -126,12 +126,12 @@
 )
 
 // Acquire sends an acquire request to the owners that have suitable endpoints, best first,
-// until one grants a slot. It sets ask.Request.ID to the ID under which the slot was granted.
-func (owners *Owners) Acquire(ctx context.Context, ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
+// until one grants a slot. It sets acquireRequest.Request.ID to the ID under which the slot was granted.
+func (owners *Owners) Acquire(ctx context.Context, acquireRequest *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
 	for {
-		grant, err := owners.acquireOnce(ctx, ask)
+		grant, err := owners.acquireOnce(ctx, acquireRequest)
 		if err == nil {
-			owners.hold(ask, grant)
+			owners.hold(acquireRequest, grant)
 			return grant, nil
 		}
 		var refusal *dogwoodowner.Refusal
@@ -139,11 +139,11 @@
 			return grant, err
 		}
 		counters.Add("OwnersUnreachable", 1)
-		if grant, ok := owners.acquireFallback(ask); ok {
+		if grant, ok := owners.acquireFallback(acquireRequest); ok {
 			counters.Add("Fallbacks", 1)
 			// The grant is held like any other and is announced to the owner as soon as there is
 			// one. Otherwise that owner would treat the stream as orphaned and cancel it.
-			owners.hold(ask, grant)
+			owners.hold(acquireRequest, grant)
 			return grant, nil
 		}
 		select {
@@ -152,19 +152,19 @@
 			return dogwoodowner.Grant{}, &dogwoodowner.Refusal{Reason: failure.Reason, NotRun: true, Detail: "no owner could be reached: " + err.Error()}
 		case <-time.After(acquireRetryInterval):
 		}
-		ask.Budget = time.Until(ask.Request.Deadline)
+		acquireRequest.Budget = time.Until(acquireRequest.Request.Deadline)
 	}
 }
 
 // acquireOnce sends an acquire request to up to maxOwnersAsked owners, not counting those that
 // turn out to have no endpoint in force. The error is the last refusal, or the transport error
 // if no owner answered.
-func (owners *Owners) acquireOnce(ctx context.Context, ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
+func (owners *Owners) acquireOnce(ctx context.Context, acquireRequest *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
 	var transportErr error
 	refusal := &dogwoodowner.Refusal{Reason: dogwoodfleet.ReasonNoEndpoint, NotRun: true, RetryAfter: time.Second, Detail: "no endpoint of the service is in force"}
 	refused := false
-	chooser := owners.chooser(ask)
-	started, budget := time.Now(), ask.Budget
+	chooser := owners.chooser(acquireRequest)
+	started, budget := time.Now(), acquireRequest.Budget
 	for asked, empty := 0, 0; asked < maxOwnersAsked && empty < maxEmptyOwnersAsked; {
 		candidate, ok := chooser.nextOwner()
 		if !ok {
@@ -172,9 +172,9 @@
 		}
 		// Subtract the time spent at earlier owners. With the whole budget, this owner could
 		// keep the request waiting beyond its deadline, until the caller has disconnected.
-		ask.Budget = budget - time.Since(started)
-		owners.countAcquire(candidate.Instance, ask.Request.Service)
-		grant, err := owners.acquireHedged(ctx, candidate, ask)
+		acquireRequest.Budget = budget - time.Since(started)
+		owners.countAcquire(candidate.Instance, acquireRequest.Request.Service)
+		grant, err := owners.acquireHedged(ctx, candidate, acquireRequest)
 		if err == nil {
 			return grant, nil
 		}
@@ -215,14 +215,14 @@
 	}
 }
 
-func (owners *Owners) acquireFrom(ctx context.Context, member Member, ask dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
+func (owners *Owners) acquireFrom(ctx context.Context, member Member, acquireRequest dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
 	if member.Instance == owners.options.Self {
-		return owners.options.Local.Acquire(ctx, ask)
+		return owners.options.Local.Acquire(ctx, acquireRequest)
 	}
 	var reply AcquireReply
-	err := owners.options.Caller.Call(ctx, member.Peer, "Owner.Acquire", ask, &reply)
+	err := owners.options.Caller.Call(ctx, member.Peer, "Owner.Acquire", acquireRequest, &reply)
 	if err != nil {
-		owners.withdraw(ctx, member.Peer, ask.Request.ID)
+		owners.withdraw(ctx, member.Peer, acquireRequest.Request.ID)
 		if ctx.Err() != nil {
 			failure := contextFailure(ctx, dogwoodfleet.NotRun)
 			return dogwoodowner.Grant{}, &dogwoodowner.Refusal{Reason: failure.Reason, NotRun: true, Detail: failure.Detail}
@@ -250,15 +250,15 @@
 	})
 }
 
-func (owners *Owners) hold(ask *dogwoodowner.AcquireRequest, grant dogwoodowner.Grant) {
+func (owners *Owners) hold(acquireRequest *dogwoodowner.AcquireRequest, grant dogwoodowner.Grant) {
 	owners.mutex.Lock()
 	defer owners.mutex.Unlock()
 	parts := grant.Parts()
 	for _, part := range parts {
 		owners.held[part.ID] = &heldGrant{
 			Held: dogwoodowner.Held{
-				Grant: part, Holder: ask.Holder, Request: ask.Request.ID, Customer: ask.Request.Customer,
-				Digest: ask.Request.Digest, PromptTokens: ask.Request.PromptTokens / len(parts), MaxTokens: ask.Request.MaxTokens / len(parts),
+				Grant: part, Holder: acquireRequest.Holder, Request: acquireRequest.Request.ID, Customer: acquireRequest.Request.Customer,
+				Digest: acquireRequest.Request.Digest, PromptTokens: acquireRequest.Request.PromptTokens / len(parts), MaxTokens: acquireRequest.Request.MaxTokens / len(parts),
 			},
 			owner:     part.ID.Owner,
 			heldSince: time.Now(),
--- a/core/duty/dogwooddispatch/receiver.go
+++ b/core/duty/dogwooddispatch/receiver.go
@@ -56,15 +56,15 @@
 }
 
 // Acquire waits for a slot.
-func (receiver *Receiver) Acquire(ask dogwoodowner.AcquireRequest, reply *AcquireReply) error {
-	ctx, cancel := receiver.withBudget(ask.Budget)
+func (receiver *Receiver) Acquire(acquireRequest dogwoodowner.AcquireRequest, reply *AcquireReply) error {
+	ctx, cancel := receiver.withBudget(acquireRequest.Budget)
 	defer cancel()
 	receiver.mutex.Lock()
-	receiver.waiting[ask.Request.ID] = cancel
+	receiver.waiting[acquireRequest.Request.ID] = cancel
 	receiver.mutex.Unlock()
-	grant, err := receiver.owner.Acquire(ctx, ask)
+	grant, err := receiver.owner.Acquire(ctx, acquireRequest)
 	receiver.mutex.Lock()
-	delete(receiver.waiting, ask.Request.ID)
+	delete(receiver.waiting, acquireRequest.Request.ID)
 	receiver.mutex.Unlock()
 	reply.Summary = receiver.owner.Summary()
 	if err == nil && ctx.Err() != nil {
@@ -133,8 +133,8 @@
 }
 
 // Judge responds to a permit request for a suspect whose home is this daemon.
-func (receiver *Receiver) Judge(trial dogwoodsuspect.PermitRequest, reply *dogwoodsuspect.PermitResponse) error {
-	*reply = receiver.owner.Judge(trial)
+func (receiver *Receiver) Judge(permitRequest dogwoodsuspect.PermitRequest, reply *dogwoodsuspect.PermitResponse) error {
+	*reply = receiver.owner.Judge(permitRequest)
 	return nil
 }
 
--- a/core/duty/dogwooddispatch/tries.go
+++ b/core/duty/dogwooddispatch/tries.go
@@ -61,9 +61,9 @@
 		failure := contextFailure(ctx, dogwoodfleet.NotRun)
 		return dogwoodowner.Grant{}, &dogwoodowner.Refusal{Reason: failure.Reason, NotRun: true, Detail: failure.Detail}
 	}
-	ask := dogwoodowner.AcquireRequest{Request: *request, Holder: dispatcher.options.Self, Avoid: avoid, Try: tryNumber, Budget: budget}
-	grant, err := dispatcher.options.Slots.Acquire(ctx, &ask)
-	request.ID = ask.Request.ID
+	acquireRequest := dogwoodowner.AcquireRequest{Request: *request, Holder: dispatcher.options.Self, Avoid: avoid, Try: tryNumber, Budget: budget}
+	grant, err := dispatcher.options.Slots.Acquire(ctx, &acquireRequest)
+	request.ID = acquireRequest.Request.ID
 	return grant, err
 }
 
--- a/core/duty/dogwooddispatch/upkeep.go
+++ b/core/duty/dogwooddispatch/upkeep.go
@@ -26,12 +26,12 @@
 	cancelTimeout = 2 * time.Second
 )
 
-// KeepGrants renews the grants held by this daemon until the context ends.
+// RunRenewals renews the grants held by this daemon until the context ends.
 func (owners *Owners) RunRenewals(ctx context.Context) error {
 	return runEvery(ctx, renewInterval, owners.renewGrants)
 }
 
-// KeepOwned updates the local owner's list of owned endpoints until the context ends. Changes
+// RunOwnedUpdates updates the local owner's list of owned endpoints until the context ends. Changes
 // are applied immediately. An owner with an outdated list would refuse work for a VM or data
 // centre that was brought back, and grant work in one that was taken out.
 func (owners *Owners) RunOwnedUpdates(ctx context.Context) error {
@@ -49,13 +49,13 @@
 	}
 }
 
-// KeepExpired expires grants whose holders are gone and cancels their streams, until the
+// RunExpiry expires grants whose holders are gone and cancels their streams, until the
 // context ends.
 func (owners *Owners) RunExpiry(ctx context.Context) error {
 	return runEvery(ctx, renewInterval, owners.expireGrants)
 }
 
-// KeepProbing probes the endpoints of services that others depend on, until the context ends.
+// RunProbes probes the endpoints of services that others depend on, until the context ends.
 func (owners *Owners) RunProbes(ctx context.Context) error {
 	return runEvery(ctx, probeInterval, owners.probe)
 }
--- a/core/duty/dogwoodhub/duty.go
+++ b/core/duty/dogwoodhub/duty.go
@@ -28,7 +28,7 @@
 type List interface {
 	// Hubs returns the listed hubs.
 	Hubs(ctx context.Context) ([]dogwoodhubs.Daemon, error)
-	// Offer adds this daemon to the list and removes the hubs on the silent VMs, which did not answer.
+	// Register adds this daemon to the list and removes the hubs on the silent VMs, which did not answer.
 	Register(ctx context.Context, silent []dogwoodfleet.VM) error
 	// Withdraw removes this daemon from the list.
 	Withdraw(ctx context.Context) error
@@ -41,8 +41,8 @@
 	FirstStart bool
 	List       List
 	Leaf       *Leaf
-	// BeHub runs this daemon as a hub until the context ends or the hub is spare. It returns
-	// ErrSpare in the latter case.
+	// RunHub runs this daemon as a hub until the context ends or the hub is no longer needed. It returns
+	// ErrNotNeeded in the latter case.
 	RunHub func(ctx context.Context) error
 	Logger hclog.Logger
 }
--- a/core/duty/dogwoodhub/fleet_test.go
+++ b/core/duty/dogwoodhub/fleet_test.go
@@ -243,7 +243,7 @@
 	}
 }
 
-// Hubs, Offer and Withdraw simulate the store's list of hubs. A call takes four milliseconds.
+// Hubs, Register and Withdraw simulate the store's list of hubs. A call takes four milliseconds.
 func (node *node) Hubs(context.Context) ([]dogwoodhubs.Daemon, error) {
 	var hubs []dogwoodhubs.Daemon
 	if node.isRejected() {
--- a/core/duty/dogwoodhub/hub.go
+++ b/core/duty/dogwoodhub/hub.go
@@ -16,7 +16,7 @@
 	"dogwoodmux.example/core/state/dogwoodcopy"
 )
 
-// ErrSpare is returned by Hub.Run when the hub is no longer needed.
+// ErrNotNeeded is returned by Hub.Run when the hub is no longer needed.
 var ErrNotNeeded = errors.New("this hub is not needed any more")
 
 const (
@@ -57,7 +57,7 @@
 type HubOptions struct {
 	Self   dogwoodhubs.Daemon
 	Tables Tables
-	// Names are the tables that leaves may follow, at most two. Each confirmation of the first
+	// TableNames are the tables that leaves may follow, at most two. Each confirmation of the first
 	// counts as an update.
 	TableNames []string
 	Clock      dogwoodfreshness.Clock
@@ -119,7 +119,7 @@
 	}
 }
 
-// Run checks leaves and hubs at regular intervals until the context ends, or returns ErrSpare if
+// Run checks leaves and hubs at regular intervals until the context ends, or returns ErrNotNeeded if
 // the hub is spare.
 func (hub *Hub) Run(ctx context.Context) error {
 	ticker := time.NewTicker(checkInterval)
--- a/core/duty/dogwoodhub/hub_test.go
+++ b/core/duty/dogwoodhub/hub_test.go
@@ -230,8 +230,8 @@
 		index := slices.IndexFunc(fleet.nodes, (*node).isHub)
 		hub := fleet.nodes[index].hub
 		tests := []struct {
-			name     string
-			question FollowRequest
+			name    string
+			request FollowRequest
 		}{
 			{"empty poll", FollowRequest{}},
 			{"unknown tables", FollowRequest{Tables: []Position{{Table: "a"}, {Table: "b"}, {Table: "c"}}}},
@@ -239,7 +239,7 @@
 		}
 		for _, test := range tests {
 			var news News
-			if err := hub.Receiver().Follow(test.question, &news); err != nil {
+			if err := hub.Receiver().Follow(test.request, &news); err != nil {
 				t.Errorf("%s: got %v, want an answer", test.name, err)
 			}
 			for _, table := range news.Tables {
--- a/core/duty/dogwoodhub/leaf.go
+++ b/core/duty/dogwoodhub/leaf.go
@@ -22,13 +22,13 @@
 var (
 	// ErrPromoted means that a hub asked the leaf to become a hub.
 	ErrPromoted = errors.New("promoted to a hub")
-	// ErrAlone means that no hub is listed or that none answered in time.
+	// ErrNoHub means that no hub is listed or that none answered in time.
 	ErrNoHub = errors.New("no hub answers")
 )
 
 const (
 	// startSearchTimeout is how long a leaf that starts searches for a hub before it gives up
-	// with ErrAlone. Hubs that lost power together with it are back within this time.
+	// with ErrNoHub. Hubs that lost power together with it are back within this time.
 	startSearchTimeout = 1200 * time.Millisecond
 	// failoverTimeout is how long a leaf searches after its hub has failed. It is shorter than
 	// startSearchTimeout because detecting the failure has taken a while already.
@@ -49,7 +49,7 @@
 type Feed interface {
 	// Position returns the version of a table that is known, and the age of its last confirmation.
 	Position(table string) (version int64, age time.Duration)
-	// Feed applies an update of a table.
+	// Apply applies an update of a table.
 	Apply(table string, answer dogwoodcopy.Answer)
 }
 
@@ -59,7 +59,7 @@
 	Self   func() dogwoodhubs.Daemon
 	Caller Caller
 	Feed   Feed
-	// Names are the tables that the leaf follows. The first is the one whose confirmations matter.
+	// TableNames are the tables that the leaf follows. The first is the one whose confirmations matter.
 	TableNames []string
 	Clock      dogwoodfreshness.Clock
 	Logger     hclog.Logger
@@ -112,7 +112,7 @@
 }
 
 // Run follows one hub after another, beginning with the listed ones. It returns
-// ErrPromoted, ErrAlone or the context's error.
+// ErrPromoted, ErrNoHub or the context's error.
 func (leaf *Leaf) Run(ctx context.Context, listed []dogwoodhubs.Daemon) error {
 	leaf.reset()
 	if len(listed) == 0 {
@@ -253,15 +253,15 @@
 
 // poll sends one poll to the hub and feeds the table updates of its answer.
 func (leaf *Leaf) poll(ctx context.Context, hub dogwoodhubs.Daemon, version uint64) (News, error) {
-	question := FollowRequest{Leaf: leaf.self(), Fleet: version}
+	request := FollowRequest{Leaf: leaf.self(), Fleet: version}
 	sent, versions := leaf.options.Clock(), map[string]int64{}
 	for _, name := range leaf.options.TableNames {
 		after, age := leaf.options.Feed.Position(name)
 		versions[name] = after
-		question.Tables = append(question.Tables, Position{Table: name, After: after, Age: age})
+		request.Tables = append(request.Tables, Position{Table: name, After: after, Age: age})
 	}
 	var news News
-	if err := leaf.options.Caller.Call(ctx, hub.Peer, Name+".Follow", question, &news); err != nil {
+	if err := leaf.options.Caller.Call(ctx, hub.Peer, Name+".Follow", request, &news); err != nil {
 		return news, Error.Wrap(err)
 	}
 	for _, table := range news.Tables {
--- a/core/duty/dogwoodhub/messages.go
+++ b/core/duty/dogwoodhub/messages.go
@@ -48,7 +48,7 @@
 	Age time.Duration
 }
 
-// Question is a leaf's poll of its hub. It is also the leaf's heartbeat.
+// FollowRequest is a leaf's poll of its hub. It is also the leaf's heartbeat.
 type FollowRequest struct {
 	Leaf   dogwoodhubs.Daemon
 	Tables []Position
@@ -56,7 +56,7 @@
 	Fleet uint64
 }
 
-// TableNews is an update of a table: the changes and the confirmation after the leaf's position.
+// TableUpdate is an update of a table: the changes and the confirmation after the leaf's position.
 type TableUpdate struct {
 	Table string
 	dogwoodcopy.Told
--- a/core/duty/dogwoodhub/receiver.go
+++ b/core/duty/dogwoodhub/receiver.go
@@ -23,13 +23,13 @@
 }
 
 // Follow answers as soon as there is an update for the leaf, or after maxHold.
-func (receiver *Receiver) Follow(question FollowRequest, news *News) error {
+func (receiver *Receiver) Follow(request FollowRequest, news *News) error {
 	hub := receiver.hub
 	arrived, timer := hub.options.Clock(), time.NewTimer(maxHold)
 	defer timer.Stop()
-	hub.recordLeaf(question.Leaf)
+	hub.recordLeaf(request.Leaf)
 	for timedOut := false; ; {
-		update, isUpdate, signals := hub.updateFor(question, arrived)
+		update, isUpdate, signals := hub.updateFor(request, arrived)
 		if timedOut || isUpdate {
 			*news = update
 			return nil
@@ -53,8 +53,8 @@
 
 // updateFor returns what the hub has and the leaf lacks, whether that must be sent at once, and
 // the signals to wait for otherwise.
-func (hub *Hub) updateFor(question FollowRequest, arrived time.Duration) (update News, isUpdate bool, signals signals) {
-	for i, position := range question.Tables[:min(len(question.Tables), len(signals.tables))] {
+func (hub *Hub) updateFor(request FollowRequest, arrived time.Duration) (update News, isUpdate bool, signals signals) {
+	for i, position := range request.Tables[:min(len(request.Tables), len(signals.tables))] {
 		if !slices.Contains(hub.options.TableNames, position.Table) {
 			continue // sent by a daemon of another software version
 		}
@@ -70,11 +70,11 @@
 	hub.mutex.Lock()
 	defer hub.mutex.Unlock()
 	signals.fleet = hub.changed
-	if hub.fleet.Version != question.Fleet {
+	if hub.fleet.Version != request.Fleet {
 		fleet := hub.fleet
 		update.Fleet, isUpdate = &fleet, true
 	}
-	if leaf := hub.leaves[question.Leaf.Instance]; leaf != nil {
+	if leaf := hub.leaves[request.Leaf.Instance]; leaf != nil {
 		signals.promoted = leaf.wake
 		update.Promoted = time.Since(leaf.promotedAt) < promotionTTL
 	}
--- a/core/duty/dogwoodorders/orders.go
+++ b/core/duty/dogwoodorders/orders.go
@@ -34,7 +34,7 @@
 	// DefaultPeriod is the interval between checks of a service's engines. A load takes
 	// minutes, so a check every few seconds adds no noticeable delay.
 	DefaultPeriod = 3 * time.Second
-	// LongestOrder is the timeout for sending one order. A new lease holder waits for this
+	// OrderTimeout is the timeout for sending one order. A new lease holder waits for this
 	// time before it sends orders to engines that ignore fencing numbers.
 	OrderTimeout = 3 * time.Second
 	// maxConcurrentReports bounds the number of engines queried at the same time.
--- a/core/duty/dogwoodowner/acquire.go
+++ b/core/duty/dogwoodowner/acquire.go
@@ -14,13 +14,13 @@
 // waiter is an acquire request that waits for a slot.
 type waiter struct {
 	dogwoodadmission.Work
-	ask      AcquireRequest
-	tokens   int // memory to reserve
-	long     bool
-	suspect  bool
-	lane     *lane
-	reserved *endpoint // the endpoint that is being cleared for this waiter
-	outcomes chan outcome
+	acquireRequest AcquireRequest
+	tokens         int // memory to reserve
+	long           bool
+	suspect        bool
+	lane           *lane
+	reserved       *endpoint // the endpoint that is being cleared for this waiter
+	outcomes       chan outcome
 }
 
 // outcome is the result of an acquire request: a grant, or a refusal if that isn't nil.
@@ -46,14 +46,14 @@
 // accepts reports whether the waiter allows the endpoint and the endpoint has the adapter that
 // it needs. Endpoints to avoid are accepted if they are as many as the lane has in force.
 func (waiter *waiter) accepts(state *endpoint) bool {
-	if waiter.ask.Pin != "" {
-		return state.description.ID == waiter.ask.Pin
+	if waiter.acquireRequest.Pin != "" {
+		return state.description.ID == waiter.acquireRequest.Pin
 	}
-	adapter := waiter.ask.Request.Adapter
+	adapter := waiter.acquireRequest.Request.Adapter
 	if adapter != "" && len(state.description.Adapters) > 0 && !slices.Contains(state.description.Adapters, adapter) {
 		return false
 	}
-	return !slices.Contains(waiter.ask.Avoid, state.description.ID) || waiter.lane.inForceCount() <= len(waiter.ask.Avoid)
+	return !slices.Contains(waiter.acquireRequest.Avoid, state.description.ID) || waiter.lane.inForceCount() <= len(waiter.acquireRequest.Avoid)
 }
 
 func refusalNoEndpoint() *Refusal {
@@ -83,27 +83,27 @@
 
 // Acquire waits until a slot is granted. If no slot will be free in time it returns a
 // *Refusal, at once if that can be predicted. The end of the context withdraws the request.
-func (owner *Owner) Acquire(ctx context.Context, ask AcquireRequest) (Grant, error) {
-	deadline := time.Now().Add(ask.Budget)
+func (owner *Owner) Acquire(ctx context.Context, acquireRequest AcquireRequest) (Grant, error) {
+	deadline := time.Now().Add(acquireRequest.Budget)
 	for {
-		granted, refusal := owner.acquire(ctx, ask)
+		granted, refusal := owner.acquire(ctx, acquireRequest)
 		if refusal == nil {
 			return granted, nil
 		}
 		if refusal != acquireAgain {
 			return Grant{}, refusal
 		}
-		ask.Budget = time.Until(deadline)
+		acquireRequest.Budget = time.Until(deadline)
 	}
 }
 
-func (owner *Owner) acquire(ctx context.Context, ask AcquireRequest) (Grant, *Refusal) {
-	waiter, refusal := owner.prepare(ask)
+func (owner *Owner) acquire(ctx context.Context, acquireRequest AcquireRequest) (Grant, *Refusal) {
+	waiter, refusal := owner.prepare(acquireRequest)
 	switch {
 	case refusal != nil:
 		return Grant{}, refusal
 	case waiter == nil:
-		return owner.acquireGang(ctx, ask)
+		return owner.acquireGang(ctx, acquireRequest)
 	case waiter.suspect:
 		if refusal := owner.awaitPermit(ctx, waiter); refusal != nil {
 			return Grant{}, refusal
@@ -122,14 +122,14 @@
 
 // prepare checks an acquire request and returns its waiter or a refusal; it returns neither if a
 // gang is needed.
-func (owner *Owner) prepare(ask AcquireRequest) (*waiter, *Refusal) {
+func (owner *Owner) prepare(acquireRequest AcquireRequest) (*waiter, *Refusal) {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
 	now := time.Now()
-	request := &ask.Request
-	request.Arrived, request.Deadline = now, now.Add(ask.Budget)
+	request := &acquireRequest.Request
+	request.Arrived, request.Deadline = now, now.Add(acquireRequest.Budget)
 	lane := owner.findLaneLocked(request)
-	if lane == nil || lane.inForceCount() == 0 || ask.Pin != "" && !owner.ownsLocked(ask.Pin) {
+	if lane == nil || lane.inForceCount() == 0 || acquireRequest.Pin != "" && !owner.ownsLocked(acquireRequest.Pin) {
 		return nil, refusalNoEndpoint()
 	}
 	prepared := &waiter{
@@ -137,7 +137,7 @@
 			Customer: request.Customer, PromptTokens: request.PromptTokens, MaxTokens: request.MaxTokens,
 			Arrived: request.Arrived, Deadline: request.Deadline,
 		},
-		ask: ask, tokens: request.Tokens(), lane: lane, outcomes: make(chan outcome, 1),
+		acquireRequest: acquireRequest, tokens: request.Tokens(), lane: lane, outcomes: make(chan outcome, 1),
 		long: dogwoodadmission.ClassOf(request.PromptTokens).Long(),
 	}
 	prepared.Value = prepared
@@ -148,8 +148,8 @@
 	if standing == dogwoodsuspect.Convicted {
 		return nil, refusalSuspect(now, until)
 	}
-	prepared.suspect = standing == dogwoodsuspect.Suspect && ask.Pin == ""
-	if usable, largest := lane.usableTokens(); usable > 0 && prepared.tokens > usable && ask.Pin == "" {
+	prepared.suspect = standing == dogwoodsuspect.Suspect && acquireRequest.Pin == ""
+	if usable, largest := lane.usableTokens(); usable > 0 && prepared.tokens > usable && acquireRequest.Pin == "" {
 		if owner.options.Gangs != nil {
 			return nil, nil
 		}
@@ -176,7 +176,7 @@
 		lane.baselineQueue = append(lane.baselineQueue, arrived)
 	case arrived.suspect:
 		lane.suspects = append(lane.suspects, arrived)
-	case arrived.ask.Pin != "":
+	case arrived.acquireRequest.Pin != "":
 		lane.members = append(lane.members, arrived)
 	default:
 		verdict := lane.queue.Offer(now, &arrived.Work, lane.capacity(now))
--- a/core/duty/dogwoodowner/gang.go
+++ b/core/duty/dogwoodowner/gang.go
@@ -35,30 +35,30 @@
 // maxRequestTokens returns how many tokens a request may have on the engines in force, alone
 // or as a gang.
 func maxRequestTokens(engines []GangEngine) int {
-	rooms := make([]dogwoodmemory.EngineMemory, 0, len(engines))
+	memories := make([]dogwoodmemory.EngineMemory, 0, len(engines))
 	for i := range engines {
 		if engines[i].InForce {
-			rooms = append(rooms, dogwoodmemory.EngineMemory{Memory: engines[i].MemoryTokens})
+			memories = append(memories, dogwoodmemory.EngineMemory{Memory: engines[i].MemoryTokens})
 		}
 	}
-	return dogwoodmemory.MaxRequestTokens(rooms)
+	return dogwoodmemory.MaxRequestTokens(memories)
 }
 
 // acquireGang acquires several engines, or none, for a prompt that exceeds one. To prevent
 // deadlocks, all owners acquire the members in the order of their IDs: of two gangs that need
 // the same engines, one waits at the first shared engine and holds none of the later ones. The
 // wait is bounded, and if it fails all members acquired so far are released.
-func (owner *Owner) acquireGang(ctx context.Context, ask AcquireRequest) (Grant, *Refusal) {
+func (owner *Owner) acquireGang(ctx context.Context, acquireRequest AcquireRequest) (Grant, *Refusal) {
 	started := time.Now()
-	request := &ask.Request
+	request := &acquireRequest.Request
 	engines := owner.options.Gangs.Engines(request.Service, request.Model)
-	members := chooseGang(request, engines, ask.Avoid)
+	members := chooseGang(request, engines, acquireRequest.Avoid)
 	if len(members) == 0 {
 		return Grant{}, refusalTooLarge(request.Tokens(), maxRequestTokens(engines))
 	}
 	parts := make([]Grant, 0, len(members))
 	for _, member := range members {
-		part := memberRequest(ask, member.ID, len(members), time.Since(started))
+		part := memberRequest(acquireRequest, member.ID, len(members), time.Since(started))
 		granted, err := owner.options.Gangs.Acquire(ctx, member, part)
 		if err != nil {
 			owner.releaseMembers(ctx, parts)
@@ -100,14 +100,14 @@
 }
 
 // memberRequest returns the acquire request for one of count members.
-func memberRequest(ask AcquireRequest, member dogwoodfleet.EndpointID, count int, spent time.Duration) AcquireRequest {
-	ask.Pin = member
-	ask.Budget -= spent
-	ask.Hold = min(ask.Budget, gangHoldTimeout)
-	ask.Request.PromptTokens = (ask.Request.PromptTokens + count - 1) / count
-	ask.Request.MaxTokens = (ask.Request.MaxTokens + count - 1) / count
-	ask.Request.Blocks = nil
-	return ask
+func memberRequest(acquireRequest AcquireRequest, member dogwoodfleet.EndpointID, count int, spent time.Duration) AcquireRequest {
+	acquireRequest.Pin = member
+	acquireRequest.Budget -= spent
+	acquireRequest.Hold = min(acquireRequest.Budget, gangHoldTimeout)
+	acquireRequest.Request.PromptTokens = (acquireRequest.Request.PromptTokens + count - 1) / count
+	acquireRequest.Request.MaxTokens = (acquireRequest.Request.MaxTokens + count - 1) / count
+	acquireRequest.Request.Blocks = nil
+	return acquireRequest
 }
 
 // GangEngine is an engine that a gang may include.
@@ -117,7 +117,7 @@
 	FreeTokens int
 }
 
-// Lendable returns an owned engine with the memory that a member of a gang could reserve on it
+// GangEngine returns an owned engine with the memory that a member of a gang could reserve on it
 // at once.
 func (owner *Owner) GangEngine(engine dogwoodfleet.Endpoint) GangEngine {
 	owner.mutex.Lock()
@@ -205,7 +205,7 @@
 	waiting := lane.members
 	lane.members = nil
 	for _, member := range waiting {
-		index := slices.IndexFunc(lane.endpoints, func(state *endpoint) bool { return state.description.ID == member.ask.Pin })
+		index := slices.IndexFunc(lane.endpoints, func(state *endpoint) bool { return state.description.ID == member.acquireRequest.Pin })
 		switch {
 		case index < 0:
 			member.reject(refusalNoEndpoint())
--- a/core/duty/dogwoodowner/lane.go
+++ b/core/duty/dogwoodowner/lane.go
@@ -144,7 +144,7 @@
 		return true
 	}
 	waiter := work.Value.(*waiter)
-	request := &waiter.ask.Request
+	request := &waiter.acquireRequest.Request
 	lane.candidates = lane.candidates[:0]
 	lane.candidateEndpoints = lane.candidateEndpoints[:0]
 	required := lane.owner.requiredEndpointLocked(waiter)
@@ -214,11 +214,11 @@
 	held := &grant{
 		Grant: Grant{
 			ID:       GrantID{Owner: owner.options.Self, Number: owner.lastGrantNumber},
-			Endpoint: state.description, Priority: lane.priority(waiter.ask.Request.PromptTokens),
+			Endpoint: state.description, Priority: lane.priority(waiter.acquireRequest.Request.PromptTokens),
 			ReservedTokens: waiter.tokens, Lease: GrantLease, Alone: alone,
 		},
-		endpoint: state, lane: lane, waiter: waiter, holder: waiter.ask.Holder, request: waiter.ask.Request,
-		tokens: waiter.tokens, long: waiter.long, member: waiter.ask.Pin != "", grantedAt: now, renewedAt: now.Add(max(0, waiter.ask.Hold-GrantLease)),
+		endpoint: state, lane: lane, waiter: waiter, holder: waiter.acquireRequest.Holder, request: waiter.acquireRequest.Request,
+		tokens: waiter.tokens, long: waiter.long, member: waiter.acquireRequest.Pin != "", grantedAt: now, renewedAt: now.Add(max(0, waiter.acquireRequest.Hold-GrantLease)),
 	}
 	state.addGrant(now, held, hitTokens)
 	held.waiter = nil
@@ -257,13 +257,13 @@
 // rejectAll rejects all waiters and empties the lane's queues.
 func (lane *lane) rejectAll(refusal func(request *dogwoodfleet.Request) *Refusal) {
 	for _, waiter := range slices.Concat(lane.suspects, lane.members, lane.baselineQueue) {
-		waiter.reject(refusal(&waiter.ask.Request))
+		waiter.reject(refusal(&waiter.acquireRequest.Request))
 	}
 	lane.suspects, lane.members, lane.baselineQueue = nil, nil, nil
 	anything := func(*dogwoodadmission.Work) bool { return true }
 	for work := lane.queue.Next(anything); work != nil; work = lane.queue.Next(anything) {
 		lane.queue.Remove(work)
 		waiter := work.Value.(*waiter)
-		waiter.reject(refusal(&waiter.ask.Request))
+		waiter.reject(refusal(&waiter.acquireRequest.Request))
 	}
 }
--- a/core/duty/dogwoodowner/messages.go
+++ b/core/duty/dogwoodowner/messages.go
@@ -18,7 +18,7 @@
 	return fmt.Sprintf("%s/%d", id.Owner, id.Number)
 }
 
-// Ask is an entry daemon's request to acquire a slot on an endpoint.
+// AcquireRequest is an entry daemon's request to acquire a slot on an endpoint.
 type AcquireRequest struct {
 	// Request is the request to run. The owner sets its Arrived and Deadline from Budget,
 	// since the clocks of two VMs differ.
--- a/core/duty/dogwoodowner/owner.go
+++ b/core/duty/dogwoodowner/owner.go
@@ -46,10 +46,10 @@
 // SuspectPeers exchanges information about suspects with the other owners. The daemon
 // implements it.
 type SuspectPeers interface {
-	// Trial requests or returns a permit at the digest's home, the owner that
+	// RequestPermit requests or returns a permit at the digest's home, the owner that
 	// dogwoodsuspect.Home returns. That may be this owner.
-	RequestPermit(ctx context.Context, trial dogwoodsuspect.PermitRequest) (dogwoodsuspect.PermitResponse, error)
-	// Spread sends the notices to all other owners and returns when they have confirmed them
+	RequestPermit(ctx context.Context, permitRequest dogwoodsuspect.PermitRequest) (dogwoodsuspect.PermitResponse, error)
+	// Notify sends the notices to all other owners and returns when they have confirmed them
 	// or the context ends.
 	Notify(ctx context.Context, notices []dogwoodsuspect.Notice)
 }
@@ -59,8 +59,8 @@
 	// Engines lists the engines that a gang may include, those of this owner among them.
 	// The memory of each is known.
 	Engines(service dogwoodfleet.Service, model dogwoodfleet.Model) []GangEngine
-	// Acquire acquires a slot on the endpoint from its owner. ask.Pin is the endpoint's ID.
-	Acquire(ctx context.Context, endpoint dogwoodfleet.Endpoint, ask AcquireRequest) (Grant, error)
+	// Acquire acquires a slot on the endpoint from its owner. acquireRequest.Pin is the endpoint's ID.
+	Acquire(ctx context.Context, endpoint dogwoodfleet.Endpoint, acquireRequest AcquireRequest) (Grant, error)
 	// Release ends a grant at the owner of the endpoint.
 	Release(ctx context.Context, endpoint dogwoodfleet.Endpoint, release Release)
 }
--- a/core/duty/dogwoodowner/site_test.go
+++ b/core/duty/dogwoodowner/site_test.go
@@ -174,9 +174,9 @@
 // peerLatency is how long a call between owners takes.
 const peerLatency = time.Millisecond
 
-func (peers *peers) RequestPermit(_ context.Context, trial dogwoodsuspect.PermitRequest) (dogwoodsuspect.PermitResponse, error) {
+func (peers *peers) RequestPermit(_ context.Context, permitRequest dogwoodsuspect.PermitRequest) (dogwoodsuspect.PermitResponse, error) {
 	time.Sleep(peerLatency)
-	return peers.site.owners[dogwoodsuspect.Home(trial.Digest, peers.site.instances)].Judge(trial), nil
+	return peers.site.owners[dogwoodsuspect.Home(permitRequest.Digest, peers.site.instances)].Judge(permitRequest), nil
 }
 
 func (peers *peers) Notify(_ context.Context, notices []dogwoodsuspect.Notice) {
@@ -196,8 +196,8 @@
 	return engines
 }
 
-func (peers *peers) Acquire(ctx context.Context, endpoint dogwoodfleet.Endpoint, ask dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
-	return peers.site.ownerOf(endpoint.ID).Acquire(ctx, ask)
+func (peers *peers) Acquire(ctx context.Context, endpoint dogwoodfleet.Endpoint, acquireRequest dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
+	return peers.site.ownerOf(endpoint.ID).Acquire(ctx, acquireRequest)
 }
 
 func (peers *peers) Release(_ context.Context, endpoint dogwoodfleet.Endpoint, release dogwoodowner.Release) {
--- a/core/duty/dogwoodowner/suspect.go
+++ b/core/duty/dogwoodowner/suspect.go
@@ -62,11 +62,11 @@
 // applies until a run of that digest has finished. Copies are granted only that endpoint: a crashing request that is
 // sent several times at the same moment then takes down one endpoint and not one for each copy.
 func (owner *Owner) requiredEndpointLocked(waiter *waiter) *endpoint {
-	if waiter.ask.Pin != "" {
+	if waiter.acquireRequest.Pin != "" {
 		return nil
 	}
-	run, ok := owner.unprovenRuns[waiter.ask.Request.Digest]
-	if !ok || owner.suspects.Proven(waiter.ask.Request.Digest) || !run.endpoint.description.InForce {
+	run, ok := owner.unprovenRuns[waiter.acquireRequest.Request.Digest]
+	if !ok || owner.suspects.Proven(waiter.acquireRequest.Request.Digest) || !run.endpoint.description.InForce {
 		return nil
 	}
 	return run.endpoint
@@ -109,7 +109,7 @@
 	for _, lane := range owner.laneList {
 		for _, work := range lane.queue.All() {
 			waiter := work.Value.(*waiter)
-			if waiter.ask.Request.Digest != digest {
+			if waiter.acquireRequest.Request.Digest != digest {
 				continue
 			}
 			lane.queue.Remove(work)
@@ -148,7 +148,7 @@
 
 // awaitPermit waits until the digest's home grants the permit to run the suspect.
 func (owner *Owner) awaitPermit(ctx context.Context, waiter *waiter) *Refusal {
-	request := &waiter.ask.Request
+	request := &waiter.acquireRequest.Request
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -161,8 +161,8 @@
 		if !now.Before(request.Deadline) {
 			return refusalDeadline()
 		}
-		trial := dogwoodsuspect.PermitRequest{Digest: request.Digest, Request: request.ID, Lease: request.Deadline.Sub(now) + GrantLease}
-		answer, err := owner.requestPermit(ctx, trial)
+		permitRequest := dogwoodsuspect.PermitRequest{Digest: request.Digest, Request: request.ID, Lease: request.Deadline.Sub(now) + GrantLease}
+		answer, err := owner.requestPermit(ctx, permitRequest)
 		switch {
 		case err != nil:
 			timer.Reset(permitRetryInterval)
@@ -177,11 +177,11 @@
 }
 
 // requestPermit requests a permit from the digest's home.
-func (owner *Owner) requestPermit(ctx context.Context, trial dogwoodsuspect.PermitRequest) (dogwoodsuspect.PermitResponse, error) {
+func (owner *Owner) requestPermit(ctx context.Context, permitRequest dogwoodsuspect.PermitRequest) (dogwoodsuspect.PermitResponse, error) {
 	if owner.options.Suspects == nil {
-		return owner.Judge(trial), nil
+		return owner.Judge(permitRequest), nil
 	}
-	answer, err := owner.options.Suspects.RequestPermit(ctx, trial)
+	answer, err := owner.options.Suspects.RequestPermit(ctx, permitRequest)
 	return answer, Error.Wrap(err)
 }
 
@@ -190,15 +190,15 @@
 	if !waiter.suspect {
 		return
 	}
-	request := &waiter.ask.Request
+	request := &waiter.acquireRequest.Request
 	owner.notifyPeers(ctx, peerUpdate{returnedPermit: &dogwoodsuspect.PermitRequest{Digest: request.Digest, Request: request.ID, Ended: true}})
 }
 
 // Judge decides, as the digest's home, on a request for a permit or its return.
-func (owner *Owner) Judge(trial dogwoodsuspect.PermitRequest) dogwoodsuspect.PermitResponse {
+func (owner *Owner) Judge(permitRequest dogwoodsuspect.PermitRequest) dogwoodsuspect.PermitResponse {
 	owner.mutex.Lock()
 	defer owner.mutex.Unlock()
-	return owner.suspects.Judge(time.Now(), trial)
+	return owner.suspects.Judge(time.Now(), permitRequest)
 }
 
 // Learn applies the notices of other owners.
--- a/core/duty/dogwoodquotas/quotas.go
+++ b/core/duty/dogwoodquotas/quotas.go
@@ -52,7 +52,7 @@
 
 // Slots grants requests their slots at endpoints.
 type Slots interface {
-	Acquire(ctx context.Context, ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error)
+	Acquire(ctx context.Context, acquireRequest *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error)
 	ToldCold(ctx context.Context, endpoint dogwoodfleet.Endpoint, instance dogwoodfleet.InstanceID)
 	Release(ctx context.Context, grant dogwoodowner.Grant, release dogwoodowner.Release)
 }
@@ -123,13 +123,13 @@
 }
 
 // Acquire rejects a first try over the limit, otherwise it acquires a slot.
-func (limited *limited) Acquire(ctx context.Context, ask *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
-	if ask.Try <= 1 {
-		if refusal := limited.quotas.Admit(&ask.Request); refusal != nil {
+func (limited *limited) Acquire(ctx context.Context, acquireRequest *dogwoodowner.AcquireRequest) (dogwoodowner.Grant, error) {
+	if acquireRequest.Try <= 1 {
+		if refusal := limited.quotas.Admit(&acquireRequest.Request); refusal != nil {
 			return dogwoodowner.Grant{}, refusal
 		}
 	}
-	return limited.Slots.Acquire(ctx, ask)
+	return limited.Slots.Acquire(ctx, acquireRequest)
 }
 
 // Keep sends the due reports and cleans up until the context ends.
--- a/core/duty/dogwoodreader/reader.go
+++ b/core/duty/dogwoodreader/reader.go
@@ -98,7 +98,7 @@
 	// Readers lists the daemons that this one may query, in order of preference; none if it
 	// must query the store.
 	Readers func() []Peer
-	// Fed reports whether this daemon is fed: answers arrive through Feed, and it queries neither
+	// Fed reports whether this daemon is fed: answers arrive through Apply, and it queries neither
 	// the store nor a peer. It also returns a channel that is closed when that may have changed.
 	// Fed is nil for a daemon that is never fed.
 	Fed    func() (fed bool, changed <-chan struct{})
@@ -196,7 +196,7 @@
 	return answer, true, true
 }
 
-// awaitFeed waits until Feed has applied changes or a later confirmation. It returns false if
+// awaitFeed waits until Apply has applied changes or a later confirmation. It returns false if
 // this daemon is not fed or is no longer fed.
 func (reader *Reader) awaitFeed(ctx context.Context, table string, after int64, wait time.Duration) (dogwoodcopy.Answer, bool, error) {
 	tableCopy := reader.copyOf(table)
@@ -234,7 +234,7 @@
 	return reader.options.Fed()
 }
 
-// Feed applies an answer that the hub sent for a table.
+// Apply applies an answer that the hub sent for a table.
 func (reader *Reader) Apply(table string, answer dogwoodcopy.Answer) {
 	reader.copyOf(table).Apply(answer, false)
 }
--- a/core/duty/dogwoodreader/receiver.go
+++ b/core/duty/dogwoodreader/receiver.go
@@ -6,7 +6,7 @@
 	"dogwoodmux.example/core/state/dogwoodcopy"
 )
 
-// Question is a query to a reader for the changes of a table after a version.
+// Query is a query to a reader for the changes of a table after a version.
 type Query struct {
 	Table string
 	After int64
@@ -31,16 +31,16 @@
 
 // Changes answers as soon as the table has changed after the version or the store has confirmed
 // it again, and after maxHold at the latest.
-func (receiver *Receiver) Changes(question Query, told *Told) error {
+func (receiver *Receiver) Changes(query Query, told *Told) error {
 	reader := receiver.reader
-	clock, table := reader.options.Clock, reader.copyOf(question.Table)
+	clock, table := reader.options.Clock, reader.copyOf(query.Table)
 	arrived := clock()
-	timer := time.NewTimer(min(maxHold, max(reader.freshFor(question.Table), 0)))
+	timer := time.NewTimer(min(maxHold, max(reader.freshFor(query.Table), 0)))
 	defer timer.Stop()
-	first, _, _ := table.Since(question.After)
+	first, _, _ := table.Since(query.After)
 	for expired := false; ; {
-		answer, updated, ok := table.Since(question.After)
-		if !ok || reader.freshFor(question.Table) <= 0 {
+		answer, updated, ok := table.Since(query.After)
+		if !ok || reader.freshFor(query.Table) <= 0 {
 			*told = Told{Stale: true}
 			return nil
 		}
--- a/core/duty/dogwoodreconcile/reconcile.go
+++ b/core/duty/dogwoodreconcile/reconcile.go
@@ -46,7 +46,7 @@
 	Adapters []dogwoodfleet.Adapter
 }
 
-// Cache holds the events of an engine's prefix cache since the previous query.
+// CacheReport holds the events of an engine's prefix cache since the previous query.
 type CacheReport struct {
 	Instance dogwoodfleet.InstanceID
 	Events   []dogwoodprefix.Event
--- a/core/duty/dogwoodrelay/fakes_test.go
+++ b/core/duty/dogwoodrelay/fakes_test.go
@@ -24,8 +24,8 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// sentOrder is an order as received by an endpoint.
-type sentOrder struct {
+// sentRequest is an EndpointRequest as received by an endpoint.
+type sentRequest struct {
 	endpoint  dogwoodfleet.EndpointID
 	lastEvent string
 	helpers   []Helper
@@ -38,14 +38,14 @@
 	noFreeMemory map[dogwoodfleet.EndpointID]bool // endpoints that refuse reservations
 
 	mutex        sync.Mutex
-	sends        []sentOrder
+	sends        []sentRequest
 	reservations map[string]int
 }
 
-func (fake *fakeEndpoints) Send(ctx context.Context, order *EndpointRequest) (*Response, error) {
+func (fake *fakeEndpoints) Send(ctx context.Context, endpointRequest *EndpointRequest) (*Response, error) {
 	fake.mutex.Lock()
-	fake.sends = append(fake.sends, sentOrder{
-		endpoint: order.Endpoint.ID, lastEvent: order.LastEventID, helpers: order.Helpers, left: order.Left,
+	fake.sends = append(fake.sends, sentRequest{
+		endpoint: endpointRequest.Endpoint.ID, lastEvent: endpointRequest.LastEventID, helpers: endpointRequest.Helpers, left: endpointRequest.Left,
 	})
 	step := fake.script[min(len(fake.sends), len(fake.script))-1]
 	fake.mutex.Unlock()
@@ -149,8 +149,8 @@
 func (fixture *fixture) takeSlots(t *testing.T, count int) {
 	t.Helper()
 	for slot := range count {
-		ask := &dogwoodpacking.PlacementRequest{ID: dogwoodpacking.WorkID(fmt.Sprint(slot)), Service: "s", Prompt: 10, Until: time.Now().Add(time.Second)}
-		if _, refusal := fixture.board.Place(time.Now(), ask); refusal != dogwoodpacking.Placed {
+		placementRequest := &dogwoodpacking.PlacementRequest{ID: dogwoodpacking.WorkID(fmt.Sprint(slot)), Service: "s", Prompt: 10, Until: time.Now().Add(time.Second)}
+		if _, refusal := fixture.board.Place(time.Now(), placementRequest); refusal != dogwoodpacking.Placed {
 			t.Fatalf("slot %d: got %q, want it free", slot, refusal)
 		}
 	}
--- a/core/duty/dogwoodrelay/line.go
+++ b/core/duty/dogwoodrelay/line.go
@@ -27,9 +27,9 @@
 
 // waiter is a try that waits. Its result is sent once.
 type waiter struct {
-	request dogwoodwaiting.Request
-	ask     *dogwoodpacking.PlacementRequest
-	result  chan placementResult
+	request          dogwoodwaiting.Request
+	placementRequest *dogwoodpacking.PlacementRequest
+	result           chan placementResult
 	// lastRefusal is the outcome of its latest placement.
 	lastRefusal dogwoodpacking.Refusal
 }
@@ -66,15 +66,15 @@
 	})
 	full := map[dogwoodfleet.Service]bool{}
 	queue.waiters = slices.DeleteFunc(queue.waiters, func(waiter *waiter) bool {
-		if full[waiter.ask.Service] {
+		if full[waiter.placementRequest.Service] {
 			return false
 		}
-		placement, refusal := queue.places.Place(now, waiter.ask)
+		placement, refusal := queue.places.Place(now, waiter.placementRequest)
 		waiter.lastRefusal = refusal
 		switch refusal {
 		case dogwoodpacking.Full:
 			// A prompt that needs the memory of several engines may not fit although others do.
-			full[waiter.ask.Service] = waiter.ask.Prompt == 0
+			full[waiter.placementRequest.Service] = waiter.placementRequest.Prompt == 0
 			return false
 		case dogwoodpacking.NoEndpoint:
 			return false
--- a/core/duty/dogwoodrelay/line_test.go
+++ b/core/duty/dogwoodrelay/line_test.go
@@ -14,11 +14,11 @@
 	id string
 }
 
-func (panicking panickingPlaces) Place(now time.Time, ask *dogwoodpacking.PlacementRequest) (dogwoodpacking.Placement, dogwoodpacking.Refusal) {
-	if strings.HasPrefix(string(ask.ID), panicking.id) {
+func (panicking panickingPlaces) Place(now time.Time, placementRequest *dogwoodpacking.PlacementRequest) (dogwoodpacking.Placement, dogwoodpacking.Refusal) {
+	if strings.HasPrefix(string(placementRequest.ID), panicking.id) {
 		panic("unplaceable request")
 	}
-	return panicking.places.Place(now, ask)
+	return panicking.places.Place(now, placementRequest)
 }
 
 // Guards against a daemon that crashes because placing one request panics.
@@ -27,7 +27,7 @@
 	queue := &queue{places: panickingPlaces{places: places{board}, id: "odd"}}
 	join := func(id string) (panicked bool) {
 		defer func() { panicked = recover() != nil }()
-		queue.add(&waiter{ask: &dogwoodpacking.PlacementRequest{ID: dogwoodpacking.WorkID(id), Service: "s"}, result: make(chan placementResult, 1)})
+		queue.add(&waiter{placementRequest: &dogwoodpacking.PlacementRequest{ID: dogwoodpacking.WorkID(id), Service: "s"}, result: make(chan placementResult, 1)})
 		return false
 	}
 	if !join("odd") {
--- a/core/duty/dogwoodrelay/place.go
+++ b/core/duty/dogwoodrelay/place.go
@@ -15,23 +15,23 @@
 // were already tried, unless there are no others.
 func (attempt *attempt) placementRequest() *dogwoodpacking.PlacementRequest {
 	request, options := attempt.request, &attempt.relay.options
-	ask := &dogwoodpacking.PlacementRequest{
+	placementRequest := &dogwoodpacking.PlacementRequest{
 		ID:      dogwoodpacking.WorkID(fmt.Sprintf("%s.%d", request.ID, tryNumber.Add(1))),
 		Service: request.Service, Prompt: request.Prompt, Answer: request.Answer,
 		Aim: request.Route.Aim, Pause: request.Route.Pause,
 		Arrived: request.Arrived, Until: request.Deadline, CanWait: true,
 		Avoid: attempt.triedEndpoints, Origin: options.Place,
 	}
-	if len(attempt.triedEndpoints) > 0 && !options.Places.HasOtherEndpoint(ask) {
-		ask.Avoid = nil // every endpoint was tried; trying one again is better than none
+	if len(attempt.triedEndpoints) > 0 && !options.Places.HasOtherEndpoint(placementRequest) {
+		placementRequest.Avoid = nil // every endpoint was tried; trying one again is better than none
 	}
-	return ask
+	return placementRequest
 }
 
 // awaitPlacement waits for a placement as long as the caller can still be served in time.
-func (attempt *attempt) awaitPlacement(ctx context.Context, ask *dogwoodpacking.PlacementRequest) (dogwoodpacking.Placement, error) {
+func (attempt *attempt) awaitPlacement(ctx context.Context, placementRequest *dogwoodpacking.PlacementRequest) (dogwoodpacking.Placement, error) {
 	request := attempt.request
-	waiter := &waiter{ask: ask, result: make(chan placementResult, 1), request: dogwoodwaiting.Request{
+	waiter := &waiter{placementRequest: placementRequest, result: make(chan placementResult, 1), request: dogwoodwaiting.Request{
 		Arrived: request.Arrived, Deadline: request.Deadline, Aim: request.Route.Aim, Pause: request.Route.Pause,
 		Prompt: request.Prompt, Begun: attempt.stream.begun,
 	}}
@@ -62,13 +62,13 @@
 		placementResult := <-waiter.result
 		return placementResult.placement, attempt.placementError(placementResult.refusal)
 	}
-	waiter.ask.CanWait = false
-	placement, refusal := attempt.relay.options.Places.Place(time.Now(), waiter.ask)
+	waiter.placementRequest.CanWait = false
+	placement, refusal := attempt.relay.options.Places.Place(time.Now(), waiter.placementRequest)
 	if refusal != dogwoodpacking.Placed {
 		return placement, attempt.placementError(refusal)
 	}
 	if placement.Predicted > dogwoodwaiting.CallerTimeLeft(time.Now(), &waiter.request) {
-		attempt.relay.options.Places.End(waiter.ask.ID)
+		attempt.relay.options.Places.End(waiter.placementRequest.ID)
 		return placement, attempt.newFailure(dogwoodfleet.ReasonLimit, dogwoodkernel.Jittered(fullRetryAfter),
 			fmt.Sprintf("the first event would come after %s", placement.Predicted))
 	}
--- a/core/duty/dogwoodrelay/random_test.go
+++ b/core/duty/dogwoodrelay/random_test.go
@@ -123,7 +123,7 @@
 	behavior.ended = true
 }
 
-func (endpoints *randomEndpoints) Send(ctx context.Context, order *EndpointRequest) (*Response, error) {
+func (endpoints *randomEndpoints) Send(ctx context.Context, endpointRequest *EndpointRequest) (*Response, error) {
 	behavior := endpoints.begin(ctx)
 	if behavior.kind == unsent {
 		endpoints.end(behavior)
@@ -150,7 +150,7 @@
 	response.Body = reader
 	var group sync.WaitGroup
 	group.Go(func() {
-		err := endpoints.write(ctx, behavior, order, writer)
+		err := endpoints.write(ctx, behavior, endpointRequest, writer)
 		endpoints.end(behavior)
 		_ = writer.CloseWithError(err) // it returns no error
 	})
@@ -158,12 +158,12 @@
 }
 
 // write writes the answer and returns the error that it ends with.
-func (endpoints *randomEndpoints) write(ctx context.Context, behavior *behavior, order *EndpointRequest, writer io.Writer) error {
+func (endpoints *randomEndpoints) write(ctx context.Context, behavior *behavior, endpointRequest *EndpointRequest, writer io.Writer) error {
 	if behavior.kind == returnsFailure || behavior.kind == rejects || behavior.kind == declines {
 		_, err := io.WriteString(writer, bodyOf(behavior.kind))
 		return err
 	}
-	last, _ := strconv.Atoi(order.LastEventID) // none is 0
+	last, _ := strconv.Atoi(endpointRequest.LastEventID) // none is 0
 	for i := last; i < scriptedEvents; i++ {
 		if !dogwoodkernel.Sleep(ctx, behavior.pauses[i]) {
 			return ctx.Err()
--- a/core/duty/dogwoodrelay/relay.go
+++ b/core/duty/dogwoodrelay/relay.go
@@ -49,7 +49,7 @@
 	// Prompt is the number of prompt tokens and Answer the maximum number of answer tokens;
 	// both are 0 for plain calls.
 	Prompt, Answer int
-	// LastEvent is the ID of the event after which a stream resumes; empty for the whole stream.
+	// LastEventID is the ID of the event after which a stream resumes; empty for the whole stream.
 	LastEventID string
 	// Keyed is true if the request was authorized by a key. It is rejected while that key may
 	// have been withdrawn.
@@ -86,18 +86,18 @@
 	Ticket string
 }
 
-// Order is one try: a request with the endpoint that it is sent to.
+// EndpointRequest is one try: a request with the endpoint that it is sent to.
 type EndpointRequest struct {
 	Request  *Request
 	Endpoint dogwoodfleet.Endpoint
 	// Left is the time left until the deadline, after which the endpoint may stop.
 	Left time.Duration
-	// LastEvent is the ID of the event after which the endpoint resumes the stream.
+	// LastEventID is the ID of the event after which the endpoint resumes the stream.
 	LastEventID string
 	Helpers     []Helper
 }
 
-// Response is an endpoint's response to an order.
+// Response is an endpoint's response to an EndpointRequest.
 type Response struct {
 	Status int
 	Header http.Header
@@ -108,13 +108,13 @@
 	OtherInstance bool
 	// Genuine is false for a success without the endpoint's seal. Its body is not the answer.
 	Genuine bool
-	// Fault is the helper at which a joint request failed, if one did.
+	// FaultyHelper is the helper at which a joint request failed, if one did.
 	FaultyHelper netip.AddrPort
 }
 
 // Endpoints sends requests to endpoints. Its errors are *NotSent and *Broken.
 type Endpoints interface {
-	Send(ctx context.Context, order *EndpointRequest) (*Response, error)
+	Send(ctx context.Context, endpointRequest *EndpointRequest) (*Response, error)
 	// Reserve reserves memory for a prompt under a ticket, or renews the reservation.
 	Reserve(ctx context.Context, endpoint dogwoodfleet.Endpoint, ticket string, tokens int, lease time.Duration) error
 	// Release releases the memory reserved under a ticket.
@@ -125,10 +125,10 @@
 type Places interface {
 	// Place chooses an endpoint, and helpers for a long prompt, and counts the work there until
 	// End.
-	Place(now time.Time, ask *dogwoodpacking.PlacementRequest) (dogwoodpacking.Placement, dogwoodpacking.Refusal)
+	Place(now time.Time, placementRequest *dogwoodpacking.PlacementRequest) (dogwoodpacking.Placement, dogwoodpacking.Refusal)
 	// Writes records the first event of an answer with its predicted and its observed time.
 	Writes(id dogwoodpacking.WorkID, predicted, seen time.Duration)
-	// Paced records a short pause between two events, which shows how fast the endpoint decodes.
+	// RecordPace records a short pause between two events, which shows how fast the endpoint decodes.
 	RecordPace(endpoint dogwoodfleet.EndpointID, pause time.Duration)
 	// End drops work that has ended.
 	End(id dogwoodpacking.WorkID)
@@ -138,8 +138,8 @@
 	Avoid(now time.Time, endpoint dogwoodfleet.EndpointID, duration time.Duration)
 	// Changed returns a channel that is closed when a slot may have become free.
 	Changed() <-chan struct{}
-	// Other reports whether the service has an endpoint that the request doesn't avoid.
-	HasOtherEndpoint(ask *dogwoodpacking.PlacementRequest) bool
+	// HasOtherEndpoint reports whether the service has an endpoint that the request doesn't avoid.
+	HasOtherEndpoint(placementRequest *dogwoodpacking.PlacementRequest) bool
 }
 
 // Metrics records latencies by name and label.
@@ -165,7 +165,7 @@
 	// withdrawn unnoticed for too long.
 	Fresh func() bool
 	Place dogwoodfleet.Place
-	// UnusedMemory is how long reserved memory may stay unused; 0 for no limit.
+	// UnusedMemoryTimeout is how long reserved memory may stay unused; 0 for no limit.
 	UnusedMemoryTimeout time.Duration
 	// Metrics records latencies; nil for none.
 	Metrics Metrics
--- a/core/duty/dogwoodrelay/run.go
+++ b/core/duty/dogwoodrelay/run.go
@@ -58,7 +58,7 @@
 	run := &run{preparedTry: preparedTry, cancel: cancel, sentAt: time.Now()}
 	run.cause = func() error { return context.Cause(ctx) }
 	run.send = func() (*Response, error) {
-		return preparedTry.attempt.relay.options.Endpoints.Send(ctx, preparedTry.order)
+		return preparedTry.attempt.relay.options.Endpoints.Send(ctx, preparedTry.endpointRequest)
 	}
 	run.limitUnusedMemory()
 	return run
--- a/core/duty/dogwoodrelay/serve.go
+++ b/core/duty/dogwoodrelay/serve.go
@@ -136,11 +136,11 @@
 
 // preparedTry is a try with its placement and its helpers' memory.
 type preparedTry struct {
-	attempt   *attempt
-	order     *EndpointRequest
-	placement dogwoodpacking.Placement
-	id        dogwoodpacking.WorkID
-	release   func()
+	attempt         *attempt
+	endpointRequest *EndpointRequest
+	placement       dogwoodpacking.Placement
+	id              dogwoodpacking.WorkID
+	release         func()
 }
 
 // close releases the slot and the memory.
@@ -178,9 +178,9 @@
 			Detail: "the store has not confirmed the keys for too long",
 		}}
 	}
-	ask := attempt.placementRequest()
+	placementRequest := attempt.placementRequest()
 	waitStart := time.Now()
-	placement, err := attempt.awaitPlacement(ctx, ask)
+	placement, err := attempt.awaitPlacement(ctx, placementRequest)
 	relay.options.Metrics.Observe(metricPlaceWait, "", time.Since(waitStart))
 	if err != nil {
 		return nil, tryResult{err: err}
@@ -188,17 +188,17 @@
 	relay.options.Logger.Info(dogwoodlog.Placed, "request", request.ID, "try", attempt.tries, "endpoint", placement.Endpoint.ID,
 		"waited", time.Since(waitStart), "helpers", helperNames(placement), "prompt", request.Prompt, "predicted", placement.Predicted,
 		"writers", placement.Load.DecodingRequests, "queued", placement.Load.Queued, "queuedtokens", placement.Load.QueuedTokens)
-	helpers, release, err := relay.reserve(ctx, ask.ID, placement)
+	helpers, release, err := relay.reserve(ctx, placementRequest.ID, placement)
 	if err != nil {
-		relay.options.Places.End(ask.ID)
+		relay.options.Places.End(placementRequest.ID)
 		return nil, attempt.tryNotSent(err)
 	}
 	attempt.triedEndpoints = append(attempt.triedEndpoints, placement.Endpoint.ID)
-	order := &EndpointRequest{
+	endpointRequest := &EndpointRequest{
 		Request: request, Endpoint: placement.Endpoint.Endpoint, Helpers: helpers,
 		Left: time.Until(request.Deadline), LastEventID: attempt.stream.lastEvent,
 	}
-	return &preparedTry{attempt: attempt, order: order, placement: placement, id: ask.ID, release: release}, tryResult{}
+	return &preparedTry{attempt: attempt, endpointRequest: endpointRequest, placement: placement, id: placementRequest.ID, release: release}, tryResult{}
 }
 
 func (attempt *attempt) newFailure(reason dogwoodfleet.Reason, retryAfter time.Duration, detail string) error {
--- a/core/duty/dogwoodrelay/verdict.go
+++ b/core/duty/dogwoodrelay/verdict.go
@@ -19,7 +19,7 @@
 	if !errors.Is(err, errUnusable) {
 		return attempt.sendFailed(ctx, run.placement, err)
 	}
-	if tryResult, declined := attempt.declined(run.order, run.placement, run.response); declined {
+	if tryResult, declined := attempt.declined(run.endpointRequest, run.placement, run.response); declined {
 		return tryResult
 	}
 	event, err := run.readWhole()
@@ -70,7 +70,7 @@
 
 // declined returns the result of a response that is not an answer: the endpoint did not begin,
 // or its success is not genuine. The second value is false for other responses.
-func (attempt *attempt) declined(order *EndpointRequest, placement dogwoodpacking.Placement, response *Response) (tryResult, bool) {
+func (attempt *attempt) declined(endpointRequest *EndpointRequest, placement dogwoodpacking.Placement, response *Response) (tryResult, bool) {
 	success := response.Status >= 200 && response.Status < 300
 	switch {
 	case response.OtherInstance:
@@ -84,7 +84,7 @@
 		return tryResult{}, false
 	}
 	counters.Add("NotBegun", 1)
-	attempt.relay.options.Logger.Info("An endpoint did not begin.", "request", order.Request.ID,
+	attempt.relay.options.Logger.Info("An endpoint did not begin.", "request", endpointRequest.Request.ID,
 		"endpoint", placement.Endpoint.ID, "status", response.Status, "fault", response.FaultyHelper)
 	return tryResult{retry: true, reached: true, reason: "the endpoint did not begin", finalError: func() error {
 		return attempt.newFailure(dogwoodfleet.ReasonLimit, dogwoodkernel.Jittered(fullRetryAfter), "the endpoints did not begin")
--- a/core/duty/dogwoodwitness/witness.go
+++ b/core/duty/dogwoodwitness/witness.go
@@ -40,7 +40,7 @@
 	Call(ctx context.Context, peer netip.AddrPort, method string, args, reply any) error
 }
 
-// Options configure Witnesses.
+// Options configures Peers.
 type Options struct {
 	Members Members
 	Caller  Caller
@@ -49,14 +49,14 @@
 	KeepFor time.Duration
 }
 
-// Witnesses queries the other daemons about calls. It is safe for concurrent use.
+// Peers queries the other daemons about calls. It is safe for concurrent use.
 type Peers struct {
 	options Options
 }
 
 var _ dogwoodclaim.Peers = (*Peers)(nil)
 
-// New returns Witnesses with these options.
+// New returns Peers with these options.
 func New(options Options) *Peers {
 	return &Peers{options: options}
 }
@@ -64,29 +64,29 @@
 // Recall queries all other daemons for what they hold about a call. A daemon that can't be reached
 // counts as one that may have dropped its record. Recall returns false if there are more than
 // maxPeers daemons, or if a daemon that was lost recently may have sent the call.
-func (witnesses *Peers) Recall(ctx context.Context, question dogwoodclaim.RecallQuery) ([]dogwoodclaim.RecallReply, bool) {
-	peers := witnesses.options.Members.Peers()
-	if len(peers) > maxPeers {
+func (peers *Peers) Recall(ctx context.Context, query dogwoodclaim.RecallQuery) ([]dogwoodclaim.RecallReply, bool) {
+	targets := peers.options.Members.Peers()
+	if len(targets) > maxPeers {
 		return nil, false
 	}
-	testimonies := make([]dogwoodclaim.RecallReply, len(peers))
+	replies := make([]dogwoodclaim.RecallReply, len(targets))
 	var group sync.WaitGroup
-	for i, peer := range peers {
+	for i, target := range targets {
 		group.Go(func() {
-			err := witnesses.options.Caller.Call(ctx, peer.Peer, Name+".Recall", question, &testimonies[i])
+			err := peers.options.Caller.Call(ctx, target.Peer, Name+".Recall", query, &replies[i])
 			if err != nil {
-				testimonies[i] = dogwoodclaim.RecallReply{Forgot: true}
+				replies[i] = dogwoodclaim.RecallReply{Forgot: true}
 			}
 		})
 	}
 	group.Wait()
-	lost := witnesses.options.Members.Lost()
-	return testimonies, lost.IsZero() || time.Since(lost) > witnesses.options.KeepFor
+	lost := peers.options.Members.Lost()
+	return replies, lost.IsZero() || time.Since(lost) > peers.options.KeepFor
 }
 
-// Testifier answers queries about calls from this daemon's own claims.
+// RecallAnswerer answers queries about calls from this daemon's own claims.
 type RecallAnswerer interface {
-	AnswerRecall(question dogwoodclaim.RecallQuery) dogwoodclaim.RecallReply
+	AnswerRecall(query dogwoodclaim.RecallQuery) dogwoodclaim.RecallReply
 }
 
 // Receiver answers other daemons over net/rpc.
@@ -102,11 +102,11 @@
 
 // Recall reports what this daemon holds about a call. It sets Forgot also if this daemon has lost
 // another one recently, because the querying daemon may have started after that loss.
-func (receiver *Receiver) Recall(question dogwoodclaim.RecallQuery, testimony *dogwoodclaim.RecallReply) error {
-	*testimony = receiver.claims.AnswerRecall(question)
+func (receiver *Receiver) Recall(query dogwoodclaim.RecallQuery, reply *dogwoodclaim.RecallReply) error {
+	*reply = receiver.claims.AnswerRecall(query)
 	lost := receiver.members.Lost()
 	if !lost.IsZero() && time.Since(lost) < dogwoodclaim.DefaultKeepFor {
-		testimony.Forgot = true
+		reply.Forgot = true
 	}
 	return nil
 }
--- a/core/edge/dogwoodengine/connection.go
+++ b/core/edge/dogwoodengine/connection.go
@@ -21,9 +21,9 @@
 	maxEventBytes = 1 << 20
 	// doneData is the data of the event that ends a stream.
 	doneData = "[DONE]"
-	// EventError is the type of the event by which an engine reports that a request failed.
+	// EventTypeError is the type of the event by which an engine reports that a request failed.
 	EventTypeError = "error"
-	// EventProgress is the type of the event that an engine sends while it has no other to send.
+	// EventTypeProgress is the type of the event that an engine sends while it has no other to send.
 	EventTypeProgress = "progress"
 )
 
--- a/core/edge/dogwoodengine/engine.go
+++ b/core/edge/dogwoodengine/engine.go
@@ -27,7 +27,7 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("engine")
 
-// DefaultSilence is the default of Options.Silence. Engines send a comment every 500 ms while
+// DefaultSilenceTimeout is the default of Options.SilenceTimeout. Engines send a comment every 500 ms while
 // they have nothing else to send, so four comments in a row must be missing.
 const DefaultSilenceTimeout = 2 * time.Second
 
@@ -35,17 +35,17 @@
 type Options struct {
 	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Silence is how long a connection may deliver no bytes before it is closed.
+	// SilenceTimeout is how long a connection may deliver no bytes before it is closed.
 	SilenceTimeout time.Duration
 	Logger         hclog.Logger
 }
 
 // Client sends requests and orders to engines. It is safe for concurrent use.
 type Client struct {
-	http       *resty.Client
-	silence    time.Duration
-	logger     hclog.Logger
-	background sync.WaitGroup
+	http           *resty.Client
+	silenceTimeout time.Duration
+	logger         hclog.Logger
+	background     sync.WaitGroup
 	// mutex guards closing, which is true once no more background work may start.
 	mutex   sync.Mutex
 	closing bool
@@ -79,7 +79,7 @@
 		}))
 	lifetime, cancel := context.WithCancel(context.Background())
 	return &Client{
-		http: client, silence: options.SilenceTimeout, logger: options.Logger.Named("engine"),
+		http: client, silenceTimeout: options.SilenceTimeout, logger: options.Logger.Named("engine"),
 		lifetime: lifetime, cancelLifetime: cancel,
 	}
 }
@@ -198,7 +198,7 @@
 // exchange makes one control call, with the client's silence limit as its timeout. The header
 // is nil if there was no response.
 func (client *Client) exchange(ctx context.Context, method string, endpoint dogwoodfleet.Endpoint, path string, body, answer any) (http.Header, error) {
-	ctx, cancel := context.WithTimeout(ctx, client.silence)
+	ctx, cancel := context.WithTimeout(ctx, client.silenceTimeout)
 	defer cancel()
 	var refused Refused
 	call := client.http.R().SetContext(ctx).SetError(&refused)
--- a/core/edge/dogwoodengine/run.go
+++ b/core/edge/dogwoodengine/run.go
@@ -120,7 +120,7 @@
 	lifetime, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	detachFromCaller := context.AfterFunc(ctx, cancel)
 	defer detachFromCaller()
-	silenceTimer := time.AfterFunc(client.silence, cancel)
+	silenceTimer := time.AfterFunc(client.silenceTimeout, cancel)
 	defer silenceTimer.Stop()
 	var connected atomic.Bool
 	traced := httptrace.WithClientTrace(lifetime, &httptrace.ClientTrace{
--- a/core/edge/dogwoodengine/stream.go
+++ b/core/edge/dogwoodengine/stream.go
@@ -98,7 +98,7 @@
 
 // receive waits for a frame from the current connection.
 func (stream *Stream) receive(ctx context.Context) (frame, error) {
-	silence := time.NewTimer(stream.client.silence)
+	silence := time.NewTimer(stream.client.silenceTimeout)
 	defer silence.Stop()
 	for {
 		select {
@@ -108,7 +108,7 @@
 			}
 			return received, nil
 		case <-stream.connection.activity:
-			silence.Reset(stream.client.silence)
+			silence.Reset(stream.client.silenceTimeout)
 		case <-silence.C:
 			return frame{}, errSilent
 		case <-ctx.Done():
@@ -143,7 +143,7 @@
 	return Event{Index: received.index, Data: []byte(received.data)}, true, nil
 }
 
-// CodeGangLost is the code of the error event that reports that a gang lost a member.
+// CodeGangMemberLost is the code of the error event that reports that a gang lost a member.
 const CodeGangMemberLost = "gang_member_lost"
 
 // errorFromEvent returns the error for the data of an engine's error event.
@@ -163,7 +163,7 @@
 // engine has no record of the request.
 func (stream *Stream) reconnect(ctx context.Context, cause error) error {
 	stream.disconnect()
-	deadline := time.Now().Add(reconnectTimeoutFactor * stream.client.silence)
+	deadline := time.Now().Add(reconnectTimeoutFactor * stream.client.silenceTimeout)
 	path := PathStreams + "/" + string(stream.run.ID)
 	for {
 		connection, err := stream.client.open(ctx, stream, http.MethodGet, path, nil)
--- a/core/edge/dogwoodengine/wire.go
+++ b/core/edge/dogwoodengine/wire.go
@@ -17,7 +17,7 @@
 	HeaderCold      = "X-Engine-Cold"
 	// HeaderNotRun is "true" if the engine refused a request that it did not begin.
 	HeaderNotRun = "X-Not-Run"
-	// HeaderLastEvent is the standard header by which a client resumes an event stream.
+	// HeaderLastEventID is the standard header by which a client resumes an event stream.
 	HeaderLastEventID = "Last-Event-Id"
 )
 
--- a/core/edge/dogwoodplatform/client.go
+++ b/core/edge/dogwoodplatform/client.go
@@ -164,7 +164,7 @@
 	return &service{base: "http://" + address.String(), timeout: options.Timeout, rest: rest, breaker: breaker}
 }
 
-// TablesAnswer reports whether the table service answered the last call to it.
+// TablesReachable reports whether the table service answered the last call to it.
 func (client *Client) TablesReachable() bool {
 	breaker := client.tables.breaker
 	return breaker.State() == gobreaker.StateClosed && breaker.Counts().ConsecutiveFailures == 0
--- a/core/edge/dogwoodplatform/tables.go
+++ b/core/edge/dogwoodplatform/tables.go
@@ -184,7 +184,7 @@
 	return "/tables/" + url.PathEscape(table) + "/rows/" + url.PathEscape(key)
 }
 
-// Tag returns the HTTP entity tag for a row's version.
+// ETag returns the HTTP entity tag for a row's version.
 func ETag(version uint64) string {
 	return `"` + strconv.FormatUint(version, 10) + `"`
 }
--- a/core/edge/dogwoodservice/service.go
+++ b/core/edge/dogwoodservice/service.go
@@ -65,7 +65,7 @@
 // Unwrap returns the cause.
 func (err *BrokenError) Unwrap() error { return err.Err }
 
-// Order is a call to a plain service.
+// Request is a call to a plain service.
 type Request struct {
 	ID     dogwoodfleet.RequestID
 	Method string
@@ -146,7 +146,7 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd returns a copy of the header without the fields that apply to one connection only.
+// EndToEndHeader returns a copy of the header without the fields that apply to one connection only.
 func EndToEndHeader(header http.Header) http.Header {
 	endToEnd := header.Clone()
 	if endToEnd == nil {
--- a/core/state/dogwoodchange/submit.go
+++ b/core/state/dogwoodchange/submit.go
@@ -67,7 +67,7 @@
 	return accepted, err
 }
 
-// KeepProvisional writes the provisional take-outs to the log. It returns how many are still
+// StoreProvisional writes the provisional take-outs to the log. It returns how many are still
 // provisional.
 func (log *Log) StoreProvisional(ctx context.Context) int {
 	select {
@@ -79,7 +79,7 @@
 	return log.storeProvisional(ctx)
 }
 
-// storeProvisional is KeepProvisional for a caller that holds the submitting semaphore.
+// storeProvisional is StoreProvisional for a caller that holds the submitting semaphore.
 func (log *Log) storeProvisional(ctx context.Context) int {
 	for _, change := range log.Current().Provisional {
 		change.Provisional = false
--- a/core/state/dogwoodclaim/claim.go
+++ b/core/state/dogwoodclaim/claim.go
@@ -146,7 +146,7 @@
 	Self dogwoodfleet.InstanceID
 	// Alive reports whether the members list a daemon's instance as alive.
 	Alive func(instance dogwoodfleet.InstanceID) bool
-	// Witnesses queries the other daemons. It is nil if there are none.
+	// Peers queries the other daemons. It is nil if there are none.
 	Peers Peers
 	// KeepFor is the time after which a claim expires; 0 means DefaultKeepFor.
 	KeepFor time.Duration
--- a/core/state/dogwoodclaim/witness.go
+++ b/core/state/dogwoodclaim/witness.go
@@ -24,14 +24,14 @@
 	queryTimeout = 500 * time.Millisecond
 )
 
-// Question is a query for what a daemon holds in memory about a call.
+// RecallQuery is a query for what a daemon holds in memory about a call.
 type RecallQuery struct {
 	// Row is the key of the claim's row, and Digest is the digest of the call.
 	Row    string
 	Digest string
 }
 
-// Testimony is a daemon's answer to such a query.
+// RecallReply is a daemon's answer to such a query.
 type RecallReply struct {
 	// Known is true if the daemon claimed the call; Taken is then its outcome.
 	Known bool
@@ -40,11 +40,11 @@
 	Forgot bool
 }
 
-// Witnesses queries the other daemons.
+// Peers queries the other daemons.
 type Peers interface {
 	// Recall queries all other daemons. complete is false if one of them can't answer, or if
 	// a daemon was lost within the time for which claims are kept.
-	Recall(ctx context.Context, question RecallQuery) (testimonies []RecallReply, complete bool)
+	Recall(ctx context.Context, query RecallQuery) (replies []RecallReply, complete bool)
 }
 
 // rowHistory records which rows this daemon has claimed.
@@ -77,14 +77,14 @@
 	history.rows.Remove(historyKey(row))
 }
 
-// Testify answers a query from another daemon.
-func (claims *Claims) AnswerRecall(question RecallQuery) RecallReply {
-	if taken, known := claims.lookupRecent(question.Row, question.Digest); known {
+// AnswerRecall answers a query from another daemon.
+func (claims *Claims) AnswerRecall(query RecallQuery) RecallReply {
+	if taken, known := claims.lookupRecent(query.Row, query.Digest); known {
 		return RecallReply{Known: true, Taken: taken}
 	}
 	claims.mutex.Lock()
 	defer claims.mutex.Unlock()
-	if claims.history.rows.Contains(historyKey(question.Row)) {
+	if claims.history.rows.Contains(historyKey(query.Row)) {
 		return RecallReply{Known: true, Taken: Taken{Outcome: OutcomeUnknown, Holder: claims.options.Self}}
 	}
 	lastEvicted := claims.history.lastEvicted
@@ -93,8 +93,8 @@
 
 // queryPeers returns the outcome of a call for which the store could not be reached. If it
 // is empty, certain reports that no daemon has sent a call under this key.
-func (claims *Claims) queryPeers(ctx context.Context, question RecallQuery) (taken Taken, certain bool) {
-	own := claims.AnswerRecall(question)
+func (claims *Claims) queryPeers(ctx context.Context, query RecallQuery) (taken Taken, certain bool) {
+	own := claims.AnswerRecall(query)
 	if own.Known {
 		return own.Taken, true
 	}
@@ -103,12 +103,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), queryTimeout)
 	defer cancel()
-	testimonies, complete := claims.options.Peers.Recall(ctx, question)
-	for _, testimony := range testimonies {
-		if testimony.Known {
-			return testimony.Taken, true
+	replies, complete := claims.options.Peers.Recall(ctx, query)
+	for _, reply := range replies {
+		if reply.Known {
+			return reply.Taken, true
 		}
-		complete = complete && !testimony.Forgot
+		complete = complete && !reply.Forgot
 	}
 	return Taken{}, complete && !own.Forgot
 }
--- a/core/state/dogwoodclaim/witness_test.go
+++ b/core/state/dogwoodclaim/witness_test.go
@@ -30,16 +30,16 @@
 // peers are the other daemons; a nil element does not answer.
 type peers []*Claims
 
-func (peers peers) Recall(_ context.Context, question RecallQuery) (testimonies []RecallReply, complete bool) {
+func (peers peers) Recall(_ context.Context, query RecallQuery) (replies []RecallReply, complete bool) {
 	complete = true
 	for _, peer := range peers {
 		if peer == nil {
 			complete = false
 			continue
 		}
-		testimonies = append(testimonies, peer.AnswerRecall(question))
+		replies = append(replies, peer.AnswerRecall(query))
 	}
-	return testimonies, complete
+	return replies, complete
 }
 
 // Guards against a false "not run", after which a buyer would place a second hold under a
@@ -70,9 +70,9 @@
 				defer group.Wait()
 				defer cancel()
 				store := &outageStore{}
-				start := func(self dogwoodfleet.InstanceID, witnesses Peers) *Claims {
+				start := func(self dogwoodfleet.InstanceID, peers Peers) *Claims {
 					claims := New(Options{
-						Store: store, Self: self, Peers: witnesses,
+						Store: store, Self: self, Peers: peers,
 						Alive: func(dogwoodfleet.InstanceID) bool { return true },
 					})
 					group.Go(func() { _ = claims.Run(ctx) })
--- a/core/state/dogwoodcopy/copy.go
+++ b/core/state/dogwoodcopy/copy.go
@@ -60,7 +60,7 @@
 	return &Copy{rows: map[string]Row{}, historyStart: -1, version: -1, updated: make(chan struct{})}
 }
 
-// Take applies an answer. If fromStore is true, it came from the store itself. Only such an
+// Apply applies an answer. If fromStore is true, it came from the store itself. Only such an
 // answer is a confirmation that may be forwarded; otherwise two daemons could confirm to each
 // other what neither has learned from the store.
 func (table *Copy) Apply(answer Answer, fromStore bool) {
--- a/core/state/dogwoodcopy/told.go
+++ b/core/state/dogwoodcopy/told.go
@@ -17,7 +17,7 @@
 	return Told{Answer: answer, ProvenAfter: answer.Proven - arrived}
 }
 
-// Heard converts the answer to the clock of the daemon that sent the query. sent is when the query
+// ToLocalClock converts the answer to the clock of the daemon that sent the query. sent is when the query
 // was sent, on that clock, and after is the version of the table that the daemon had then. The
 // network latency makes the confirmation look older than it is, never younger.
 func (told Told) ToLocalClock(sent time.Duration, after int64) Answer {
--- a/core/state/dogwoodlease/lease.go
+++ b/core/state/dogwoodlease/lease.go
@@ -69,7 +69,7 @@
 	Self  dogwoodfleet.InstanceID
 	// Term defaults to DefaultTerm if 0. It must be the same on all daemons.
 	Term time.Duration
-	// LongestOrder is the longest time from the check of a lease until the order sent under
+	// OrderTimeout is the longest time from the check of a lease until the order sent under
 	// it has ended or was abandoned.
 	OrderTimeout time.Duration
 	// Logger may be nil to disable logging.
@@ -82,7 +82,7 @@
 	Number uint64
 	// Until is when the right ends. Get a new Fence just before each order.
 	Until time.Time
-	// Unchecked is the earliest time for orders to endpoints that ignore fencing numbers:
+	// UncheckedFrom is the earliest time for orders to endpoints that ignore fencing numbers:
 	// by then the last order of the previous holder has ended.
 	UncheckedFrom time.Time
 }
@@ -177,7 +177,7 @@
 	return string(self) + "-" + uuid.NewString()[:8]
 }
 
-// Want sets the shards that this daemon should hold. For shards that are no longer wanted,
+// SetWanted sets the shards that this daemon should hold. For shards that are no longer wanted,
 // no more orders are permitted; they are released after the last order sent has ended.
 func (holder *Holder) SetWanted(shards []string) {
 	holder.mutex.Lock()
--- a/core/state/dogwoodmember/beat.go
+++ b/core/state/dogwoodmember/beat.go
@@ -34,7 +34,7 @@
 // ageUnit is the unit of the ages in a heartbeat.
 const ageUnit = 10 * time.Millisecond
 
-// NextBeat increments this daemon's count and returns the next heartbeat and the daemons to
+// NextHeartbeat increments this daemon's count and returns the next heartbeat and the daemons to
 // which it must be sent now.
 func (members *Members) NextHeartbeat(now time.Time) (Beat, []Target) {
 	members.mutex.Lock()
@@ -111,7 +111,7 @@
 	return members.self.VM < peer.vm || now.Sub(peer.lastCall) > inboundHeartbeatTTL
 }
 
-// Hear applies a received heartbeat and returns the reply.
+// ApplyHeartbeat applies a received heartbeat and returns the reply.
 func (members *Members) ApplyHeartbeat(beat Beat, now time.Time) BeatReply {
 	members.mutex.Lock()
 	defer members.mutex.Unlock()
@@ -125,7 +125,7 @@
 	return BeatReply{News: members.encodeUpdates(now), Unknown: unknown}
 }
 
-// HearReply applies the reply to a heartbeat. It returns the records to introduce to the peer
+// ApplyReply applies the reply to a heartbeat. It returns the records to introduce to the peer
 // and the ids to request from it.
 func (members *Members) ApplyReply(reply BeatReply, now time.Time) Introduction {
 	members.mutex.Lock()
--- a/core/state/dogwoodmember/member.go
+++ b/core/state/dogwoodmember/member.go
@@ -33,7 +33,7 @@
 var Error = errs.Class("member")
 
 const (
-	// BeatEvery is the time between two heartbeats to a neighbour.
+	// HeartbeatInterval is the time between two heartbeats to a neighbour.
 	HeartbeatInterval = 500 * time.Millisecond
 	// DefaultSilence is the maximum age of the latest update about a living daemon. It is four
 	// and a half heartbeats: three heartbeats lost in a row are tolerated, and a dead daemon is
@@ -44,7 +44,7 @@
 	// 1.25 s on average), and it leaves time for one or two heartbeats before the daemon counts
 	// as dead.
 	directHeartbeatAge = 1500 * time.Millisecond
-	// TickEvery is the time between two calls of Tick.
+	// TickInterval is the time between two calls of Tick.
 	TickInterval = 100 * time.Millisecond
 	// probeInterval is the time between two heartbeats to a daemon that is listed but silent.
 	// It is long, so that regions that lost their connection don't reconnect with a thundering
--- a/core/state/dogwoodview/view.go
+++ b/core/state/dogwoodview/view.go
@@ -122,7 +122,7 @@
 	view.publishEndpoints()
 }
 
-// OnlyOut records that exactly these data centres are taken out.
+// ReplaceOut records that exactly these data centres are taken out.
 func (view *View) ReplaceOut(dataCentres []dogwoodfleet.DataCentre) {
 	view.mutex.Lock()
 	var restored []dogwoodfleet.DataCentre
--- a/dogwoodctl/dogwoodplace/move.go
+++ b/dogwoodctl/dogwoodplace/move.go
@@ -15,7 +15,7 @@
 	"dogwoodmux.example/dogwoodctl/dogwoodfactory"
 )
 
-// MoveOptions holds the arguments, flags and dependencies of takeout and bringback. Exactly
+// TakeOutOptions holds the arguments, flags and dependencies of takeout and bringback. Exactly
 // one of DataCentre and VM is set.
 type TakeOutOptions struct {
 	Factory    *dogwoodfactory.Factory
