--- a/core/dogwooddaemon/admin.go
+++ b/core/dogwooddaemon/admin.go
@@ -14,7 +14,7 @@
 	"dogwoodmux.example/core/dogwoodadminapi"
 	"dogwoodmux.example/core/dogwoodfleet"
 	"dogwoodmux.example/core/dogwoodkernel"
-	"dogwoodmux.example/core/duty/dogwoodburnkeeper"
+	"dogwoodmux.example/core/duty/dogwoodburncounts"
 	"dogwoodmux.example/core/duty/dogwoodowner"
 	"dogwoodmux.example/core/edge/dogwoodadmin"
 	"dogwoodmux.example/core/edge/dogwoodplatform"
@@ -39,7 +39,7 @@
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
 	members := dogwoodkernel.Need[members](&needs, pluginMembers)
 	platform := dogwoodkernel.Need[*dogwoodplatform.Client](&needs, pluginPlatform)
-	burn := dogwoodkernel.Need[*dogwoodburnkeeper.Keeper](&needs, pluginBurn)
+	burn := dogwoodkernel.Need[*dogwoodburncounts.Keeper](&needs, pluginBurn)
 	ownership := dogwoodkernel.Need[*ownership](&needs, pluginOwner)
 	if needs.Err != nil {
 		return nil, needs.Err
--- a/core/dogwooddaemon/burn.go
+++ b/core/dogwooddaemon/burn.go
@@ -4,14 +4,14 @@
 	"context"
 
 	"dogwoodmux.example/core/dogwoodkernel"
-	"dogwoodmux.example/core/duty/dogwoodburnkeeper"
+	"dogwoodmux.example/core/duty/dogwoodburncounts"
 )
 
 func init() {
 	dogwoodkernel.Register(dogwoodkernel.NewPlugin(pluginBurn, []string{pluginPeer, pluginChanges, pluginMembers}, startBurn))
 }
 
-func startBurn(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.ValuePart[*dogwoodburnkeeper.Keeper], error) {
+func startBurn(_ context.Context, kernel *dogwoodkernel.Kernel, environment *environment) (*dogwoodkernel.ValuePart[*dogwoodburncounts.Keeper], error) {
 	needs := dogwoodkernel.Needs{Kernel: kernel}
 	peer := dogwoodkernel.Need[*peerRPC](&needs, pluginPeer)
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
@@ -19,12 +19,12 @@
 	if needs.Err != nil {
 		return nil, needs.Err
 	}
-	keeper := dogwoodburnkeeper.New(dogwoodburnkeeper.Options{
-		Self: dogwoodburnkeeper.Member{
+	keeper := dogwoodburncounts.New(dogwoodburncounts.Options{
+		Self: dogwoodburncounts.Member{
 			VM: environment.settings.VM, Instance: environment.instance, Peer: environment.settings.Peer,
 		},
 		Caller:  peer,
-		Members: func() []dogwoodburnkeeper.Member { return otherBurnMembers(members, environment) },
+		Members: func() []dogwoodburncounts.Member { return otherBurnMembers(members, environment) },
 		Text:    changes.Text,
 		Logger:  kernel.Named(pluginBurn),
 	})
@@ -32,7 +32,7 @@
 		return nil, Error.Wrap(err)
 	}
 	kernel.Go("burn", keeper.Run)
-	return &dogwoodkernel.ValuePart[*dogwoodburnkeeper.Keeper]{Value: keeper, OnStop: func(ctx context.Context) error {
+	return &dogwoodkernel.ValuePart[*dogwoodburncounts.Keeper]{Value: keeper, OnStop: func(ctx context.Context) error {
 		if ctx.Err() == nil {
 			keeper.Exchange(ctx)
 		}
@@ -41,11 +41,11 @@
 }
 
 // otherBurnMembers lists the other daemons that are alive.
-func otherBurnMembers(members members, environment *environment) []dogwoodburnkeeper.Member {
-	var others []dogwoodburnkeeper.Member
+func otherBurnMembers(members members, environment *environment) []dogwoodburncounts.Member {
+	var others []dogwoodburncounts.Member
 	for _, member := range members.Members.Alive() {
 		if member.VM != environment.settings.VM {
-			others = append(others, dogwoodburnkeeper.Member{VM: member.VM, Instance: member.Instance, Peer: member.Peer})
+			others = append(others, dogwoodburncounts.Member{VM: member.VM, Instance: member.Instance, Peer: member.Peer})
 		}
 	}
 	return others
--- a/core/dogwooddaemon/caller.go
+++ b/core/dogwooddaemon/caller.go
@@ -8,7 +8,7 @@
 	"dogwoodmux.example/core/decision/dogwoodentry"
 	"dogwoodmux.example/core/dogwoodfleet"
 	"dogwoodmux.example/core/dogwoodkernel"
-	"dogwoodmux.example/core/duty/dogwoodburnkeeper"
+	"dogwoodmux.example/core/duty/dogwoodburncounts"
 	"dogwoodmux.example/core/duty/dogwooddispatch"
 	"dogwoodmux.example/core/edge/dogwoodcaller"
 )
@@ -27,7 +27,7 @@
 	dispatcher := dogwoodkernel.Need[*dogwooddispatch.Dispatcher](&needs, pluginDispatch)
 	changes := dogwoodkernel.Need[*changes](&needs, pluginChanges)
 	members := dogwoodkernel.Need[members](&needs, pluginMembers)
-	burn := dogwoodkernel.Need[*dogwoodburnkeeper.Keeper](&needs, pluginBurn)
+	burn := dogwoodkernel.Need[*dogwoodburncounts.Keeper](&needs, pluginBurn)
 	if needs.Err != nil {
 		return nil, needs.Err
 	}
--- a/core/dogwooddaemon/claims.go
+++ b/core/dogwooddaemon/claims.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"dogwoodmux.example/core/dogwoodkernel"
-	"dogwoodmux.example/core/duty/dogwoodwitness"
+	"dogwoodmux.example/core/duty/dogwoodrecall"
 	"dogwoodmux.example/core/edge/dogwoodplatform"
 	"dogwoodmux.example/core/state/dogwoodclaim"
 )
@@ -25,9 +25,9 @@
 	claims := dogwoodclaim.New(dogwoodclaim.Options{
 		Store: platform, Objects: platform, Self: environment.instance, Logger: kernel.Named(pluginClaims),
 		Alive: members.AliveInstance,
-		Peers: dogwoodwitness.New(dogwoodwitness.Options{Members: members.Members, Caller: peer, KeepFor: dogwoodclaim.DefaultKeepFor}),
+		Peers: dogwoodrecall.New(dogwoodrecall.Options{Members: members.Members, Caller: peer, KeepFor: dogwoodclaim.DefaultKeepFor}),
 	})
-	if err := peer.server.Register(dogwoodwitness.Name, dogwoodwitness.NewReceiver(claims, members.Members)); err != nil {
+	if err := peer.server.Register(dogwoodrecall.Name, dogwoodrecall.NewReceiver(claims, members.Members)); err != nil {
 		return nil, Error.Wrap(err)
 	}
 	kernel.Go("claims", claims.Run)
--- a/core/duty/dogwoodburnkeeper/keeper.go
+++ b/core/duty/dogwoodburncounts/keeper.go
@@ -1,11 +1,11 @@
-// Package dogwoodburnkeeper counts the outcomes of one daemon's requests, sends copies of the
+// Package dogwoodburncounts counts the outcomes of one daemon's requests, sends copies of the
 // counters to peers and collects the counters of all daemons for the burn report.
 //
 // Daemons store nothing on disk and can be replaced at any time. Without copies, the report
 // would lack the minutes before a crash, which are the ones that operators ask about. Each
 // daemon therefore sends the buckets that changed to two peers once a minute and once more
 // when it stops.
-package dogwoodburnkeeper
+package dogwoodburncounts
 
 import (
 	"context"
--- a/core/duty/dogwoodburnkeeper/keeper_test.go
+++ b/core/duty/dogwoodburncounts/keeper_test.go
@@ -1,4 +1,4 @@
-package dogwoodburnkeeper
+package dogwoodburncounts
 
 import (
 	"context"
--- a/core/duty/dogwoodwitness/witness.go
+++ b/core/duty/dogwoodrecall/recall.go
@@ -1,10 +1,10 @@
-// Package dogwoodwitness queries the other daemons for what they hold in memory about a call that
+// Package dogwoodrecall queries the other daemons for what they hold in memory about a call that
 // may run only once, while the platform's store is unavailable.
 //
 // Load pattern: an outage of the store during which callers resend the calls that were not
 // answered. Without this package the refusal would say "not run" for calls that another daemon
 // ran, and their callers would make them a second time under a new key.
-package dogwoodwitness
+package dogwoodrecall
 
 import (
 	"context"
