--- a/dogwoodload/dogwoodsoak/careless_test.go
+++ b/dogwoodload/dogwoodsoak/careless_test.go
@@ -25,8 +25,8 @@
 	"dogwoodmux.example/platform/dogwoodwire"
 )
 
-// fault is a promise that a careless daemon breaks. Its name is that of the check that has to find it, followed by
-// a hyphen and a suffix if the check has several faults.
+// fault is the promise that a careless daemon breaks. It has the name of the check that must find it, with a hyphen
+// and a suffix where several faults break the same promise.
 type fault string
 
 func (fault fault) check() string {
@@ -34,7 +34,7 @@
 	return check
 }
 
-// The faults.
+// The promises that a careless daemon can break.
 const (
 	twiceRun         fault = "TwiceRun"
 	falseNotRun      fault = "FalseNotRun"
--- a/dogwoodload/dogwoodsoak/endpoint.go
+++ b/dogwoodload/dogwoodsoak/endpoint.go
@@ -91,7 +91,7 @@
 }
 
 func (site *site) endpointStep(ctx context.Context, step dogwoodsoakplan.Step, endpoint *endpoint) error {
-	link := func(fault dogwoodsoakproxy.Fault, duration time.Duration) error {
+	breakLink := func(fault dogwoodsoakproxy.Fault, duration time.Duration) error {
 		return site.recordFault(&endpoint.linkMutex, site.endpointFault(endpoint), func() error { return applyFault(ctx, endpoint.proxy, fault, duration) })
 	}
 	switch step.Kind {
@@ -104,14 +104,14 @@
 			return freeze(ctx, endpoint.process.Signal, step.For)
 		})
 	case dogwoodsoakplan.EndpointReset:
-		return link(dogwoodsoakproxy.Fault{Refused: true}, 0)
+		return breakLink(dogwoodsoakproxy.Fault{Refused: true}, 0)
 	case dogwoodsoakplan.EndpointMute:
-		return link(dogwoodsoakproxy.Fault{Mute: true}, step.For)
+		return breakLink(dogwoodsoakproxy.Fault{Mute: true}, step.For)
 	case dogwoodsoakplan.EndpointOneWay:
-		return link(dogwoodsoakproxy.Fault{MuteBack: true}, step.For)
+		return breakLink(dogwoodsoakproxy.Fault{MuteBack: true}, step.For)
 	case dogwoodsoakplan.EndpointSlow:
 		const delay = 150 * time.Millisecond
-		return link(dogwoodsoakproxy.Fault{Delay: delay}, step.For)
+		return breakLink(dogwoodsoakproxy.Fault{Delay: delay}, step.For)
 	case dogwoodsoakplan.EndpointBusy:
 		return site.makeBusy(ctx, endpoint, step.For)
 	case dogwoodsoakplan.EntryLapsed:
--- a/dogwoodload/dogwoodsoak/play.go
+++ b/dogwoodload/dogwoodsoak/play.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// recordFault calls work while it holds the lock of what is broken, and records the period of the fault.
+// recordFault injects a fault by calling work, holds the lock of the affected component meanwhile, and records the
+// fault with the period of the call.
 func (site *site) recordFault(lock *sync.Mutex, fault dogwoodsoakcheck.Fault, work func() error) error {
 	lock.Lock()
 	defer lock.Unlock()
--- a/dogwoodload/dogwoodsoak/soak_test.go
+++ b/dogwoodload/dogwoodsoak/soak_test.go
@@ -136,6 +136,7 @@
 	}
 }
 
+// Options out of range must be rejected before anything runs, and valid ones must reach run.
 func TestOptions(t *testing.T) {
 	tests := []struct {
 		arguments []string
@@ -171,8 +172,8 @@
 	}
 }
 
-// A connection is broken while one endpoint leaves and the next one starts. Requests that are delayed at the second
-// one are delayed by the same fault.
+// A fault breaks the connections to an address while one endpoint leaves and the next one starts there. It is
+// recorded for the first endpoint only, but must also explain requests that are delayed at later ones.
 func TestCopyFaultsToLaterEndpoints(t *testing.T) {
 	faults := []dogwoodsoakcheck.Fault{{Endpoint: "i-1-1"}, {Endpoint: "i-2-1"}, {Daemon: "d"}}
 	got, want := copyFaults(faults, []string{"i-1-1", "i-1-2", "i-1-3"}), []dogwoodsoakcheck.Fault{{Endpoint: "i-1-2"}, {Endpoint: "i-1-3"}}
--- a/dogwoodload/dogwoodsoakcaller/caller.go
+++ b/dogwoodload/dogwoodsoakcaller/caller.go
@@ -163,7 +163,7 @@
 	return dogwoodstandin.Addresses(body)
 }
 
-// pickDaemon returns the daemon that has a randomly chosen address of those that the directory returned.
+// pickDaemon returns the daemon at a random one of the addresses that the directory returned.
 func (caller *caller) pickDaemon() (Daemon, bool) {
 	address := caller.addresses[caller.random.IntN(len(caller.addresses))]
 	for _, daemon := range caller.options.Daemons {
--- a/dogwoodload/dogwoodsoakcheck/changes.go
+++ b/dogwoodload/dogwoodsoakcheck/changes.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// withdrawnKeyRan finds requests that ran although their key had been withdrawn. Faults are no excuse: a daemon
-// without updates has to reject requests. A request that reaches its daemon only after the key was restored may run.
+// withdrawnKeyRan finds requests that ran although their key had been withdrawn. This applies during faults, too: a
+// daemon without updates has to reject requests. A request that reaches its daemon only after the key was restored
+// may run.
 func withdrawnKeyRan(analysis *analysis) []Finding {
 	return analysis.checkArrivals(func(arrival *Arrival, call *Call) string {
 		for _, withdrawal := range analysis.Withdrawals {
--- a/dogwoodload/dogwoodsoakcheck/check_test.go
+++ b/dogwoodload/dogwoodsoakcheck/check_test.go
@@ -313,6 +313,7 @@
 	}
 }
 
+// Each request is counted under exactly one outcome.
 func TestSummarise(t *testing.T) {
 	history := newCleanHistory()
 	history.cut("Once-1")
--- a/dogwoodload/dogwoodsoakcheck/limits.go
+++ b/dogwoodload/dogwoodsoakcheck/limits.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// retryBudget counts repeated arrivals, that is all after the first of each request, over all daemons, in each
-// window that ends with such an arrival.
+// retryBudget counts the repeated arrivals at each service, over all daemons, in every window that ends with one of
+// them. All arrivals of a request after its first are repeated ones.
 func retryBudget(analysis *analysis) []Finding {
 	repeats := map[string][]time.Time{}
 	for i := range analysis.Arrivals {
@@ -32,8 +32,8 @@
 	return findings
 }
 
-// maxRequests returns the largest count of a service's requests in a window that ends at moment, half a
-// window before it or a whole window before it.
+// maxRequests returns the largest number of a service's requests in one of three windows, which end at moment, half
+// a window before it and a whole window before it.
 func (analysis *analysis) maxRequests(service string, moment time.Time) int {
 	window, maxCount := analysis.bounds.RetryWindow, 0
 	for _, offset := range []time.Duration{0, window / 2, window} {
--- a/dogwoodload/dogwoodsoakcheck/requests.go
+++ b/dogwoodload/dogwoodsoakcheck/requests.go
@@ -69,8 +69,8 @@
 	})
 }
 
-// cutByStop finds requests that a daemon accepted before or shortly after its signal to stop, and that ended
-// without an answer although nothing but the shutdown can explain it.
+// cutByStop finds requests that a daemon accepted before or shortly after its signal to stop and that ended without
+// an answer, if only the shutdown can explain it.
 func cutByStop(analysis *analysis) []Finding {
 	return analysis.checkCalls(func(call *Call) string {
 		if call.Whole {
--- a/dogwoodload/dogwoodsoakplan/plan.go
+++ b/dogwoodload/dogwoodsoakplan/plan.go
@@ -12,7 +12,7 @@
 // Kind is the kind of fault or change that a step makes.
 type Kind string
 
-// The kinds of steps. A step that has a duration ends after it.
+// The kinds of steps. The effect of a step with a duration ends after that duration.
 const (
 	// DaemonKilled kills a daemon's process and starts it again.
 	DaemonKilled Kind = "DaemonKilled"
@@ -89,7 +89,7 @@
 
 const second = time.Second
 
-// kinds lists all kinds but those in busyKinds. Many durations range to both sides of the daemons' bounds of 4 and 5
+// kinds lists all kinds but those in busyKinds. Many ranges of durations include the daemons' bounds of 4 and 5
 // seconds, so that some steps end before these bounds and some after.
 var kinds = []traits{
 	{DaemonKilled, Daemon, 6, second / 2, 3 * second, second / 2},
@@ -160,7 +160,7 @@
 	seriesShare = 0.25
 	// maxSeries bounds the number of steps in a series.
 	maxSeries = 4
-	// busyInterval and busySeriesShare are the same for busyKinds.
+	// busyInterval and busySeriesShare correspond to stepInterval and seriesShare for busyKinds.
 	busyInterval    = 4 * time.Second
 	busySeriesShare = 0.5
 )
--- a/dogwoodload/dogwoodsoakprocess/process_test.go
+++ b/dogwoodload/dogwoodsoakprocess/process_test.go
@@ -46,6 +46,7 @@
 	}
 }
 
+// The error for a program that can't be started must name the process.
 func TestMissingProgram(t *testing.T) {
 	var group Group
 	_, err := group.Start(t.Context(), Spec{Name: "none", Path: "/no/such/program", Log: filepath.Join(t.TempDir(), "log")})
--- a/dogwoodload/dogwoodsoakproxy/proxy_test.go
+++ b/dogwoodload/dogwoodsoakproxy/proxy_test.go
@@ -162,6 +162,7 @@
 	}
 }
 
+// A delay must apply in each direction.
 func TestDelay(t *testing.T) {
 	proxy, client := startProxy(t)
 	const delay = 60 * time.Millisecond
--- a/dogwoodload/dogwoodstandinrun/run.go
+++ b/dogwoodload/dogwoodstandinrun/run.go
@@ -141,7 +141,7 @@
 	return group.Wait()
 }
 
-// running is a running endpoint.
+// running is an endpoint that this process runs, with its recorder and the signals that it handles.
 type running struct {
 	options      *Options
 	endpoint     *dogwoodstandin.Endpoint
--- a/dogwoodlocal/dogwoodenginestandin/client_test.go
+++ b/dogwoodlocal/dogwoodenginestandin/client_test.go
@@ -125,6 +125,8 @@
 	}
 }
 
+// A client must get each token of an answer exactly once, and the engine must release the
+// memory at the end.
 func TestWholeAnswer(t *testing.T) {
 	inBubble(t, 1, dogwoodenginestandin.Options{}, func(t *testing.T, bench *bench) {
 		stream, err := bench.client.Start(t.Context(), bench.endpoint(0), newRun("r1", 1000, 64))
@@ -196,6 +198,8 @@
 	})
 }
 
+// A request to a dead engine must be reported as not started, so that it can run elsewhere. If
+// the engine dies later, the stream must be reported as broken, also if the engine is up again.
 func TestDeadEngine(t *testing.T) {
 	t.Run("before the start", func(t *testing.T) {
 		inBubble(t, 1, dogwoodenginestandin.Options{}, func(t *testing.T, bench *bench) {
@@ -252,6 +256,8 @@
 	})
 }
 
+// A request that exceeds its budget must end with the engine's error and release its memory, or
+// the memory stays held for a caller that no longer waits.
 func TestBudgetEndsTheRequest(t *testing.T) {
 	inBubble(t, 1, dogwoodenginestandin.Options{}, func(t *testing.T, bench *bench) {
 		late := newRun("r1", 1000, 100_000)
--- a/dogwoodlocal/dogwoodenginestandin/engine.go
+++ b/dogwoodlocal/dogwoodenginestandin/engine.go
@@ -24,7 +24,7 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("engine stand-in")
 
-// With these defaults a run of 40 s covers all behavior: a prompt of 1000 tokens takes 2.5 ms to
+// With these defaults a test of 40 s covers all behavior: a prompt of 1000 tokens takes 2.5 ms to
 // prefill, one of a million 2.5 s, and an answer of 64 tokens a third of a second.
 const (
 	defaultMemoryTokens = 400_000
@@ -207,7 +207,7 @@
 }
 
 // endProcess marks the process as dead, drops its requests and reservations, and notifies the
-// readers. The mutex must be held.
+// readers of their streams. The mutex must be held.
 func (engine *Engine) endProcess() {
 	engine.process.alive = false
 	for _, sequence := range engine.process.sequences {
--- a/dogwoodlocal/dogwoodenginestandin/faults.go
+++ b/dogwoodlocal/dogwoodenginestandin/faults.go
@@ -95,7 +95,7 @@
 	engine.faults.slowdown = factor
 }
 
-// KillOn makes a prompt that contains the marker crash the engine at its first token.
+// KillOn makes every prompt that contains the marker crash the engine when its prefill is complete.
 func (engine *Engine) KillOn(marker string) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
--- a/dogwoodlocal/dogwoodinterleave/lease_test.go
+++ b/dogwoodlocal/dogwoodinterleave/lease_test.go
@@ -213,7 +213,7 @@
 			mutex.Unlock()
 		}
 	})
-	t.Cleanup(func() { t.Logf("%d orders obeyed", orders) })
+	t.Cleanup(func() { t.Logf("%d orders executed", orders) })
 }
 
 // reassignShards changes at random which daemons request which shards. At times several daemons
--- a/dogwoodlocal/dogwoodnetwork/host.go
+++ b/dogwoodlocal/dogwoodnetwork/host.go
@@ -1,6 +1,6 @@
-// Package dogwoodnetwork provides the stand-ins with connections that can fail: a host can go
-// down and come back at the same address, and open connections can fall silent while new ones
-// work. It also provides an in-memory network for tests with testing/synctest.
+// Package dogwoodnetwork serves the stand-ins over connections that can fail: a host can go down
+// and come back at the same address, and open connections can fall silent while new ones work.
+// It also provides an in-memory network for tests with testing/synctest.
 package dogwoodnetwork
 
 import (
@@ -92,7 +92,7 @@
 	host.server = nil
 	host.mutex.Unlock()
 	if server != nil {
-		_ = server.Close() // takes the mutex for each connection
+		_ = server.Close() // without the mutex, which connection.Close locks
 	}
 }
 
--- a/dogwoodlocal/dogwoodplainstandin/faults.go
+++ b/dogwoodlocal/dogwoodplainstandin/faults.go
@@ -102,7 +102,7 @@
 	return server.runsByKey[key]
 }
 
-// RunsOf returns how often the server ran a call with the load id.
+// RunsOf returns how often the server ran a call with the load ID.
 func (server *Server) RunsOf(loadID string) int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
--- a/dogwoodlocal/dogwoodplainstandin/plain.go
+++ b/dogwoodlocal/dogwoodplainstandin/plain.go
@@ -1,6 +1,6 @@
 // Package dogwoodplainstandin provides a stand-in for a plain service with stock lookups,
-// which may be repeated, and holds, which may not. It counts the calls that it ran and can
-// be made to fail.
+// which may run more than once, and holds (reservations of a car), which may not. It counts
+// the calls that it ran and has faults that can be switched on.
 package dogwoodplainstandin
 
 import (
--- a/dogwoodlocal/dogwoodplatformstandin/platform.go
+++ b/dogwoodlocal/dogwoodplatformstandin/platform.go
@@ -107,7 +107,7 @@
 	return nil
 }
 
-// Close closes the servers and their connections and waits until they ended.
+// Close closes the servers and their connections and waits until they have ended.
 func (platform *Platform) Close() error {
 	var err error
 	platform.closeOnce.Do(func() {
--- a/dogwoodlocal/dogwoodplatformstandin/platform_test.go
+++ b/dogwoodlocal/dogwoodplatformstandin/platform_test.go
@@ -31,6 +31,8 @@
 	})
 }
 
+// A write must fail if its condition on the row's version does not hold, and then no row of its
+// transaction may change. Otherwise two daemons could both claim the same call.
 func TestConditionalWrites(t *testing.T) {
 	_, client := startPlatform(t, Options{})
 	ctx := t.Context()
@@ -75,7 +77,7 @@
 }
 
 // A write takes effect and its answer is lost: the client must not report a failure, or the
-// writer repeats the write. During an outage the client must not report "unknown" for a call
+// writer retries the write. During an outage the client must not report "unknown" for a call
 // that never began, or callers can't get the answer "not run".
 func TestUnknownAndUnavailableAreDistinguished(t *testing.T) {
 	platform, client := startPlatform(t, Options{})
@@ -122,6 +124,8 @@
 	}
 }
 
+// Objects and the VM list must be returned unchanged, and a load of weights above the bound
+// must be rejected with the time until the next one.
 func TestObjectsListAndWeights(t *testing.T) {
 	platform, client := startPlatform(t, Options{WeightLoads: 1, WeightEvery: time.Hour})
 	ctx := t.Context()
--- a/dogwoodlocal/dogwoodplatformstandin/silent_test.go
+++ b/dogwoodlocal/dogwoodplatformstandin/silent_test.go
@@ -26,8 +26,7 @@
 
 // A device between a daemon and the table service loses the state of all open connections;
 // new ones work. If every idle connection made one call time out, sixteen of them would open
-// the circuit breaker, and no reservation could be claimed for 15
-// seconds.
+// the circuit breaker, and no call could be claimed for 15 seconds.
 func TestSilentConnectionsFailOneCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		address := netip.MustParseAddrPort("10.0.0.1:7001")
--- a/dogwoodlocal/dogwoodplatformstandin/store.go
+++ b/dogwoodlocal/dogwoodplatformstandin/store.go
@@ -234,8 +234,8 @@
 	return outcomeAnswered, delay, late
 }
 
-// beginRead delays a read or fails it as the faults demand, and reports whether it returns
-// a stale state.
+// beginRead delays or fails a read according to the faults, and reports whether the read
+// returns a stale state.
 func (store *Store) beginRead(ctx context.Context) (stale bool, err error) {
 	store.mutex.Lock()
 	store.reads++
--- a/dogwoodlocal/dogwoodroot/scenario_test.go
+++ b/dogwoodlocal/dogwoodroot/scenario_test.go
@@ -21,7 +21,7 @@
 // shutdownTimeout bounds how long the program may take to end after its interrupt.
 const shutdownTimeout = time.Minute
 
-// scenario is a run of the program and the last response that a caller got.
+// scenario is an instance of the program and the last response that a caller got.
 type scenario struct {
 	group  sync.WaitGroup
 	cancel context.CancelFunc
--- a/dogwoodlocal/dogwoodsite/engines_test.go
+++ b/dogwoodlocal/dogwoodsite/engines_test.go
@@ -90,8 +90,9 @@
 	}
 }
 
-// All open connections to the engines fall silent while drafts stream and a review of a
-// million tokens is prefilled. Every caller must get its complete answer.
+// All open connections to the engines fall silent while drafts (short prompts) stream and a
+// review (a long prompt, here of a million tokens) is prefilled. Every caller must get its
+// complete answer.
 func TestAllEngineConnectionsFallSilentUnderLoad(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
 		time.Sleep(5 * time.Second) // until the engines are warm
@@ -225,8 +226,8 @@
 		const detectTimeout = 3 * time.Second
 		time.Sleep(detectTimeout)
 		reported := time.Now()
-		before := makeTags("after", 40)
-		checkAllWhole(t, sendPrompts(ctx, site, caller, before, 100, 8), before, 8)
+		whileLeaving := makeTags("after", 40)
+		checkAllWhole(t, sendPrompts(ctx, site, caller, whileLeaving, 100, 8), whileLeaving, 8)
 		for i, engine := range leaving {
 			if got := engine.LastNewWork(); got.After(reported) {
 				t.Errorf("engine %d: got new work %s after it reported that it is leaving", i, got.Sub(reported)+detectTimeout)
@@ -237,8 +238,8 @@
 		}
 		time.Sleep(detectTimeout)
 		back := time.Now()
-		after := makeTags("back", 80)
-		checkAllWhole(t, sendPrompts(ctx, site, caller, after, 100, 8), after, 8)
+		afterReturn := makeTags("back", 80)
+		checkAllWhole(t, sendPrompts(ctx, site, caller, afterReturn, 100, 8), afterReturn, 8)
 		used := 0
 		for _, engine := range leaving {
 			if engine.LastNewWork().After(back) {
--- a/dogwoodlocal/dogwoodsite/shape.go
+++ b/dogwoodlocal/dogwoodsite/shape.go
@@ -35,8 +35,7 @@
 	Customers []dogwoodfleet.Customer
 }
 
-// shapes holds the present deployments. A latency that the users gave as "a few
-// milliseconds" is set to three.
+// shapes holds the users' deployments. A latency given as "a few milliseconds" is set to three.
 var shapes = []Shape{
 	{
 		Name: Hinokuni, Region: "kyushu",
--- a/dogwoodlocal/dogwoodsite/site.go
+++ b/dogwoodlocal/dogwoodsite/site.go
@@ -267,7 +267,7 @@
 	return nil
 }
 
-// Close ends all parts of the site without a graceful shutdown and waits until they ended.
+// Close ends all parts of the site without a graceful shutdown and waits until they have ended.
 func (site *Site) Close(context.Context) error {
 	for _, daemon := range site.daemons {
 		daemon.Kill() //nolint:contextcheck,nolintlint // Kill does not block; contextcheck reports it only on an empty linter cache
@@ -288,7 +288,8 @@
 	return Error.Wrap(err)
 }
 
-// CallerDial connects to a daemon over the link of a client, with that link's latency.
+// CallerDial connects to a daemon as a client outside the data centres does, with the
+// latency Shape.CallerLink.
 func (site *Site) CallerDial(ctx context.Context, network, address string) (net.Conn, error) {
 	if site.options.NoDelays {
 		return site.options.Base.DialContext(ctx, network, address)
--- a/dogwoodlocal/dogwoodsite/site_test.go
+++ b/dogwoodlocal/dogwoodsite/site_test.go
@@ -48,7 +48,8 @@
 	transport *http.Transport
 }
 
-// testAnswer is the result of a call: an answer, with its problem if it is one, or an error.
+// testAnswer is the result of a call: an error, or an answer, with problem set if the body
+// is a problem.
 type testAnswer struct {
 	status  int
 	header  http.Header
@@ -109,6 +110,8 @@
 	return runs
 }
 
+// One daemon must answer a streamed prompt, a plain prompt, and a hold that is sent twice
+// with the same key and runs once.
 func TestWholeSite(t *testing.T) {
 	inBubble(t, Options{}, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
 		daemon := site.Daemons()[0]
