--- a/dogwoodload/dogwoodfleetrun/fleet.go
+++ b/dogwoodload/dogwoodfleetrun/fleet.go
@@ -141,7 +141,7 @@
 		return nil, dogwoodverb.Error.Wrap(err)
 	}
 	meter := newMeter()
-	fleet, err := dogwoodscenario.Begin(ctx, dogwoodscenario.Options{
+	fleet, err := dogwoodscenario.StartFleet(ctx, dogwoodscenario.Options{
 		Scenario: scenario, Seed: options.Seed, Policy: dogwoodscenario.PolicyProduct, Daemons: daemons,
 		Base: meter, Begin: func(int) {}, Done: func() {},
 	})
@@ -158,7 +158,7 @@
 	sent := fleet.Send(ctx)
 	after = takeSnapshot(meter, site)
 	loaded := newRow(daemons, "loaded", before, after, sent)
-	return []*row{idle, loaded}, dogwoodverb.Error.Wrap(fleet.End(ctx))
+	return []*row{idle, loaded}, dogwoodverb.Error.Wrap(fleet.Close(ctx))
 }
 
 func takeSnapshot(meter *meter, site *dogwoodsite.Site) snapshot {
--- a/dogwoodload/dogwoodjudge/judge.go
+++ b/dogwoodload/dogwoodjudge/judge.go
@@ -157,7 +157,7 @@
 
 // CutBy counts requests that were in progress at a daemon during its graceful shutdown and that ended
 // there neither answered nor refused as not run, including those that the caller then sent again.
-func CutBy(stops []Stop, samples []dogwoodsender.Sample) int {
+func CountCutByStops(stops []Stop, samples []dogwoodsender.Sample) int {
 	count := 0
 	for i := range samples {
 		sample := &samples[i]
@@ -186,7 +186,7 @@
 
 // LostWith counts lost requests that were in progress at a daemon when it was killed. Their callers
 // saw a broken connection, since no daemon remained to answer them.
-func LostWith(kills []Kill, samples []dogwoodsender.Sample) int {
+func CountLostToKills(kills []Kill, samples []dogwoodsender.Sample) int {
 	count := 0
 	for i := range samples {
 		sample := &samples[i]
--- a/dogwoodload/dogwoodjudge/judge_test.go
+++ b/dogwoodload/dogwoodjudge/judge_test.go
@@ -137,7 +137,7 @@
 		{"lost elsewhere", sample(other, time.Second, time.Second, nil), 0},
 	}
 	for _, test := range tests {
-		if got := CutBy(stops, []dogwoodsender.Sample{test.sample}); got != test.want {
+		if got := CountCutByStops(stops, []dogwoodsender.Sample{test.sample}); got != test.want {
 			t.Errorf("%s: got %d, want %d", test.name, got, test.want)
 		}
 	}
@@ -164,7 +164,7 @@
 		{"sent later", lost(killed, time.Second), 0},
 	}
 	for _, test := range tests {
-		if got := LostWith(kills, []dogwoodsender.Sample{test.sample}); got != test.want {
+		if got := CountLostToKills(kills, []dogwoodsender.Sample{test.sample}); got != test.want {
 			t.Errorf("%s: got %d, want %d", test.name, got, test.want)
 		}
 	}
--- a/dogwoodload/dogwoodresult/table.go
+++ b/dogwoodload/dogwoodresult/table.go
@@ -24,7 +24,7 @@
 		return measure{name: name, value: float64(value), text: strconv.Itoa(value), lessIsBetter: lessIsBetter}
 	}
 	duration := func(name string, value Duration) measure {
-		return measure{name: name, value: time.Duration(value).Seconds(), text: Round(value), lessIsBetter: true}
+		return measure{name: name, value: time.Duration(value).Seconds(), text: FormatDuration(value), lessIsBetter: true}
 	}
 	measures := []measure{
 		count("Sent", result.Sent, false),
@@ -55,7 +55,7 @@
 }
 
 // Round formats a duration, rounded to a tenth of a millisecond.
-func Round(duration Duration) string {
+func FormatDuration(duration Duration) string {
 	return time.Duration(duration).Round(100 * time.Microsecond).String()
 }
 
@@ -85,7 +85,7 @@
 		}
 	}
 	for _, event := range result.Events {
-		if _, err := fmt.Fprintf(writer, "at %s: %s\n", Round(event.At), event.What); err != nil {
+		if _, err := fmt.Fprintf(writer, "at %s: %s\n", FormatDuration(event.At), event.What); err != nil {
 			return Error.Wrap(err)
 		}
 	}
--- a/dogwoodload/dogwoodscenario/faults.go
+++ b/dogwoodload/dogwoodscenario/faults.go
@@ -8,10 +8,10 @@
 )
 
 // stepFunc carries out a step of a scenario.
-type stepFunc = func(ctx context.Context, stage *Stage) error
+type stepFunc = func(ctx context.Context, stage *Execution) error
 
 func slowEngines(factor float64, engines ...int) stepFunc {
-	return func(_ context.Context, stage *Stage) error {
+	return func(_ context.Context, stage *Execution) error {
 		for _, engine := range engines {
 			stage.site.Engines[engine].Slow(factor)
 		}
@@ -20,7 +20,7 @@
 }
 
 func turnEnginesCold(engines ...int) stepFunc {
-	return func(_ context.Context, stage *Stage) error {
+	return func(_ context.Context, stage *Execution) error {
 		for _, engine := range engines {
 			stage.site.Engines[engine].TurnCold()
 		}
@@ -29,14 +29,14 @@
 }
 
 func turnServerCold(server int) stepFunc {
-	return func(_ context.Context, stage *Stage) error {
+	return func(_ context.Context, stage *Execution) error {
 		stage.site.Plain[server].TurnCold()
 		return nil
 	}
 }
 
 func killEngines(engines ...int) stepFunc {
-	return func(_ context.Context, stage *Stage) error {
+	return func(_ context.Context, stage *Execution) error {
 		for _, engine := range engines {
 			stage.site.Engines[engine].Die()
 		}
@@ -45,7 +45,7 @@
 }
 
 func reviveEngines(engines ...int) stepFunc {
-	return func(ctx context.Context, stage *Stage) error {
+	return func(ctx context.Context, stage *Execution) error {
 		for _, engine := range engines {
 			if err := stage.site.Engines[engine].Revive(ctx); err != nil {
 				return Error.Wrap(err)
@@ -56,20 +56,20 @@
 }
 
 func killServer(server int) stepFunc {
-	return func(_ context.Context, stage *Stage) error {
+	return func(_ context.Context, stage *Execution) error {
 		stage.site.Plain[server].Die()
 		return nil
 	}
 }
 
 func reviveServer(server int) stepFunc {
-	return func(ctx context.Context, stage *Stage) error {
+	return func(ctx context.Context, stage *Execution) error {
 		return Error.Wrap(stage.site.Plain[server].Revive(ctx))
 	}
 }
 
 func silenceEngines(engines ...int) stepFunc {
-	return func(_ context.Context, stage *Stage) error {
+	return func(_ context.Context, stage *Execution) error {
 		for _, engine := range engines {
 			stage.site.Engines[engine].Silence(true)
 		}
@@ -78,14 +78,14 @@
 }
 
 func silenceServer(server int) stepFunc {
-	return func(_ context.Context, stage *Stage) error {
+	return func(_ context.Context, stage *Execution) error {
 		stage.site.Plain[server].Silence(true)
 		return nil
 	}
 }
 
 func killDaemon(daemon int) stepFunc {
-	return func(_ context.Context, stage *Stage) error {
+	return func(_ context.Context, stage *Execution) error {
 		killed := stage.site.Daemons()[daemon]
 		stage.mutex.Lock()
 		stage.kills = append(stage.kills, dogwoodjudge.Kill{Entry: killed.Serve.String(), At: time.Now()})
@@ -96,14 +96,14 @@
 }
 
 func restartDaemon(daemon int) stepFunc {
-	return func(ctx context.Context, stage *Stage) error {
+	return func(ctx context.Context, stage *Execution) error {
 		return Error.Wrap(stage.site.Daemons()[daemon].Restart(ctx))
 	}
 }
 
 // setStoreDown starts or ends an outage of the store and ends the delay that slowStore set.
 func setStoreDown(down bool) stepFunc {
-	return func(_ context.Context, stage *Stage) error {
+	return func(_ context.Context, stage *Execution) error {
 		stage.site.Platform.Slow(0)
 		stage.site.Platform.Down(down)
 		return nil
@@ -111,7 +111,7 @@
 }
 
 func slowStore(delay time.Duration) stepFunc {
-	return func(_ context.Context, stage *Stage) error {
+	return func(_ context.Context, stage *Execution) error {
 		stage.site.Platform.Slow(delay)
 		return nil
 	}
@@ -119,7 +119,7 @@
 
 // loseStoreAnswers ends an outage of the store and makes it lose the given share of its answers.
 func loseStoreAnswers(share float64) stepFunc {
-	return func(_ context.Context, stage *Stage) error {
+	return func(_ context.Context, stage *Execution) error {
 		stage.site.Platform.Down(false)
 		stage.site.Platform.LoseAnswers(share)
 		return nil
--- a/dogwoodload/dogwoodscenario/operators.go
+++ b/dogwoodload/dogwoodscenario/operators.go
@@ -15,7 +15,7 @@
 
 // applyConflictingTexts applies two edits of the same version of the operators' text through two
 // daemons at the same time. One edit must be accepted and the other rejected with a conflict.
-func applyConflictingTexts(ctx context.Context, stage *Stage) error {
+func applyConflictingTexts(ctx context.Context, stage *Execution) error {
 	base, err := stage.currentText(ctx)
 	if err != nil {
 		return err
@@ -51,7 +51,7 @@
 	return nil
 }
 
-func (stage *Stage) currentText(ctx context.Context) (dogwoodadminapi.Text, error) {
+func (stage *Execution) currentText(ctx context.Context) (dogwoodadminapi.Text, error) {
 	daemon, err := stage.runningDaemon(0)
 	if err != nil {
 		return dogwoodadminapi.Text{}, err
@@ -69,7 +69,7 @@
 
 // apply sends an edit of base to the running daemon of the given index and waits until the edit is in
 // force on every daemon.
-func (stage *Stage) apply(ctx context.Context, daemonIndex int, base dogwoodadminapi.Text) error {
+func (stage *Execution) apply(ctx context.Context, daemonIndex int, base dogwoodadminapi.Text) error {
 	daemon, err := stage.runningDaemon(daemonIndex)
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 // takeOutWithConflictingTexts takes a data centre out of service while conflicting edits of the
 // operators' text are applied.
 func takeOutWithConflictingTexts(dataCentre dogwoodfleet.DataCentre) stepFunc {
-	return func(ctx context.Context, stage *Stage) error {
+	return func(ctx context.Context, stage *Execution) error {
 		var group sync.WaitGroup
 		var textsErr error
 		group.Go(func() { textsErr = applyConflictingTexts(ctx, stage) })
@@ -103,7 +103,7 @@
 
 // checkNothingReverted returns an error unless every running daemon has the last accepted text and
 // every accepted change.
-func checkNothingReverted(ctx context.Context, stage *Stage) error {
+func checkNothingReverted(ctx context.Context, stage *Execution) error {
 	stage.mutex.Lock()
 	source, accepted := stage.acceptedSource, stage.acceptedVersion
 	stage.mutex.Unlock()
--- a/dogwoodload/dogwoodscenario/run.go
+++ b/dogwoodload/dogwoodscenario/run.go
@@ -86,7 +86,7 @@
 		Seed:    options.Seed,
 		Base:    options.Base,
 		Engine:  engineOptions(),
-		Edit: func(text *dogwoodsettings.Text) {
+		EditText: func(text *dogwoodsettings.Text) {
 			for i := range text.Services {
 				if text.Services[i].Kind == dogwoodfleet.EnginePool {
 					text.Services[i].WarmLimit = engineBatch
@@ -126,7 +126,7 @@
 }
 
 // Begin starts a site without sending the trace.
-func Begin(ctx context.Context, options Options) (*Fleet, error) {
+func StartFleet(ctx context.Context, options Options) (*Fleet, error) {
 	trace, err := options.trace()
 	if err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 }
 
 // End closes the site.
-func (fleet *Fleet) End(ctx context.Context) error {
+func (fleet *Fleet) Close(ctx context.Context) error {
 	return Error.Wrap(fleet.site.Close(ctx))
 }
 
@@ -189,7 +189,7 @@
 	return dogwoodsender.CheckPlain(arrival, content)
 }
 
-func evaluate(options *Options, stage *Stage, samples []dogwoodsender.Sample) *dogwoodresult.Result {
+func evaluate(options *Options, stage *Execution, samples []dogwoodsender.Sample) *dogwoodresult.Result {
 	site := stage.site
 	result := &dogwoodresult.Result{
 		Scenario:            options.Scenario.Name,
@@ -199,8 +199,8 @@
 		Endpoints:           len(site.Engines) + len(site.Plain),
 		NewWorkAfterTakeOut: dogwoodresult.Duration(stage.newWorkAfterTakeOut),
 		ConfigSpread:        dogwoodresult.Duration(stage.configSpread),
-		CutByShutdown:       dogwoodjudge.CutBy(stage.stops, samples),
-		LostWithEntry:       dogwoodjudge.LostWith(stage.kills, samples),
+		CutByShutdown:       dogwoodjudge.CountCutByStops(stage.stops, samples),
+		LostWithEntry:       dogwoodjudge.CountLostToKills(stage.kills, samples),
 		Events:              stage.events,
 		StepsFailed:         stage.failures,
 	}
--- a/dogwoodload/dogwoodscenario/scenario.go
+++ b/dogwoodload/dogwoodscenario/scenario.go
@@ -21,7 +21,7 @@
 type Scenario struct {
 	Name string
 	// Story describes the scenario in one sentence.
-	Story string
+	Description string
 	// Shape is the name of the site's shape.
 	Shape string
 	// Spec adjusts the specification that the trace is drawn from; More returns arrivals to add.
@@ -37,7 +37,7 @@
 type Step struct {
 	At   time.Duration
 	What string
-	Do   func(ctx context.Context, stage *Stage) error
+	Do   func(ctx context.Context, stage *Execution) error
 }
 
 // Stand-in engines of all scenarios. They are small, so that one machine that also runs the daemons
@@ -65,7 +65,7 @@
 
 // promptClasses are the classes of prompts. Only 4 % of the prompts exceed 16,000 tokens, fewer than in
 // a full-size system, because handling the bytes of more of them would saturate the machine.
-var promptClasses = []dogwoodtrace.Length{
+var promptClasses = []dogwoodtrace.PromptClass{
 	{Share: 0.60, FromTokens: 200, ToTokens: 1000, MaxTokens: 32, Deadline: 3 * time.Second},
 	{Share: 0.26, FromTokens: 1001, ToTokens: 4000, MaxTokens: 48, Deadline: 4 * time.Second},
 	{Share: 0.10, FromTokens: 4001, ToTokens: 16_000, MaxTokens: 64, Deadline: 5 * time.Second},
@@ -81,15 +81,15 @@
 func baseSpec(shape *dogwoodsite.Shape, seed uint64) *dogwoodtrace.Spec {
 	spec := &dogwoodtrace.Spec{
 		Seed:          seed,
-		Length:        traceLength,
+		Duration:        traceLength,
 		Rate:          capacity / 2,
 		Engines:       shape.Pool,
 		Model:         shape.Model,
 		Plain:         shape.Plain,
-		Lengths:       promptClasses,
+		PromptClasses:       promptClasses,
 		LookupShare:   0.08,
 		HoldShare:     0.06,
-		HoldsAgain:    0.1,
+		DuplicateHoldShare:    0.1,
 		PlainDeadline: 2 * time.Second,
 		Prefixes:      20,
 		PrefixTokens:  512,
@@ -102,7 +102,7 @@
 			share = largeCustomerShares[i]
 		}
 		rest -= share
-		spec.Senders = append(spec.Senders, dogwoodtrace.Sender{Customer: customer, Share: share})
+		spec.TrafficShares = append(spec.TrafficShares, dogwoodtrace.TrafficShare{Customer: customer, Share: share})
 	}
 	return spec
 }
--- a/dogwoodload/dogwoodscenario/scenarios.go
+++ b/dogwoodload/dogwoodscenario/scenarios.go
@@ -13,12 +13,12 @@
 var scenarios = []Scenario{
 	{
 		Name: "mixed", Shape: dogwoodsite.Hinokuni,
-		Story: "Short and long prompts that share prefixes, at four fifths of the capacity.",
+		Description: "Short and long prompts that share prefixes, at four fifths of the capacity.",
 		Spec:  func(spec *dogwoodtrace.Spec) { spec.Rate = 0.8 * capacity },
 	},
 	{
 		Name: "burst", Shape: dogwoodsite.Hinokuni,
-		Story: "All customers send six times as much for three seconds.",
+		Description: "All customers send six times as much for three seconds.",
 		Spec: func(spec *dogwoodtrace.Spec) {
 			spec.Rate = capacity / 4
 			spec.Phases = []dogwoodtrace.Phase{{From: 6 * time.Second, To: 9 * time.Second, Factor: 6}}
@@ -26,15 +26,15 @@
 	},
 	{
 		Name: "hotcustomer", Shape: dogwoodsite.Hinokuni,
-		Story: "One small customer sends forty times its usual rate for eight seconds.",
+		Description: "One small customer sends forty times its usual rate for eight seconds.",
 		Spec: func(spec *dogwoodtrace.Spec) {
-			hot := spec.Senders[len(spec.Senders)-1].Customer
+			hot := spec.TrafficShares[len(spec.TrafficShares)-1].Customer
 			spec.Phases = []dogwoodtrace.Phase{{From: 4 * time.Second, To: 12 * time.Second, Factor: 40, Customer: hot}}
 		},
 	},
 	{
 		Name: "slowendpoint", Shape: dogwoodsite.Hinokuni,
-		Story: "Three engines become ten times slower.",
+		Description: "Three engines become ten times slower.",
 		Steps: []Step{
 			{At: 4 * time.Second, What: "3 engines 10 times slower", Do: slowEngines(10, 0, 5, 10)},
 			{At: 12 * time.Second, What: "engines at speed again", Do: slowEngines(1, 0, 5, 10)},
@@ -42,18 +42,18 @@
 	},
 	{
 		Name: "longjobs", Shape: dogwoodsite.Hinokuni,
-		Story: "Prompts of 300,000 to a million tokens, which span engines, among short ones.",
+		Description: "Prompts of 300,000 to a million tokens, which span engines, among short ones.",
 		Spec:  func(spec *dogwoodtrace.Spec) { spec.Rate = capacity / 3 },
 		More:  longJobArrivals,
 	},
 	{
 		Name: "overload", Shape: dogwoodsite.Hinokuni,
-		Story: "Twice the capacity, all the time.",
+		Description: "Twice the capacity, all the time.",
 		Spec:  func(spec *dogwoodtrace.Spec) { spec.Rate = 2 * capacity },
 	},
 	{
 		Name: "datacentre", Shape: dogwoodsite.Laurentide,
-		Story: "Operators take a data centre out under load and bring it back.",
+		Description: "Operators take a data centre out under load and bring it back.",
 		Steps: []Step{
 			{At: 4 * time.Second, What: "qc-est-b out", Do: takeOut("qc-est-b")},
 			{At: 11 * time.Second, What: "qc-est-b back", Do: bringBack("qc-est-b")},
@@ -61,7 +61,7 @@
 	},
 	{
 		Name: "coldstart", Shape: dogwoodsite.Hinokuni,
-		Story: "Warm engines and a server turn cold without a warning.",
+		Description: "Warm engines and a server turn cold without a warning.",
 		Steps: []Step{
 			{At: 4 * time.Second, What: "5 engines cold", Do: turnEnginesCold(0, 1, 2, 3, 4)},
 			{At: 6 * time.Second, What: "a server cold", Do: turnServerCold(0)},
@@ -70,7 +70,7 @@
 	},
 	{
 		Name: "crash", Shape: dogwoodsite.Laurentide,
-		Story: "Engines, a server and daemons die and come back.",
+		Description: "Engines, a server and daemons die and come back.",
 		Steps: []Step{
 			{At: 3 * time.Second, What: "engine 1 dies", Do: killEngines(0)},
 			{At: 4 * time.Second, What: "daemon 2 dies", Do: killDaemon(1)},
@@ -86,14 +86,14 @@
 	},
 	{
 		Name: "poison", Shape: dogwoodsite.Hinokuni,
-		Story:   "Two requests kill each engine that runs them; their callers send them repeatedly.",
+		Description:   "Two requests kill each engine that runs them; their callers send them repeatedly.",
 		Spec:    func(spec *dogwoodtrace.Spec) { spec.Rate = capacity / 3 },
 		More:    poisonArrivals,
 		Prepare: killOnPoison,
 	},
 	{
 		Name: "silent", Shape: dogwoodsite.Laurentide,
-		Story: "Open connections to engines and a server go silent for good; new ones work.",
+		Description: "Open connections to engines and a server go silent for good; new ones work.",
 		Steps: []Step{
 			{At: 4 * time.Second, What: "6 engines silent", Do: silenceEngines(0, 1, 2, 3, 4, 5)},
 			{At: 6 * time.Second, What: "a server silent", Do: silenceServer(0)},
@@ -102,7 +102,7 @@
 	},
 	{
 		Name: "storedown", Shape: dogwoodsite.Hinokuni,
-		Story: "The table service is slow, then down, then loses answers.",
+		Description: "The table service is slow, then down, then loses answers.",
 		Spec:  func(spec *dogwoodtrace.Spec) { spec.HoldShare = 0.2 },
 		Steps: []Step{
 			{At: 2 * time.Second, What: "store slow", Do: slowStore(300 * time.Millisecond)},
@@ -113,7 +113,7 @@
 	},
 	{
 		Name: "operators", Shape: dogwoodsite.Laurentide,
-		Story: "Operators apply texts and take data centres out at the same time through different daemons.",
+		Description: "Operators apply texts and take data centres out at the same time through different daemons.",
 		Steps: []Step{
 			{At: 3 * time.Second, What: "two texts cross", Do: applyConflictingTexts},
 			{At: 5 * time.Second, What: "qc-est-a out, two texts cross", Do: takeOutWithConflictingTexts("qc-est-a")},
@@ -126,7 +126,7 @@
 	},
 	{
 		Name: "shutdown", Shape: dogwoodsite.Hinokuni,
-		Story: "Daemons are replaced one after the other.",
+		Description: "Daemons are replaced one after the other.",
 		Steps: []Step{
 			{At: 2 * time.Second, What: "daemon 1 replaced", Do: replaceDaemon(0)},
 			{At: 5 * time.Second, What: "daemon 2 replaced", Do: replaceDaemon(1)},
@@ -136,7 +136,7 @@
 	},
 	{
 		Name: "all", Shape: dogwoodsite.Hinokuni,
-		Story: "Engines die and turn cold, a daemon dies, the store goes down, a data centre is taken out and requests kill engines.",
+		Description: "Engines die and turn cold, a daemon dies, the store goes down, a data centre is taken out and requests kill engines.",
 		Spec: func(spec *dogwoodtrace.Spec) {
 			spec.Rate = capacity / 3
 			spec.Phases = []dogwoodtrace.Phase{{From: 8 * time.Second, To: 9 * time.Second, Factor: 4}}
@@ -170,7 +170,7 @@
 			LoadID:       fmt.Sprintf("long-%02d", job),
 			At:           dogwoodsettings.Duration(time.Second + time.Duration(job/2)*2500*time.Millisecond),
 			Kind:         dogwoodtrace.Chat,
-			Customer:     spec.Senders[random.IntN(len(spec.Senders))].Customer,
+			Customer:     spec.TrafficShares[random.IntN(len(spec.TrafficShares))].Customer,
 			Service:      spec.Engines,
 			Model:        spec.Model,
 			PromptTokens: 300_000 + random.IntN(700_000),
@@ -195,7 +195,7 @@
 				LoadID:       fmt.Sprintf("again-%d-%d", body, attempt),
 				At:           dogwoodsettings.Duration(time.Duration(3+3*body)*time.Second + time.Duration(attempt)*1200*time.Millisecond),
 				Kind:         dogwoodtrace.Chat,
-				Customer:     spec.Senders[body].Customer,
+				Customer:     spec.TrafficShares[body].Customer,
 				Service:      spec.Engines,
 				Model:        spec.Model,
 				PromptTokens: 800,
--- a/dogwoodload/dogwoodscenario/stage.go
+++ b/dogwoodload/dogwoodscenario/stage.go
@@ -18,7 +18,7 @@
 )
 
 // Stage is a running site with a record of the steps carried out on it.
-type Stage struct {
+type Execution struct {
 	site      *dogwoodsite.Site
 	start     time.Time
 	transport *http.Transport
@@ -36,12 +36,12 @@
 	kills               []dogwoodjudge.Kill
 }
 
-func newStage(site *dogwoodsite.Site) *Stage {
-	return &Stage{site: site, transport: &http.Transport{}, takenOut: map[dogwoodfleet.DataCentre]time.Time{}}
+func newStage(site *dogwoodsite.Site) *Execution {
+	return &Execution{site: site, transport: &http.Transport{}, takenOut: map[dogwoodfleet.DataCentre]time.Time{}}
 }
 
 // runSteps runs each step at its time, concurrently with the others, and waits until all have ended.
-func (stage *Stage) runSteps(ctx context.Context, steps []Step) {
+func (stage *Execution) runSteps(ctx context.Context, steps []Step) {
 	var group sync.WaitGroup
 	for _, step := range steps {
 		group.Go(func() {
@@ -63,25 +63,25 @@
 	stage.transport.CloseIdleConnections()
 }
 
-func (stage *Stage) recordEvent(what string) {
+func (stage *Execution) recordEvent(what string) {
 	stage.mutex.Lock()
 	defer stage.mutex.Unlock()
 	stage.events = append(stage.events, dogwoodresult.Event{At: dogwoodresult.Duration(time.Since(stage.start)), What: what})
 }
 
-func (stage *Stage) recordFailure(format string, arguments ...any) {
+func (stage *Execution) recordFailure(format string, arguments ...any) {
 	stage.mutex.Lock()
 	defer stage.mutex.Unlock()
 	stage.failures = append(stage.failures, fmt.Sprintf(format, arguments...))
 }
 
 // adminClient returns a client of one daemon's administration API.
-func (stage *Stage) adminClient(daemon *dogwoodsite.Daemon) *dogwoodadminapi.Client {
+func (stage *Execution) adminClient(daemon *dogwoodsite.Daemon) *dogwoodadminapi.Client {
 	return dogwoodadminapi.NewClient(stage.transport, []netip.AddrPort{daemon.Admin}, stage.site.AdminKey)
 }
 
 // runningDaemon returns the n-th running daemon, modulo their number.
-func (stage *Stage) runningDaemon(n int) (*dogwoodsite.Daemon, error) {
+func (stage *Execution) runningDaemon(n int) (*dogwoodsite.Daemon, error) {
 	var alive []*dogwoodsite.Daemon
 	for _, daemon := range stage.site.Daemons() {
 		if daemon.Alive() {
@@ -102,7 +102,7 @@
 
 // awaitPropagation waits until every running daemon has a change in force and records how long that
 // took.
-func (stage *Stage) awaitPropagation(ctx context.Context, accepted time.Time, version uint64) error {
+func (stage *Execution) awaitPropagation(ctx context.Context, accepted time.Time, version uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, propagationTimeout)
 	defer cancel()
 	for _, daemon := range stage.site.Daemons() {
@@ -119,7 +119,7 @@
 }
 
 // awaitVersion waits until the daemon has the version in force or has ended.
-func (stage *Stage) awaitVersion(ctx context.Context, daemon *dogwoodsite.Daemon, version uint64) error {
+func (stage *Execution) awaitVersion(ctx context.Context, daemon *dogwoodsite.Daemon, version uint64) error {
 	client := stage.adminClient(daemon)
 	for daemon.Alive() {
 		changes, err := client.Changes(ctx, version-1)
@@ -136,12 +136,12 @@
 }
 
 func takeOut(dataCentre dogwoodfleet.DataCentre) stepFunc {
-	return func(ctx context.Context, stage *Stage) error {
+	return func(ctx context.Context, stage *Execution) error {
 		return stage.takeOut(ctx, 0, dataCentre)
 	}
 }
 
-func (stage *Stage) takeOut(ctx context.Context, daemonIndex int, dataCentre dogwoodfleet.DataCentre) error {
+func (stage *Execution) takeOut(ctx context.Context, daemonIndex int, dataCentre dogwoodfleet.DataCentre) error {
 	daemon, err := stage.runningDaemon(daemonIndex)
 	if err != nil {
 		return err
@@ -163,7 +163,7 @@
 }
 
 func bringBack(dataCentre dogwoodfleet.DataCentre) stepFunc {
-	return func(ctx context.Context, stage *Stage) error {
+	return func(ctx context.Context, stage *Execution) error {
 		daemon, err := stage.runningDaemon(1)
 		if err != nil {
 			return err
@@ -180,7 +180,7 @@
 
 // finishTakeOut records how long after its take-out the data centre still received new work. It is
 // called before the data centre is brought back into service.
-func (stage *Stage) finishTakeOut(dataCentre dogwoodfleet.DataCentre) {
+func (stage *Execution) finishTakeOut(dataCentre dogwoodfleet.DataCentre) {
 	stage.mutex.Lock()
 	at, isOut := stage.takenOut[dataCentre]
 	delete(stage.takenOut, dataCentre)
@@ -195,7 +195,7 @@
 }
 
 // finishTakeOuts calls finishTakeOut for all data centres that are still out of service.
-func (stage *Stage) finishTakeOuts() {
+func (stage *Execution) finishTakeOuts() {
 	stage.mutex.Lock()
 	var dataCentres []dogwoodfleet.DataCentre
 	for dataCentre := range stage.takenOut {
@@ -208,7 +208,7 @@
 }
 
 // lastNewWork returns the time of the latest arrival of new work at the endpoints of a data centre.
-func (stage *Stage) lastNewWork(dataCentre dogwoodfleet.DataCentre) time.Time {
+func (stage *Execution) lastNewWork(dataCentre dogwoodfleet.DataCentre) time.Time {
 	dataCentreOf := map[dogwoodfleet.EndpointID]dogwoodfleet.DataCentre{}
 	for _, vm := range stage.site.VMs() {
 		dataCentreOf[dogwoodfleet.EndpointID(vm.Name)] = vm.Place.DataCentre
@@ -230,7 +230,7 @@
 
 // replaceDaemon shuts a daemon down gracefully and starts it again.
 func replaceDaemon(daemon int) stepFunc {
-	return func(ctx context.Context, stage *Stage) error {
+	return func(ctx context.Context, stage *Execution) error {
 		replaced := stage.site.Daemons()[daemon]
 		stop := dogwoodjudge.Stop{Entry: replaced.Serve.String(), From: time.Now()}
 		stopCtx, cancel := context.WithTimeout(ctx, shutdownTimeout)
--- a/dogwoodload/dogwoodsoak/daemon.go
+++ b/dogwoodload/dogwoodsoak/daemon.go
@@ -105,7 +105,7 @@
 	case dogwoodsoakplan.StoreMute:
 		return site.breakDaemonLink(ctx, &daemon.storeMutex, daemon, daemon.storeProxy, dogwoodsoakproxy.Fault{Mute: true}, step.For)
 	case dogwoodsoakplan.StoreOneWay:
-		return site.breakDaemonLink(ctx, &daemon.storeMutex, daemon, daemon.storeProxy, dogwoodsoakproxy.Fault{MuteBack: true}, step.For)
+		return site.breakDaemonLink(ctx, &daemon.storeMutex, daemon, daemon.storeProxy, dogwoodsoakproxy.Fault{MuteFromTarget: true}, step.For)
 	case dogwoodsoakplan.CallersReset:
 		return site.breakDaemonLink(ctx, &daemon.callersMutex, daemon, daemon.callersProxy, dogwoodsoakproxy.Fault{Refused: true}, 0)
 	case dogwoodsoakplan.CallersMute:
--- a/dogwoodload/dogwoodsoak/endpoint.go
+++ b/dogwoodload/dogwoodsoak/endpoint.go
@@ -72,7 +72,7 @@
 		standinFlag{dogwoodstandinrun.FlagID, endpoint.id},
 		standinFlag{dogwoodstandinrun.FlagService, endpoint.service},
 		standinFlag{dogwoodstandinrun.FlagDataCentre, endpoint.dataCentre},
-		standinFlag{dogwoodstandinrun.FlagAnnounced, endpoint.proxy.Address().String()},
+		standinFlag{dogwoodstandinrun.FlagAnnouncedAddress, endpoint.proxy.Address().String()},
 		standinFlag{dogwoodstandinrun.FlagSlots, fmt.Sprint(slots)},
 		standinFlag{dogwoodstandinrun.FlagEvents, fmt.Sprint(events)},
 		standinFlag{dogwoodstandinrun.FlagWork, work.String()},
@@ -108,7 +108,7 @@
 	case dogwoodsoakplan.EndpointMute:
 		return breakLink(dogwoodsoakproxy.Fault{Mute: true}, step.For)
 	case dogwoodsoakplan.EndpointOneWay:
-		return breakLink(dogwoodsoakproxy.Fault{MuteBack: true}, step.For)
+		return breakLink(dogwoodsoakproxy.Fault{MuteFromTarget: true}, step.For)
 	case dogwoodsoakplan.EndpointSlow:
 		const delay = 150 * time.Millisecond
 		return breakLink(dogwoodsoakproxy.Fault{Delay: delay}, step.For)
--- a/dogwoodload/dogwoodsoak/operators.go
+++ b/dogwoodload/dogwoodsoak/operators.go
@@ -11,7 +11,7 @@
 )
 
 // storeFault is a fault that affects all daemons.
-var storeFault = dogwoodsoakcheck.Fault{Daemon: dogwoodsoakcheck.Everybody}
+var storeFault = dogwoodsoakcheck.Fault{Daemon: dogwoodsoakcheck.AllDaemons}
 
 func (site *site) storeStep(ctx context.Context, step dogwoodsoakplan.Step) error {
 	faults := dogwoodstandin.StoreFaults{}
@@ -76,7 +76,7 @@
 }
 
 func (site *site) setTakenOut(ctx context.Context, dataCentre string, out bool) error {
-	return site.recordChange(dogwoodsoakcheck.Everybody, func() error {
+	return site.recordChange(dogwoodsoakcheck.AllDaemons, func() error {
 		return dogwoodstandin.TakeOut(ctx, site.control, dataCentre, out)
 	})
 }
--- a/dogwoodload/dogwoodsoak/play.go
+++ b/dogwoodload/dogwoodsoak/play.go
@@ -72,12 +72,12 @@
 }
 
 func applyFault(ctx context.Context, proxy *dogwoodsoakproxy.Proxy, fault dogwoodsoakproxy.Fault, duration time.Duration) error {
-	proxy.Set(fault)
+	proxy.SetFault(fault)
 	if fault.Refused {
 		proxy.Reset()
 	}
 	dogwoodkernel.Sleep(ctx, duration)
-	proxy.Set(dogwoodsoakproxy.Fault{})
+	proxy.SetFault(dogwoodsoakproxy.Fault{})
 	return nil
 }
 
--- a/dogwoodload/dogwoodsoak/shape.go
+++ b/dogwoodload/dogwoodsoak/shape.go
@@ -51,14 +51,14 @@
 var (
 	daemonBounds = dogwoodstandin.Bounds{
 		Revoke: 5 * time.Second, Grace: 8 * time.Second, RetryWindow: 10 * time.Second,
-		RetryRatio: 0.2, RetryAllowance: 20, KeepDirectory: 5 * time.Second,
+		RetryRatio: 0.2, RetryAllowance: 20, DirectoryTTL: 5 * time.Second,
 	}
 	checkBounds = dogwoodsoakcheck.Bounds{
 		Stability: 3 * time.Second, Revoke: daemonBounds.Revoke, Drain: 2 * time.Second, TakeOut: 5 * time.Second,
 		RetryRatio: daemonBounds.RetryRatio, RetryAllowance: daemonBounds.RetryAllowance, RetryWindow: daemonBounds.RetryWindow,
 		ColdPerSecond: coldPerSecond, ColdOvershoot: 1.5, ColdSlack: 5, AnswerSlack: time.Second,
-		Configuration: 2 * time.Second, TextSlack: time.Second,
-		StopSlack: 200 * time.Millisecond, TakesFor: 2 * time.Second,
+		ChangeWindow: 2 * time.Second, TextSlack: time.Second,
+		StopSlack: 200 * time.Millisecond, AcceptsFor: 2 * time.Second,
 		Recovery: recovery, ServedShare: 0.25,
 	}
 )
--- a/dogwoodload/dogwoodsoak/site.go
+++ b/dogwoodload/dogwoodsoak/site.go
@@ -111,11 +111,11 @@
 	daemonAddresses := make([]dogwoodsoakcaller.Daemon, len(site.daemons))
 	for i, daemon := range site.daemons {
 		daemonAddresses[i] = dogwoodsoakcaller.Daemon{
-			Name: daemon.name, Address: daemon.settings.CallersAddress(), By: daemon.callersProxy.Address(), Directory: daemon.settings.Directory(),
+			Name: daemon.name, Address: daemon.settings.CallersAddress(), ProxyAddress: daemon.callersProxy.Address(), Directory: daemon.settings.Directory(),
 		}
 	}
 	site.callers = dogwoodsoakcaller.New(dogwoodsoakcaller.Options{
-		Host: host, DataCentres: dataCentres, Daemons: daemonAddresses, Kinds: callKinds, Keys: keys, Every: callInterval,
+		Host: host, DataCentres: dataCentres, Daemons: daemonAddresses, Kinds: callKinds, Keys: keys, MeanInterval: callInterval,
 	})
 	return nil
 }
@@ -123,7 +123,7 @@
 // stop cancels all work and ends all processes.
 func (site *site) stop(cancel context.CancelFunc) error {
 	cancel()
-	site.group.End()
+	site.group.KillAll()
 	var failed error
 	for _, proxy := range site.proxies {
 		failed = errors.Join(failed, proxy.Wait())
@@ -146,7 +146,7 @@
 type standinFlag struct{ name, value string }
 
 func (site *site) startStandin(ctx context.Context, name string, listen netip.AddrPort, flags ...standinFlag) (*dogwoodsoakprocess.Process, error) {
-	arguments := []string{dogwoodstandinrun.Verb, "-" + dogwoodstandinrun.FlagListen, listen.String()}
+	arguments := []string{dogwoodstandinrun.Name, "-" + dogwoodstandinrun.FlagListen, listen.String()}
 	for _, flag := range flags {
 		arguments = append(arguments, "-"+flag.name, flag.value)
 	}
@@ -164,7 +164,7 @@
 	}
 	site.version++
 	text := dogwoodstandin.Text{Version: site.version, Routes: routes, Services: services, Customers: customers(site.withdrawn)}
-	return site.recordChange(dogwoodsoakcheck.Everybody, func() error { return text.Publish(ctx, site.control) })
+	return site.recordChange(dogwoodsoakcheck.AllDaemons, func() error { return text.Publish(ctx, site.control) })
 }
 
 // retryUntil calls operation until it succeeds or the timeout has passed.
--- a/dogwoodload/dogwoodsoak/soak_test.go
+++ b/dogwoodload/dogwoodsoak/soak_test.go
@@ -33,7 +33,7 @@
 		os.Exit(m.Run())
 	}
 	switch os.Args[1] {
-	case dogwoodstandinrun.Verb:
+	case dogwoodstandinrun.Name:
 		flags := flag.NewFlagSet("soak", flag.ContinueOnError)
 		commander := subcommands.NewCommander(flags, "soak")
 		commander.Register(dogwoodstandinrun.New(dogwoodfactory.New()), "")
--- a/dogwoodload/dogwoodsoakcaller/caller.go
+++ b/dogwoodload/dogwoodsoakcaller/caller.go
@@ -26,7 +26,7 @@
 type Daemon struct {
 	Name string
 	// Address is the address that the directory returns; callers connect to the proxy at By instead.
-	Address, By netip.AddrPort
+	Address, ProxyAddress netip.AddrPort
 	// Directory is the address of the daemon's directory, which callers query without a proxy.
 	Directory netip.AddrPort
 }
@@ -54,7 +54,7 @@
 	Kinds       []Kind
 	Keys        []string
 	// Every is the mean time between two requests of one caller.
-	Every time.Duration
+	MeanInterval time.Duration
 }
 
 const (
@@ -114,7 +114,7 @@
 		client:     &http.Client{Transport: transport},
 	}
 	for {
-		wait := time.Duration(caller.random.ExpFloat64() * float64(callers.options.Every))
+		wait := time.Duration(caller.random.ExpFloat64() * float64(callers.options.MeanInterval))
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -203,7 +203,7 @@
 	target := fmt.Sprintf("%s%d?q=%d", kind.Prefix, caller.number, caller.sent)
 	body := strings.Repeat("x", 1+caller.random.IntN(200))
 	call.Sent = time.Now()
-	caller.exchange(ctx, &call, kind, daemon.By, target, body)
+	caller.exchange(ctx, &call, kind, daemon.ProxyAddress, target, body)
 	call.Ended = time.Now()
 	caller.mutex.Lock()
 	defer caller.mutex.Unlock()
--- a/dogwoodload/dogwoodsoakcheck/check_test.go
+++ b/dogwoodload/dogwoodsoakcheck/check_test.go
@@ -19,8 +19,8 @@
 	Stability: 3 * time.Second, Revoke: 5 * time.Second, Drain: 2 * time.Second, TakeOut: 5 * time.Second,
 	RetryRatio: 0.2, RetryAllowance: 3, RetryWindow: 10 * time.Second,
 	ColdPerSecond: 2, ColdOvershoot: 1.5, ColdSlack: 1, AnswerSlack: time.Second,
-	Configuration: 2 * time.Second, TextSlack: time.Second,
-	TakesFor: 2 * time.Second, Recovery: 12 * time.Second, ServedShare: 0.25,
+	ChangeWindow: 2 * time.Second, TextSlack: time.Second,
+	AcceptsFor: 2 * time.Second, Recovery: 12 * time.Second, ServedShare: 0.25,
 }
 
 // newCleanHistory returns a history that breaks no promise: one request of each kind a second, served at once.
@@ -118,7 +118,7 @@
 		{"a key is forwarded to an endpoint", func(history *History) { history.arrival("Lookup-5").KeySeen = true }, "KeyPassedOn"},
 		{"a request sent with a withdrawn key after the bound runs", func(history *History) {
 			history.Withdrawals = []Withdrawal{{Key: "k", From: after(0.9), To: after(7)}}
-			history.fault(Fault{Daemon: Everybody}, 0, 8)
+			history.fault(Fault{Daemon: AllDaemons}, 0, 8)
 		}, "WithdrawnKeyRan"},
 		{"a request sent with a withdrawn key runs just after the key was restored", func(history *History) {
 			history.Withdrawals = []Withdrawal{{Key: "k", From: after(1.005), To: after(7.005)}}
@@ -129,7 +129,7 @@
 		}, ""},
 		{"a request sent with a withdrawn key runs just after the key was restored, during a fault of the store", func(history *History) {
 			history.Withdrawals = []Withdrawal{{Key: "k", From: after(1.005), To: after(7.005)}}
-			history.fault(Fault{Daemon: Everybody}, 6, 7.008)
+			history.fault(Fault{Daemon: AllDaemons}, 6, 7.008)
 		}, "WithdrawnKeyRan"},
 		{"a request with a withdrawn key was delayed and runs before the key is restored", func(history *History) {
 			history.Withdrawals = []Withdrawal{{Key: "k", From: after(1.005), To: after(7.05)}}
@@ -204,55 +204,55 @@
 			history.cut("Once-20")
 		}, ""},
 		{"a change cuts a request", func(history *History) {
-			history.change(Everybody, 20.05)
+			history.change(AllDaemons, 20.05)
 			history.cut("Prompt-20")
 		}, "CutByChange"},
 		{"a change cuts a request that was sent within the bound", func(history *History) {
-			history.change(Everybody, 17)
+			history.change(AllDaemons, 17)
 			history.cut("Once-20")
 		}, "CutByChange"},
 		{"a change cuts a stream that had begun", func(history *History) {
-			history.change(Everybody, 20.05)
+			history.change(AllDaemons, 20.05)
 			call := history.call("Prompt-20")
 			call.Whole, call.Error = false, "unexpected EOF"
 		}, "CutByChange"},
 		{"a change coincides with a refusal", func(history *History) {
-			history.change(Everybody, 20.05)
+			history.change(AllDaemons, 20.05)
 			call := history.call("Prompt-20")
 			call.Status, call.NotRun, call.Sealed = 503, true, false
 		}, ""},
 		{"a change coincides with a time limit", func(history *History) {
-			history.change(Everybody, 21)
+			history.change(AllDaemons, 21)
 			history.cut("Once-20")
 			history.call("Once-20").Ended = after(24)
 		}, ""},
 		{"a change coincides with an endpoint's crash", func(history *History) {
-			history.change(Everybody, 20.05)
+			history.change(AllDaemons, 20.05)
 			history.fault(Fault{Endpoint: "e"}, 20.06, 21)
 			history.cut("Once-20")
 		}, ""},
 		{"a change coincides with the crash of an endpoint that the request did not reach", func(history *History) {
-			history.change(Everybody, 20.05)
+			history.change(AllDaemons, 20.05)
 			history.fault(Fault{Endpoint: "other"}, 20.06, 21)
 			history.cut("Once-20")
 		}, "CutByChange"},
 		{"a change coincides with a daemon's fault", func(history *History) {
-			history.change(Everybody, 20.05)
+			history.change(AllDaemons, 20.05)
 			history.fault(Fault{Daemon: "d"}, 16, 18)
 			history.cut("Once-20")
 		}, ""},
 		{"a change coincides with another daemon's fault", func(history *History) {
-			history.change(Everybody, 20.05)
+			history.change(AllDaemons, 20.05)
 			history.fault(Fault{Daemon: "other"}, 16, 18)
 			history.cut("Once-20")
 		}, "CutByChange"},
 		{"a change coincides with a fault of the store", func(history *History) {
-			history.change(Everybody, 20.05)
-			history.fault(Fault{Daemon: Everybody}, 19, 21)
+			history.change(AllDaemons, 20.05)
+			history.fault(Fault{Daemon: AllDaemons}, 19, 21)
 			history.cut("Once-20")
 		}, ""},
 		{"a change coincides with a daemon's shutdown", func(history *History) {
-			history.change(Everybody, 17.5)
+			history.change(AllDaemons, 17.5)
 			history.Stops = []Stop{{Daemon: "d", From: after(17.5), To: after(24)}}
 			history.fault(Fault{Daemon: "d", Planned: true}, 17.5, 25)
 			history.cut("Once-20")
@@ -270,7 +270,7 @@
 			history.cut("Once-20")
 		}, "CutWithoutCause"},
 		{"a request is cut before a change", func(history *History) {
-			history.change(Everybody, 20.2)
+			history.change(AllDaemons, 20.2)
 			history.cut("Once-20")
 		}, "CutWithoutCause"},
 		{"a request is cut without a cause", func(history *History) { history.cut("Once-20") }, "CutWithoutCause"},
--- a/dogwoodload/dogwoodsoakcheck/history.go
+++ b/dogwoodload/dogwoodsoakcheck/history.go
@@ -22,10 +22,10 @@
 	AnswerSlack time.Duration
 	// Configuration is how long after a change a daemon may still be applying it. For the operators' rows,
 	// TextSlack is added.
-	Configuration, TextSlack time.Duration
+	ChangeWindow, TextSlack time.Duration
 	// TakesFor is how long after the signal to stop a daemon still accepts requests, StopSlack by how much
 	// a request may outlast it.
-	TakesFor, StopSlack time.Duration
+	AcceptsFor, StopSlack time.Duration
 	// Recovery is the time after the last fault by which requests must be served again, ServedShare the
 	// minimum share of them.
 	Recovery    time.Duration
@@ -93,7 +93,7 @@
 }
 
 // Everybody stands for all daemons where a fault or a change names the one that it affects.
-const Everybody = "everybody"
+const AllDaemons = "everybody"
 
 // Withdrawal is a key that was withdrawn and later restored.
 type Withdrawal struct {
@@ -162,7 +162,7 @@
 // daemonUnaffected reports whether no fault affected a daemon between from, less stability, and until.
 func (history *History) daemonUnaffected(daemon string, from, until time.Time, stability time.Duration) bool {
 	return history.noFault(from.Add(-stability), until, func(fault *Fault) bool {
-		return fault.Daemon == daemon || fault.Daemon == Everybody
+		return fault.Daemon == daemon || fault.Daemon == AllDaemons
 	})
 }
 
--- a/dogwoodload/dogwoodsoakcheck/requests.go
+++ b/dogwoodload/dogwoodsoakcheck/requests.go
@@ -77,7 +77,7 @@
 			return ""
 		}
 		for _, stop := range analysis.Stops {
-			accepted := stop.Daemon == call.Daemon && call.Sent.Before(stop.From.Add(analysis.bounds.TakesFor)) && call.Ended.After(stop.From)
+			accepted := stop.Daemon == call.Daemon && call.Sent.Before(stop.From.Add(analysis.bounds.AcceptsFor)) && call.Ended.After(stop.From)
 			if accepted && !stop.Killed && !analysis.hasOtherCause(call) {
 				return fmt.Sprintf("was cut by the shutdown of %s, %s after the signal: %s", call.Daemon, call.Ended.Sub(stop.From).Round(time.Millisecond), call.Error)
 			}
@@ -113,11 +113,11 @@
 	var latest *Change
 	for i := range analysis.Changes {
 		change := &analysis.Changes[i]
-		bound := analysis.bounds.Configuration
-		if change.Daemon == Everybody {
+		bound := analysis.bounds.ChangeWindow
+		if change.Daemon == AllDaemons {
 			bound += analysis.bounds.TextSlack
 		}
-		affected := change.Daemon == call.Daemon || change.Daemon == Everybody
+		affected := change.Daemon == call.Daemon || change.Daemon == AllDaemons
 		concurrent := call.Sent.Before(change.To.Add(bound)) && call.Ended.After(change.From)
 		if affected && concurrent && (latest == nil || change.From.After(latest.From)) {
 			latest = change
@@ -138,7 +138,7 @@
 		return true
 	}
 	if !analysis.noFault(call.Sent.Add(-analysis.bounds.Stability), call.Ended, func(fault *Fault) bool {
-		return !fault.Planned && (fault.Daemon == call.Daemon || fault.Daemon == Everybody)
+		return !fault.Planned && (fault.Daemon == call.Daemon || fault.Daemon == AllDaemons)
 	}) {
 		return true
 	}
--- a/dogwoodload/dogwoodsoakprocess/process.go
+++ b/dogwoodload/dogwoodsoakprocess/process.go
@@ -78,7 +78,7 @@
 }
 
 // End kills all running processes and waits for them.
-func (group *Group) End() {
+func (group *Group) KillAll() {
 	group.mutex.Lock()
 	started := group.started
 	group.mutex.Unlock()
--- a/dogwoodload/dogwoodsoakprocess/process_test.go
+++ b/dogwoodload/dogwoodsoakprocess/process_test.go
@@ -34,7 +34,7 @@
 	if !running.Running() || running.Err() != nil {
 		t.Errorf("got %v, want a process that runs", running.Err())
 	}
-	group.End()
+	group.KillAll()
 	for _, process := range []*Process{running, frozen} {
 		if process.Running() || process.Signal(syscall.SIGCONT) == nil {
 			t.Error("got a process that still runs, want none")
@@ -53,5 +53,5 @@
 	if err == nil || !strings.Contains(err.Error(), "none") {
 		t.Errorf("got %v, want an error that names it", err)
 	}
-	group.End()
+	group.KillAll()
 }
--- a/dogwoodload/dogwoodsoakproxy/proxy.go
+++ b/dogwoodload/dogwoodsoakproxy/proxy.go
@@ -27,7 +27,7 @@
 	// Mute holds back all data in both directions.
 	Mute bool
 	// MuteBack holds back only the data that the target sends.
-	MuteBack bool
+	MuteFromTarget bool
 	// Delay is the delay of each chunk of data.
 	Delay time.Duration
 }
@@ -76,7 +76,7 @@
 func (proxy *Proxy) Wait() error { return proxy.group.Wait() }
 
 // Set sets the fault that is injected into all connections from now on.
-func (proxy *Proxy) Set(fault Fault) {
+func (proxy *Proxy) SetFault(fault Fault) {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
 	proxy.fault = fault
@@ -193,7 +193,7 @@
 func (proxy *Proxy) waitToForward(ctx context.Context, fromTarget bool) bool {
 	for {
 		fault, changed := proxy.current()
-		if !fault.Mute && (!fault.MuteBack || !fromTarget) {
+		if !fault.Mute && (!fault.MuteFromTarget || !fromTarget) {
 			return fault.Delay == 0 || dogwoodkernel.Sleep(ctx, fault.Delay)
 		}
 		select {
--- a/dogwoodload/dogwoodsoakproxy/proxy_test.go
+++ b/dogwoodload/dogwoodsoakproxy/proxy_test.go
@@ -106,16 +106,16 @@
 
 // Data that a fault holds back arrives when the fault ends: no data is lost.
 func TestHeldBackDataArrivesLater(t *testing.T) {
-	for _, fault := range []Fault{{Mute: true}, {MuteBack: true}} {
+	for _, fault := range []Fault{{Mute: true}, {MuteFromTarget: true}} {
 		proxy, client := startProxy(t)
 		if got, err := client.exchange("one", readTimeout); err != nil || got != "one\n" {
 			t.Fatalf("got %q and %v, want the line", got, err)
 		}
-		proxy.Set(fault)
+		proxy.SetFault(fault)
 		if got, err := client.exchange("two", silenceTimeout); err == nil {
 			t.Errorf("%+v: got %q, want nothing", fault, got)
 		}
-		proxy.Set(Fault{})
+		proxy.SetFault(Fault{})
 		if got, err := client.read(readTimeout); err != nil || got != "two\n" {
 			t.Errorf("%+v: got %q and %v, want the line that was held back", fault, got, err)
 		}
@@ -135,7 +135,7 @@
 	if got, err := dial(t, proxy).exchange("two", readTimeout); err != nil || got != "two\n" {
 		t.Errorf("a new connection: got %q and %v, want the line", got, err)
 	}
-	proxy.Set(Fault{Refused: true})
+	proxy.SetFault(Fault{Refused: true})
 	refused, err := tryDial(t, proxy)
 	if err != nil {
 		return // the connection was reset before it was established
@@ -166,7 +166,7 @@
 func TestDelay(t *testing.T) {
 	proxy, client := startProxy(t)
 	const delay = 60 * time.Millisecond
-	proxy.Set(Fault{Delay: delay})
+	proxy.SetFault(Fault{Delay: delay})
 	sent := time.Now()
 	if got, err := client.exchange("late", readTimeout); err != nil || got != "late\n" {
 		t.Fatalf("got %q and %v, want the line", got, err)
--- a/dogwoodload/dogwoodstandinrun/run.go
+++ b/dogwoodload/dogwoodstandinrun/run.go
@@ -23,7 +23,7 @@
 )
 
 // Verb is the name of the subcommand.
-const Verb = "standin"
+const Name = "standin"
 
 // The names of the flags, which the soak sets.
 const (
@@ -33,7 +33,7 @@
 	FlagID         = "id"
 	FlagService    = "service"
 	FlagDataCentre = "datacentre"
-	FlagAnnounced  = "announced"
+	FlagAnnouncedAddress  = "announced"
 	FlagSlots      = "slots"
 	FlagEvents     = "events"
 	FlagWork       = "work"
@@ -60,7 +60,7 @@
 func New(factory *dogwoodfactory.Factory) *dogwoodsubcommand.Command {
 	options := &Options{Factory: factory}
 	return dogwoodverb.New(dogwoodsubcommand.Spec{
-		Name:      Verb,
+		Name:      Name,
 		Synopsis:  "run a stand-in of the users' platform for the soak",
 		Arguments: "-listen ADDRESS [-store ADDRESS -record FILE ...]",
 		Help: "Runs a store, or with -store an endpoint that announces itself there and writes what it sees to a\n" +
@@ -79,7 +79,7 @@
 func setFlags(flags *flag.FlagSet, options *Options) {
 	flags.TextVar(&options.Listen, FlagListen, netip.AddrPort{}, "`address` to listen at")
 	flags.TextVar(&options.Store, FlagStore, netip.AddrPort{}, "`address` of the store, for an endpoint")
-	flags.TextVar(&options.Announced, FlagAnnounced, netip.AddrPort{}, "`address` that an endpoint announces")
+	flags.TextVar(&options.Announced, FlagAnnouncedAddress, netip.AddrPort{}, "`address` that an endpoint announces")
 	flags.StringVar(&options.Record, FlagRecord, "", "`file` for what an endpoint sees")
 	flags.StringVar(&options.Endpoint.ID, FlagID, "", "the endpoint's `id`")
 	flags.StringVar(&options.Endpoint.Service, FlagService, "", "its `service`")
--- a/dogwoodload/dogwoodsummary/summary.go
+++ b/dogwoodload/dogwoodsummary/summary.go
@@ -129,7 +129,7 @@
 			fmt.Fprintf(page, "| %s | %s | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %s | %s | %d |\n",
 				pairs[i].scenario, policy, result.Sent, result.InTime, result.RefusedNotRun, result.Failed, result.Unknown,
 				result.Late, result.Lost, result.Doubled, result.Crossed, result.FalseNotRun, result.LeakedMemory, result.ColdOverruns,
-				dogwoodresult.Round(result.NewWorkAfterTakeOut), dogwoodresult.Round(result.ConfigSpread), result.CutByShutdown)
+				dogwoodresult.FormatDuration(result.NewWorkAfterTakeOut), dogwoodresult.FormatDuration(result.ConfigSpread), result.CutByShutdown)
 		})
 	}
 }
@@ -189,7 +189,7 @@
 			}
 			for _, class := range result.FirstToken {
 				fmt.Fprintf(page, "| %s | %s | %d | %d | %s | %s | %s |\n", pairs[i].scenario, policy, class.UpTo, class.Count,
-					dogwoodresult.Round(class.P50), dogwoodresult.Round(class.P95), dogwoodresult.Round(class.P99))
+					dogwoodresult.FormatDuration(class.P50), dogwoodresult.FormatDuration(class.P95), dogwoodresult.FormatDuration(class.P99))
 			}
 		})
 	}
--- a/dogwoodload/dogwoodtrace/body.go
+++ b/dogwoodload/dogwoodtrace/body.go
@@ -14,7 +14,7 @@
 	minUniqueTokens = 32
 	// Marker precedes the load ID in a prompt; the engine stand-in repeats the load ID in its
 	// answer.
-	Marker = "load-id="
+	LoadIDMarker = "load-id="
 	// PoisonMarker marks prompts that crash the engine that runs them.
 	PoisonMarker = "poison-"
 )
@@ -32,7 +32,7 @@
 	}
 	switch arrival.Poison {
 	case "":
-		text.WriteString(Marker + arrival.LoadID + " ")
+		text.WriteString(LoadIDMarker + arrival.LoadID + " ")
 	default:
 		text.WriteString(PoisonMarker + arrival.Poison + " ")
 	}
--- a/dogwoodload/dogwoodtrace/draw.go
+++ b/dogwoodload/dogwoodtrace/draw.go
@@ -12,7 +12,7 @@
 )
 
 // Length is a class of prompts. Their lengths are uniformly distributed between the bounds.
-type Length struct {
+type PromptClass struct {
 	Share                float64
 	FromTokens, ToTokens int
 	MaxTokens            int
@@ -20,7 +20,7 @@
 }
 
 // Sender is a customer and its share of the requests.
-type Sender struct {
+type TrafficShare struct {
 	Customer dogwoodfleet.Customer
 	Share    float64
 }
@@ -36,15 +36,15 @@
 // Spec specifies the trace to draw.
 type Spec struct {
 	Seed   uint64
-	Length time.Duration
+	Duration time.Duration
 	// Rate is the mean number of requests a second of all customers. Arrivals form a Poisson process.
 	Rate    float64
 	Phases  []Phase
-	Senders []Sender
+	TrafficShares []TrafficShare
 	Engines dogwoodfleet.Service
 	Model   dogwoodfleet.Model
 	Plain   dogwoodfleet.Service
-	Lengths []Length
+	PromptClasses []PromptClass
 	// LookupShare and HoldShare are the shares of lookups and holds, which go to the plain service,
 	// among all requests.
 	LookupShare, HoldShare float64
@@ -55,14 +55,14 @@
 	PrefixTokens int
 	PrefixShare  float64
 	// HoldsAgain is the share of holds that the caller sends a second time with the same key.
-	HoldsAgain float64
+	DuplicateHoldShare float64
 }
 
 // Draw draws the trace of a spec. Each customer has a separate random source, so that a change to one
 // customer's rate doesn't change the requests of the others.
 func Draw(spec *Spec) *Trace {
 	var trace Trace
-	for index, sender := range spec.Senders {
+	for index, sender := range spec.TrafficShares {
 		random := rand.New(rand.NewPCG(spec.Seed, uint64(index)+1))
 		trace.Arrivals = append(trace.Arrivals, spec.drawArrivals(sender, random)...)
 	}
@@ -92,13 +92,13 @@
 	return nil
 }
 
-func (spec *Spec) drawArrivals(sender Sender, random *rand.Rand) []Arrival {
+func (spec *Spec) drawArrivals(sender TrafficShare, random *rand.Rand) []Arrival {
 	var arrivals []Arrival
 	holds := 0
 	for at := time.Duration(0); ; {
 		rate := spec.Rate * sender.Share * spec.rateFactor(sender.Customer, at)
 		at += time.Duration(random.ExpFloat64() / max(rate, 1e-3) * float64(time.Second))
-		if at >= spec.Length {
+		if at >= spec.Duration {
 			return arrivals
 		}
 		arrival := spec.drawArrival(random)
@@ -107,10 +107,10 @@
 		if arrival.Kind == Hold {
 			holds++
 			arrival.Key = fmt.Sprintf("%s-%d-%d", sender.Customer, spec.Seed, holds)
-			if random.Float64() < spec.HoldsAgain {
+			if random.Float64() < spec.DuplicateHoldShare {
 				duplicate := arrival
 				duplicate.At += dogwoodsettings.Duration(random.Int64N(int64(2 * time.Second)))
-				duplicate.At = min(duplicate.At, dogwoodsettings.Duration(spec.Length-1))
+				duplicate.At = min(duplicate.At, dogwoodsettings.Duration(spec.Duration-1))
 				arrivals = append(arrivals, duplicate)
 			}
 		}
@@ -155,13 +155,13 @@
 	return arrival
 }
 
-func (spec *Spec) drawPromptClass(random *rand.Rand) Length {
+func (spec *Spec) drawPromptClass(random *rand.Rand) PromptClass {
 	drawn := random.Float64()
-	for _, class := range spec.Lengths {
+	for _, class := range spec.PromptClasses {
 		if drawn < class.Share {
 			return class
 		}
 		drawn -= class.Share
 	}
-	return spec.Lengths[len(spec.Lengths)-1]
+	return spec.PromptClasses[len(spec.PromptClasses)-1]
 }
--- a/dogwoodlocal/dogwoodenginestandin/client_test.go
+++ b/dogwoodlocal/dogwoodenginestandin/client_test.go
@@ -161,7 +161,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			inBubble(t, 1, dogwoodenginestandin.Options{ColdFor: time.Nanosecond, PrefillTokensPerSecond: 50_000}, func(t *testing.T, bench *bench) {
+			inBubble(t, 1, dogwoodenginestandin.Options{ColdDuration: time.Nanosecond, PrefillTokensPerSecond: 50_000}, func(t *testing.T, bench *bench) {
 				stream, err := bench.client.Start(t.Context(), bench.endpoint(0), newRun("r1", test.prompt, 200))
 				if err != nil {
 					t.Fatal(err)
@@ -184,7 +184,7 @@
 // A prompt of 300,000 tokens prefills for half a minute. If the client mistook that for a silent
 // engine, it would abandon the request, and no such prompt would ever be answered.
 func TestLongPrefillIsNotSilence(t *testing.T) {
-	inBubble(t, 1, dogwoodenginestandin.Options{ColdFor: time.Nanosecond, PrefillTokensPerSecond: 10_000}, func(t *testing.T, bench *bench) {
+	inBubble(t, 1, dogwoodenginestandin.Options{ColdDuration: time.Nanosecond, PrefillTokensPerSecond: 10_000}, func(t *testing.T, bench *bench) {
 		stream, err := bench.client.Start(t.Context(), bench.endpoint(0), newRun("r1", 300_000, 10))
 		if err != nil {
 			t.Fatal(err)
@@ -282,7 +282,7 @@
 // time and need the same four engines. Unless each reserves either all of its engines or none,
 // each can hold two and wait for the other's: a deadlock.
 func TestTwoGangsOnTheSameEngines(t *testing.T) {
-	inBubble(t, 4, dogwoodenginestandin.Options{ColdFor: time.Nanosecond}, func(t *testing.T, bench *bench) {
+	inBubble(t, 4, dogwoodenginestandin.Options{ColdDuration: time.Nanosecond}, func(t *testing.T, bench *bench) {
 		results := make(chan error, 2)
 		var callers sync.WaitGroup
 		for index := range 2 {
@@ -321,7 +321,7 @@
 // One engine of a gang dies while the request runs. The caller must get the error soon, and the
 // other engines must release their memory at once, not only when the deadline passes.
 func TestGangMemberDies(t *testing.T) {
-	inBubble(t, 4, dogwoodenginestandin.Options{ColdFor: time.Nanosecond}, func(t *testing.T, bench *bench) {
+	inBubble(t, 4, dogwoodenginestandin.Options{ColdDuration: time.Nanosecond}, func(t *testing.T, bench *bench) {
 		run := newRun("gang", 1_000_000, 10_000)
 		run.Gang = bench.endpoints()
 		stream, err := bench.client.Start(t.Context(), run.Gang[0], run)
--- a/dogwoodlocal/dogwoodenginestandin/engine.go
+++ b/dogwoodlocal/dogwoodenginestandin/engine.go
@@ -65,9 +65,9 @@
 	MaxBatch               int
 	// ColdLimit is how many concurrent requests the engine can take for ColdFor after a start.
 	ColdLimit int
-	ColdFor   time.Duration
+	ColdDuration   time.Duration
 	// LoadFor is how long the engine takes to load a model that it was ordered to load.
-	LoadFor time.Duration
+	LoadDuration time.Duration
 	// RestartAfter is how long the engine is down after a crash that a request or overload caused.
 	RestartAfter time.Duration
 	// ChecksFencing makes the engine refuse orders with an old fencing number.
@@ -157,8 +157,8 @@
 	setDefault(&options.DecodeTokensPerSecond, defaultDecode)
 	setDefault(&options.MaxBatch, defaultMaxBatch)
 	setDefault(&options.ColdLimit, defaultColdLimit)
-	setDefault(&options.ColdFor, defaultColdFor)
-	setDefault(&options.LoadFor, defaultLoadFor)
+	setDefault(&options.ColdDuration, defaultColdFor)
+	setDefault(&options.LoadDuration, defaultLoadFor)
 	setDefault(&options.RestartAfter, defaultRestartAfter)
 }
 
@@ -190,7 +190,7 @@
 	engine.process = processState{
 		instance:     dogwoodfleet.InstanceID(uuid.NewString()),
 		alive:        true,
-		coldUntil:    now.Add(engine.options.ColdFor),
+		coldUntil:    now.Add(engine.options.ColdDuration),
 		coldReported: true,
 		sequences:    map[dogwoodfleet.RequestID]*sequence{},
 		cancelled:    map[dogwoodfleet.RequestID]time.Time{},
--- a/dogwoodlocal/dogwoodenginestandin/faults.go
+++ b/dogwoodlocal/dogwoodenginestandin/faults.go
@@ -66,7 +66,7 @@
 }
 
 // Leave sets whether the engine reports that it is leaving. It keeps running its requests.
-func (engine *Engine) Leave(leaving bool) {
+func (engine *Engine) SetLeaving(leaving bool) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	engine.process.leaving = leaving
@@ -77,7 +77,7 @@
 func (engine *Engine) TurnCold() {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.process.coldUntil = time.Now().Add(engine.options.ColdFor)
+	engine.process.coldUntil = time.Now().Add(engine.options.ColdDuration)
 	engine.process.coldReported = false
 	engine.process.cache.clear()
 }
@@ -113,7 +113,7 @@
 }
 
 // RanRecord records that the engine began a request.
-type RanRecord struct {
+type RunRecord struct {
 	RequestID dogwoodfleet.RequestID
 	// Tag is the tag of the request's answer, its load ID if it has one.
 	Tag string
@@ -122,7 +122,7 @@
 
 // counts are counters that restarts don't reset.
 type counts struct {
-	runs                   []RanRecord
+	runs                   []RunRecord
 	byRequest              map[dogwoodfleet.RequestID]int
 	byTag                  map[string]int
 	coldOverruns           int
@@ -137,7 +137,7 @@
 }
 
 func (counts *counts) recordRun(id dogwoodfleet.RequestID, tag string, now time.Time) {
-	counts.runs = append(counts.runs, RanRecord{RequestID: id, Tag: tag, At: now})
+	counts.runs = append(counts.runs, RunRecord{RequestID: id, Tag: tag, At: now})
 	counts.byRequest[id]++
 	counts.byTag[tag]++
 }
@@ -150,17 +150,17 @@
 }
 
 // RunsOf returns how often the engine began a caller's request, identified by its tag.
-func (engine *Engine) RunsOf(tag string) int {
+func (engine *Engine) RunsByTag(tag string) int {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
 	return engine.counts.byTag[tag]
 }
 
 // Ran returns the requests that the engine began, in order.
-func (engine *Engine) Ran() []RanRecord {
+func (engine *Engine) Ran() []RunRecord {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return append([]RanRecord(nil), engine.counts.runs...)
+	return append([]RunRecord(nil), engine.counts.runs...)
 }
 
 // UntoldColdOverruns returns how many requests exceeded the engine's cold limit before any
--- a/dogwoodlocal/dogwoodenginestandin/handlers.go
+++ b/dogwoodlocal/dogwoodenginestandin/handlers.go
@@ -259,7 +259,7 @@
 	engine.process.fence = max(engine.process.fence, order.Fence)
 	engine.counts.orders++
 	engine.process.loading = &order.Wanted
-	engine.process.loadedAt = now.Add(engine.options.LoadFor)
+	engine.process.loadedAt = now.Add(engine.options.LoadDuration)
 	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
--- a/dogwoodlocal/dogwoodplainstandin/faults.go
+++ b/dogwoodlocal/dogwoodplainstandin/faults.go
@@ -27,7 +27,7 @@
 	dead := server.dead
 	if !dead && server.down {
 		server.down = false
-		server.coldUntil = time.Now().Add(server.options.ColdFor)
+		server.coldUntil = time.Now().Add(server.options.ColdDuration)
 	}
 	server.mutex.Unlock()
 	if dead {
@@ -72,7 +72,7 @@
 func (server *Server) TurnCold() {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	server.coldUntil = time.Now().Add(server.options.ColdFor)
+	server.coldUntil = time.Now().Add(server.options.ColdDuration)
 }
 
 // Silence makes all open connections fall silent permanently while new ones work, if on is
@@ -103,17 +103,17 @@
 }
 
 // RunsOf returns how often the server ran a call with the load ID.
-func (server *Server) RunsOf(loadID string) int {
+func (server *Server) RunsByLoadID(loadID string) int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	return server.runsByLoadID[loadID]
 }
 
 // Ran returns the calls that the server ran, in order of arrival.
-func (server *Server) Ran() []RanRecord {
+func (server *Server) Ran() []RunRecord {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
-	return append([]RanRecord(nil), server.records...)
+	return append([]RunRecord(nil), server.records...)
 }
 
 // ColdOverruns returns how often the running calls rose above the cold limit while the
--- a/dogwoodlocal/dogwoodplainstandin/plain.go
+++ b/dogwoodlocal/dogwoodplainstandin/plain.go
@@ -47,7 +47,7 @@
 	// ColdLimit is the number of concurrent requests that the server can handle for ColdFor
 	// after a start.
 	ColdLimit    int
-	ColdFor      time.Duration
+	ColdDuration      time.Duration
 	RestartAfter time.Duration
 	// Listener accepts the connections; nil means a free port on loopback.
 	Listener net.Listener
@@ -69,7 +69,7 @@
 	running        int
 	slowFactor     float64
 	killMarkers    []string
-	records        []RanRecord
+	records        []RunRecord
 	runsByKey      map[string]int
 	runsByLoadID   map[string]int
 	coldOverruns   int
@@ -78,7 +78,7 @@
 }
 
 // RanRecord is one call that the server ran.
-type RanRecord struct {
+type RunRecord struct {
 	Method, Path string
 	Key, LoadID  string
 	At           time.Time
@@ -95,7 +95,7 @@
 func Start(ctx context.Context, options Options) (*Server, error) {
 	setDefault(&options.Latency, defaultLatency)
 	setDefault(&options.ColdLimit, defaultColdLimit)
-	setDefault(&options.ColdFor, defaultColdFor)
+	setDefault(&options.ColdDuration, defaultColdFor)
 	setDefault(&options.RestartAfter, defaultRestartAfter)
 	if options.Listener == nil {
 		listener, err := dogwoodnetwork.Listen(ctx)
@@ -108,7 +108,7 @@
 		options:      options,
 		ended:        make(chan struct{}),
 		crashed:      make(chan struct{}, 1),
-		coldUntil:    time.Now().Add(options.ColdFor),
+		coldUntil:    time.Now().Add(options.ColdDuration),
 		slowFactor:   1,
 		runsByKey:    map[string]int{},
 		runsByLoadID: map[string]int{},
@@ -201,7 +201,7 @@
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
 	now := time.Now()
-	record := RanRecord{
+	record := RunRecord{
 		Method: request.Method,
 		Path:   request.URL.Path,
 		Key:    request.Header.Get(HeaderKey),
--- a/dogwoodlocal/dogwoodplatformstandin/platform.go
+++ b/dogwoodlocal/dogwoodplatformstandin/platform.go
@@ -29,7 +29,7 @@
 	// WeightLoads bounds the loads that the weight store admits per WeightEvery; 0 means no
 	// bound.
 	WeightLoads int
-	WeightEvery time.Duration
+	WeightLoadWindow time.Duration
 }
 
 // Platform serves the stand-ins over HTTP until its context ends or Close is called.
@@ -62,7 +62,7 @@
 		store:      NewStore(options.Seed),
 		key:        options.Key,
 		maxLoads:   options.WeightLoads,
-		loadWindow: options.WeightEvery,
+		loadWindow: options.WeightLoadWindow,
 		group:      &errgroup.Group{},
 	}
 	for _, service := range []struct {
@@ -178,7 +178,7 @@
 }
 
 // VMsDown makes the VM list fail every call as unavailable (true) or answer again (false).
-func (platform *Platform) VMsDown(down bool) {
+func (platform *Platform) SetVMsDown(down bool) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
 	platform.vmsDown = down
--- a/dogwoodlocal/dogwoodplatformstandin/platform_test.go
+++ b/dogwoodlocal/dogwoodplatformstandin/platform_test.go
@@ -127,7 +127,7 @@
 // Objects and the VM list must be returned unchanged, and a load of weights above the bound
 // must be rejected with the time until the next one.
 func TestObjectsListAndWeights(t *testing.T) {
-	platform, client := startPlatform(t, Options{WeightLoads: 1, WeightEvery: time.Hour})
+	platform, client := startPlatform(t, Options{WeightLoads: 1, WeightLoadWindow: time.Hour})
 	ctx := t.Context()
 	body := bytes.Repeat([]byte("x"), 1<<20)
 	if err := client.PutObject(ctx, "claims/a", body); err != nil {
--- a/dogwoodlocal/dogwoodplatformstandin/store.go
+++ b/dogwoodlocal/dogwoodplatformstandin/store.go
@@ -54,7 +54,7 @@
 	// LateWrites is the share of calls whose answer is lost (Unknown) while a write takes
 	// effect only later, after a random time up to LateBy.
 	LateWrites float64
-	LateBy     time.Duration
+	MaxLateness     time.Duration
 	// StaleReads is the share of reads that return an older state of the row or table.
 	StaleReads float64
 	// Delay bounds the duration of a call; each call takes a random time up to it.
@@ -211,8 +211,8 @@
 	if store.faults.Delay > 0 {
 		delay = time.Duration(store.random.Int64N(int64(store.faults.Delay)))
 	}
-	if store.faults.LateBy > 0 {
-		late = time.Duration(store.random.Int64N(int64(store.faults.LateBy)))
+	if store.faults.MaxLateness > 0 {
+		late = time.Duration(store.random.Int64N(int64(store.faults.MaxLateness)))
 	}
 	if store.down {
 		return outcomeUnavailable, delay, late
--- a/dogwoodlocal/dogwoodsite/engines_test.go
+++ b/dogwoodlocal/dogwoodsite/engines_test.go
@@ -221,7 +221,7 @@
 		time.Sleep(warmUpTime)
 		leaving := site.Engines[:12]
 		for _, engine := range leaving {
-			engine.Leave(true)
+			engine.SetLeaving(true)
 		}
 		const detectTimeout = 3 * time.Second
 		time.Sleep(detectTimeout)
@@ -234,7 +234,7 @@
 			}
 		}
 		for _, engine := range leaving {
-			engine.Leave(false)
+			engine.SetLeaving(false)
 		}
 		time.Sleep(detectTimeout)
 		back := time.Now()
--- a/dogwoodlocal/dogwoodsite/shape.go
+++ b/dogwoodlocal/dogwoodsite/shape.go
@@ -23,8 +23,8 @@
 	DataCentres []dogwoodfleet.DataCentre
 	// Link is the one-way latency between data centres, CallerLink that between clients
 	// and daemons.
-	Link       time.Duration
-	CallerLink time.Duration
+	LinkLatency       time.Duration
+	CallerLatency time.Duration
 	// Pool is the engine pool, Plain the plain service.
 	Pool    dogwoodfleet.Service
 	Engines int
@@ -40,7 +40,7 @@
 	{
 		Name: Hinokuni, Region: "kyushu",
 		DataCentres: []dogwoodfleet.DataCentre{"fukuoka-a", "kumamoto-b", "oita-c"},
-		Link:        500 * time.Microsecond, CallerLink: 3 * time.Millisecond,
+		LinkLatency:        500 * time.Microsecond, CallerLatency: 3 * time.Millisecond,
 		Pool: "model-pool", Engines: 16, Model: "katsura", Plain: "lot-desk", Servers: 3,
 		Customers: []dogwoodfleet.Customer{
 			"hinokuni", "kurume", "oita", "kagoshima", "dealer-1", "dealer-2", "dealer-3", "dealer-4", "dealer-5", "dealer-6",
@@ -49,7 +49,7 @@
 	{
 		Name: Laurentide, Region: "qc-est",
 		DataCentres: []dogwoodfleet.DataCentre{"qc-est-a", "qc-est-b", "qc-est-c"},
-		Link:        1500 * time.Microsecond, CallerLink: time.Millisecond,
+		LinkLatency:        1500 * time.Microsecond, CallerLatency: time.Millisecond,
 		Pool: "redacteur", Engines: 16, Model: "erable", Plain: "registre", Servers: 3,
 		Customers: []dogwoodfleet.Customer{
 			"laval", "montreal", "quebec", "gatineau", "sherbrooke", "levis", "saguenay", "trois-rivieres", "terrebonne", "longueuil",
--- a/dogwoodlocal/dogwoodsite/site.go
+++ b/dogwoodlocal/dogwoodsite/site.go
@@ -52,7 +52,7 @@
 	// Base is the network of the site; nil means TCP sockets on loopback.
 	Base Base
 	// Edit changes the operators' text before the site starts.
-	Edit func(text *dogwoodsettings.Text)
+	EditText func(text *dogwoodsettings.Text)
 }
 
 // Site is a running deployment.
@@ -96,10 +96,10 @@
 		links: &links{base: options.Base, ended: running.Done(), dataCentres: map[netip.AddrPort]dogwoodfleet.DataCentre{}, listeners: map[netip.AddrPort]net.Listener{}},
 	}
 	if !options.NoDelays {
-		site.links.latency = shape.Link
+		site.links.latency = shape.LinkLatency
 	}
-	if options.Edit != nil {
-		options.Edit(&site.text)
+	if options.EditText != nil {
+		options.EditText(&site.text)
 	}
 	if err := site.start(running); err != nil {
 		return nil, errs.Combine(err, site.Close(ctx))
@@ -294,6 +294,6 @@
 	if site.options.NoDelays {
 		return site.options.Base.DialContext(ctx, network, address)
 	}
-	outside := origin{links: &links{base: site.options.Base, ended: site.links.ended, latency: site.Shape.CallerLink, dataCentres: site.links.dataCentres}, dataCentre: "outside"}
+	outside := origin{links: &links{base: site.options.Base, ended: site.links.ended, latency: site.Shape.CallerLatency, dataCentres: site.links.dataCentres}, dataCentre: "outside"}
 	return outside.DialContext(ctx, network, address)
 }
--- a/dogwoodlocal/dogwoodsite/stories_test.go
+++ b/dogwoodlocal/dogwoodsite/stories_test.go
@@ -333,7 +333,7 @@
 // must be rejected early with the dependency as the reason, not at their deadline, and be
 // served again when the servers are up.
 func TestDependencyDown(t *testing.T) {
-	options := Options{Edit: func(text *dogwoodsettings.Text) {
+	options := Options{EditText: func(text *dogwoodsettings.Text) {
 		text.Services[0].DependsOn = []dogwoodfleet.Service{text.Services[1].Name}
 	}}
 	inBubble(t, options, func(ctx context.Context, t *testing.T, site *Site, caller *testCaller) {
