--- a/core/decision/dogwoodmemory/unclaimed_test.go
+++ b/core/decision/dogwoodmemory/unclaimed_test.go
@@ -18,10 +18,10 @@
 		after      time.Duration
 		want       int
 	}{
-		{"holder may be alive, after LapseGrace", false, ExpiryGrace, 0},
+		{"holder may be alive, after ExpiryGrace", false, ExpiryGrace, 0},
 		{"holder may be alive, after UnclaimedGrace", false, UnclaimedGrace, 1},
-		{"holder is dead, after LapseGrace", true, ExpiryGrace, 1},
-		{"holder is dead, before LapseGrace", true, ExpiryGrace - time.Second, 0},
+		{"holder is dead, after ExpiryGrace", true, ExpiryGrace, 1},
+		{"holder is dead, before ExpiryGrace", true, ExpiryGrace - time.Second, 0},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/core/dogwoodring/ring_test.go
+++ b/core/dogwoodring/ring_test.go
@@ -14,7 +14,7 @@
 		wantPut  bool
 		want     []int
 	}{
-		{name: "refuse keeps queued values", whenFull: Reject, wantPut: false, want: []int{1, 2}},
+		{name: "reject keeps queued values", whenFull: Reject, wantPut: false, want: []int{1, 2}},
 		{name: "drop oldest keeps the newest", whenFull: DropOldest, wantPut: true, want: []int{2, 3}},
 	}
 	for _, test := range tests {
--- a/dogwoodload/dogwoodjudge/judge.go
+++ b/dogwoodload/dogwoodjudge/judge.go
@@ -155,7 +155,7 @@
 	From, To time.Time
 }
 
-// CutBy counts requests that were in progress at a daemon during its graceful shutdown and that ended
+// CountCutByStops counts requests that were in progress at a daemon during its graceful shutdown and that ended
 // there neither answered nor refused as not run, including those that the caller then sent again.
 func CountCutByStops(stops []Stop, samples []dogwoodsender.Sample) int {
 	count := 0
@@ -184,7 +184,7 @@
 	At    time.Time
 }
 
-// LostWith counts lost requests that were in progress at a daemon when it was killed. Their callers
+// CountLostToKills counts lost requests that were in progress at a daemon when it was killed. Their callers
 // saw a broken connection, since no daemon remained to answer them.
 func CountLostToKills(kills []Kill, samples []dogwoodsender.Sample) int {
 	count := 0
--- a/dogwoodload/dogwoodresult/table.go
+++ b/dogwoodload/dogwoodresult/table.go
@@ -54,7 +54,7 @@
 	return measures
 }
 
-// Round formats a duration, rounded to a tenth of a millisecond.
+// FormatDuration formats a duration, rounded to a tenth of a millisecond.
 func FormatDuration(duration Duration) string {
 	return time.Duration(duration).Round(100 * time.Microsecond).String()
 }
--- a/dogwoodload/dogwoodscenario/operators.go
+++ b/dogwoodload/dogwoodscenario/operators.go
@@ -15,8 +15,8 @@
 
 // applyConflictingTexts applies two edits of the same version of the operators' text through two
 // daemons at the same time. One edit must be accepted and the other rejected with a conflict.
-func applyConflictingTexts(ctx context.Context, stage *Execution) error {
-	base, err := stage.currentText(ctx)
+func applyConflictingTexts(ctx context.Context, execution *Execution) error {
+	base, err := execution.currentText(ctx)
 	if err != nil {
 		return err
 	}
@@ -27,7 +27,7 @@
 	var unexpected error
 	for editor := range editors {
 		group.Go(func() {
-			err := stage.apply(ctx, editor*2, base)
+			err := execution.apply(ctx, editor*2, base)
 			mutex.Lock()
 			defer mutex.Unlock()
 			var conflict *dogwoodadminapi.Conflict
@@ -51,17 +51,17 @@
 	return nil
 }
 
-func (stage *Execution) currentText(ctx context.Context) (dogwoodadminapi.Text, error) {
-	daemon, err := stage.runningDaemon(0)
+func (execution *Execution) currentText(ctx context.Context) (dogwoodadminapi.Text, error) {
+	daemon, err := execution.runningDaemon(0)
 	if err != nil {
 		return dogwoodadminapi.Text{}, err
 	}
-	text, err := stage.adminClient(daemon).Text(ctx)
+	text, err := execution.adminClient(daemon).Text(ctx)
 	if err != nil {
 		return text, Error.Wrap(err)
 	}
 	if text.Source == "" {
-		source, err := stage.site.Text()
+		source, err := execution.site.Text()
 		return dogwoodadminapi.Text{Version: text.Version, Source: string(source)}, Error.Wrap(err)
 	}
 	return text, nil
@@ -69,33 +69,33 @@
 
 // apply sends an edit of base to the running daemon of the given index and waits until the edit is in
 // force on every daemon.
-func (stage *Execution) apply(ctx context.Context, daemonIndex int, base dogwoodadminapi.Text) error {
-	daemon, err := stage.runningDaemon(daemonIndex)
+func (execution *Execution) apply(ctx context.Context, daemonIndex int, base dogwoodadminapi.Text) error {
+	daemon, err := execution.runningDaemon(daemonIndex)
 	if err != nil {
 		return err
 	}
 	source := fmt.Sprintf("// edited through %s after version %d\n%s", daemon.VM, base.Version, base.Source)
-	accepted, err := stage.adminClient(daemon).Apply(ctx, dogwoodadminapi.Apply{
+	accepted, err := execution.adminClient(daemon).Apply(ctx, dogwoodadminapi.Apply{
 		ID: uuid.NewString(), BasedOn: base.Version, Author: "measure", Source: source,
 	})
 	if err != nil {
 		return err //nolint:wrapcheck // the caller checks its type
 	}
 	at := time.Now()
-	stage.mutex.Lock()
-	stage.acceptedSource = source
-	stage.mutex.Unlock()
-	return stage.awaitPropagation(ctx, at, accepted.Version)
+	execution.mutex.Lock()
+	execution.acceptedSource = source
+	execution.mutex.Unlock()
+	return execution.awaitPropagation(ctx, at, accepted.Version)
 }
 
 // takeOutWithConflictingTexts takes a data centre out of service while conflicting edits of the
 // operators' text are applied.
 func takeOutWithConflictingTexts(dataCentre dogwoodfleet.DataCentre) stepFunc {
-	return func(ctx context.Context, stage *Execution) error {
+	return func(ctx context.Context, execution *Execution) error {
 		var group sync.WaitGroup
 		var textsErr error
-		group.Go(func() { textsErr = applyConflictingTexts(ctx, stage) })
-		err := stage.takeOut(ctx, 1, dataCentre)
+		group.Go(func() { textsErr = applyConflictingTexts(ctx, execution) })
+		err := execution.takeOut(ctx, 1, dataCentre)
 		group.Wait()
 		return errors.Join(err, textsErr)
 	}
@@ -103,22 +103,22 @@
 
 // checkNothingReverted returns an error unless every running daemon has the last accepted text and
 // every accepted change.
-func checkNothingReverted(ctx context.Context, stage *Execution) error {
-	stage.mutex.Lock()
-	source, accepted := stage.acceptedSource, stage.acceptedVersion
-	stage.mutex.Unlock()
-	for _, daemon := range stage.site.Daemons() {
+func checkNothingReverted(ctx context.Context, execution *Execution) error {
+	execution.mutex.Lock()
+	source, accepted := execution.acceptedSource, execution.acceptedVersion
+	execution.mutex.Unlock()
+	for _, daemon := range execution.site.Daemons() {
 		if !daemon.Alive() {
 			continue
 		}
-		text, err := stage.adminClient(daemon).Text(ctx)
+		text, err := execution.adminClient(daemon).Text(ctx)
 		if err != nil {
 			return Error.Wrap(err)
 		}
 		if text.Source != source {
 			return Error.New("%s has text version %d, which is not the last accepted one", daemon.VM, text.Version)
 		}
-		if err := stage.awaitVersion(ctx, daemon, accepted); err != nil {
+		if err := execution.awaitVersion(ctx, daemon, accepted); err != nil {
 			return err
 		}
 	}
--- a/dogwoodload/dogwoodscenario/run.go
+++ b/dogwoodload/dogwoodscenario/run.go
@@ -105,17 +105,17 @@
 	}
 	options.Begin(len(trace.Arrivals))
 	sender := dogwoodsender.New(senderOptions(options, site, trace))
-	stage := newStage(site)
-	stage.start = time.Now()
+	execution := newExecution(site)
+	execution.start = time.Now()
 	var steps sync.WaitGroup
-	steps.Go(func() { stage.runSteps(ctx, options.Scenario.Steps) })
+	steps.Go(func() { execution.runSteps(ctx, options.Scenario.Steps) })
 	samples := sender.Send(ctx)
 	steps.Wait()
 	if err := wait(ctx, leakWait); err != nil {
 		return nil, err
 	}
-	stage.finishTakeOuts()
-	return evaluate(options, stage, samples), nil
+	execution.finishTakeOuts()
+	return evaluate(options, execution, samples), nil
 }
 
 // Fleet is a running site and a trace, which Send sends to it.
@@ -125,7 +125,7 @@
 	trace   *dogwoodtrace.Trace
 }
 
-// Begin starts a site without sending the trace.
+// StartFleet starts a site without sending the trace.
 func StartFleet(ctx context.Context, options Options) (*Fleet, error) {
 	trace, err := options.trace()
 	if err != nil {
@@ -149,7 +149,7 @@
 	return len(sender.Send(ctx))
 }
 
-// End closes the site.
+// Close closes the site.
 func (fleet *Fleet) Close(ctx context.Context) error {
 	return Error.Wrap(fleet.site.Close(ctx))
 }
@@ -189,20 +189,20 @@
 	return dogwoodsender.CheckPlain(arrival, content)
 }
 
-func evaluate(options *Options, stage *Execution, samples []dogwoodsender.Sample) *dogwoodresult.Result {
-	site := stage.site
+func evaluate(options *Options, execution *Execution, samples []dogwoodsender.Sample) *dogwoodresult.Result {
+	site := execution.site
 	result := &dogwoodresult.Result{
 		Scenario:            options.Scenario.Name,
 		Seed:                options.Seed,
 		Policy:              options.Policy,
 		Daemons:             len(site.Daemons()),
 		Endpoints:           len(site.Engines) + len(site.Plain),
-		NewWorkAfterTakeOut: dogwoodresult.Duration(stage.newWorkAfterTakeOut),
-		ConfigSpread:        dogwoodresult.Duration(stage.configSpread),
-		CutByShutdown:       dogwoodjudge.CountCutByStops(stage.stops, samples),
-		LostWithEntry:       dogwoodjudge.CountLostToKills(stage.kills, samples),
-		Events:              stage.events,
-		StepsFailed:         stage.failures,
+		NewWorkAfterTakeOut: dogwoodresult.Duration(execution.newWorkAfterTakeOut),
+		ConfigSpread:        dogwoodresult.Duration(execution.configSpread),
+		CutByShutdown:       dogwoodjudge.CountCutByStops(execution.stops, samples),
+		LostWithEntry:       dogwoodjudge.CountLostToKills(execution.kills, samples),
+		Events:              execution.events,
+		StepsFailed:         execution.failures,
 	}
 	dogwoodjudge.Judge(result, samples, collectRuns(site), dogwoodjudge.Speed{Prefill: enginePrefill, Decode: engineDecode})
 	return result
--- a/dogwoodload/dogwoodscenario/scenario.go
+++ b/dogwoodload/dogwoodscenario/scenario.go
@@ -20,7 +20,7 @@
 // Scenario is a trace of requests and the steps that are carried out while it is sent.
 type Scenario struct {
 	Name string
-	// Story describes the scenario in one sentence.
+	// Description describes the scenario in one sentence.
 	Description string
 	// Shape is the name of the site's shape.
 	Shape string
@@ -37,7 +37,7 @@
 type Step struct {
 	At   time.Duration
 	What string
-	Do   func(ctx context.Context, stage *Execution) error
+	Do   func(ctx context.Context, execution *Execution) error
 }
 
 // Stand-in engines of all scenarios. They are small, so that one machine that also runs the daemons
@@ -59,9 +59,9 @@
 	}
 }
 
-// traceLength is short enough that a run, with warm-up, the last deadlines and leakWait, takes less
+// traceDuration is short enough that a run, with warm-up, the last deadlines and leakWait, takes less
 // than 40 s.
-const traceLength = 16 * time.Second
+const traceDuration = 16 * time.Second
 
 // promptClasses are the classes of prompts. Only 4 % of the prompts exceed 16,000 tokens, fewer than in
 // a full-size system, because handling the bytes of more of them would saturate the machine.
@@ -80,20 +80,20 @@
 // baseSpec returns the specification of a steady load at half the capacity.
 func baseSpec(shape *dogwoodsite.Shape, seed uint64) *dogwoodtrace.Spec {
 	spec := &dogwoodtrace.Spec{
-		Seed:          seed,
-		Duration:        traceLength,
-		Rate:          capacity / 2,
-		Engines:       shape.Pool,
-		Model:         shape.Model,
-		Plain:         shape.Plain,
-		PromptClasses:       promptClasses,
-		LookupShare:   0.08,
-		HoldShare:     0.06,
-		DuplicateHoldShare:    0.1,
-		PlainDeadline: 2 * time.Second,
-		Prefixes:      20,
-		PrefixTokens:  512,
-		PrefixShare:   0.5,
+		Seed:               seed,
+		Duration:           traceDuration,
+		Rate:               capacity / 2,
+		Engines:            shape.Pool,
+		Model:              shape.Model,
+		Plain:              shape.Plain,
+		PromptClasses:      promptClasses,
+		LookupShare:        0.08,
+		HoldShare:          0.06,
+		DuplicateHoldShare: 0.1,
+		PlainDeadline:      2 * time.Second,
+		Prefixes:           20,
+		PrefixTokens:       512,
+		PrefixShare:        0.5,
 	}
 	rest := 1.0
 	for i, customer := range shape.Customers {
--- a/dogwoodload/dogwoodscenario/scenarios.go
+++ b/dogwoodload/dogwoodscenario/scenarios.go
@@ -14,7 +14,7 @@
 	{
 		Name: "mixed", Shape: dogwoodsite.Hinokuni,
 		Description: "Short and long prompts that share prefixes, at four fifths of the capacity.",
-		Spec:  func(spec *dogwoodtrace.Spec) { spec.Rate = 0.8 * capacity },
+		Spec:        func(spec *dogwoodtrace.Spec) { spec.Rate = 0.8 * capacity },
 	},
 	{
 		Name: "burst", Shape: dogwoodsite.Hinokuni,
@@ -43,13 +43,13 @@
 	{
 		Name: "longjobs", Shape: dogwoodsite.Hinokuni,
 		Description: "Prompts of 300,000 to a million tokens, which span engines, among short ones.",
-		Spec:  func(spec *dogwoodtrace.Spec) { spec.Rate = capacity / 3 },
-		More:  longJobArrivals,
+		Spec:        func(spec *dogwoodtrace.Spec) { spec.Rate = capacity / 3 },
+		More:        longJobArrivals,
 	},
 	{
 		Name: "overload", Shape: dogwoodsite.Hinokuni,
 		Description: "Twice the capacity, all the time.",
-		Spec:  func(spec *dogwoodtrace.Spec) { spec.Rate = 2 * capacity },
+		Spec:        func(spec *dogwoodtrace.Spec) { spec.Rate = 2 * capacity },
 	},
 	{
 		Name: "datacentre", Shape: dogwoodsite.Laurentide,
@@ -86,10 +86,10 @@
 	},
 	{
 		Name: "poison", Shape: dogwoodsite.Hinokuni,
-		Description:   "Two requests kill each engine that runs them; their callers send them repeatedly.",
-		Spec:    func(spec *dogwoodtrace.Spec) { spec.Rate = capacity / 3 },
-		More:    poisonArrivals,
-		Prepare: killOnPoison,
+		Description: "Two requests kill each engine that runs them; their callers send them repeatedly.",
+		Spec:        func(spec *dogwoodtrace.Spec) { spec.Rate = capacity / 3 },
+		More:        poisonArrivals,
+		Prepare:     killOnPoison,
 	},
 	{
 		Name: "silent", Shape: dogwoodsite.Laurentide,
@@ -103,7 +103,7 @@
 	{
 		Name: "storedown", Shape: dogwoodsite.Hinokuni,
 		Description: "The table service is slow, then down, then loses answers.",
-		Spec:  func(spec *dogwoodtrace.Spec) { spec.HoldShare = 0.2 },
+		Spec:        func(spec *dogwoodtrace.Spec) { spec.HoldShare = 0.2 },
 		Steps: []Step{
 			{At: 2 * time.Second, What: "store slow", Do: slowStore(300 * time.Millisecond)},
 			{At: 5 * time.Second, What: "store down", Do: setStoreDown(true)},
--- a/dogwoodload/dogwoodscenario/stage.go
+++ b/dogwoodload/dogwoodscenario/stage.go
@@ -17,7 +17,7 @@
 	"dogwoodmux.example/dogwoodlocal/dogwoodsite"
 )
 
-// Stage is a running site with a record of the steps carried out on it.
+// Execution is a running site with a record of the steps carried out on it.
 type Execution struct {
 	site      *dogwoodsite.Site
 	start     time.Time
@@ -36,54 +36,54 @@
 	kills               []dogwoodjudge.Kill
 }
 
-func newStage(site *dogwoodsite.Site) *Execution {
+func newExecution(site *dogwoodsite.Site) *Execution {
 	return &Execution{site: site, transport: &http.Transport{}, takenOut: map[dogwoodfleet.DataCentre]time.Time{}}
 }
 
 // runSteps runs each step at its time, concurrently with the others, and waits until all have ended.
-func (stage *Execution) runSteps(ctx context.Context, steps []Step) {
+func (execution *Execution) runSteps(ctx context.Context, steps []Step) {
 	var group sync.WaitGroup
 	for _, step := range steps {
 		group.Go(func() {
-			timer := time.NewTimer(time.Until(stage.start.Add(step.At)))
+			timer := time.NewTimer(time.Until(execution.start.Add(step.At)))
 			defer timer.Stop()
 			select {
 			case <-timer.C:
 			case <-ctx.Done():
-				stage.recordFailure("%s: not done: %v", step.What, ctx.Err())
+				execution.recordFailure("%s: not done: %v", step.What, ctx.Err())
 				return
 			}
-			stage.recordEvent(step.What)
-			if err := step.Do(ctx, stage); err != nil {
-				stage.recordFailure("%s: %v", step.What, err)
+			execution.recordEvent(step.What)
+			if err := step.Do(ctx, execution); err != nil {
+				execution.recordFailure("%s: %v", step.What, err)
 			}
 		})
 	}
 	group.Wait()
-	stage.transport.CloseIdleConnections()
+	execution.transport.CloseIdleConnections()
 }
 
-func (stage *Execution) recordEvent(what string) {
-	stage.mutex.Lock()
-	defer stage.mutex.Unlock()
-	stage.events = append(stage.events, dogwoodresult.Event{At: dogwoodresult.Duration(time.Since(stage.start)), What: what})
+func (execution *Execution) recordEvent(what string) {
+	execution.mutex.Lock()
+	defer execution.mutex.Unlock()
+	execution.events = append(execution.events, dogwoodresult.Event{At: dogwoodresult.Duration(time.Since(execution.start)), What: what})
 }
 
-func (stage *Execution) recordFailure(format string, arguments ...any) {
-	stage.mutex.Lock()
-	defer stage.mutex.Unlock()
-	stage.failures = append(stage.failures, fmt.Sprintf(format, arguments...))
+func (execution *Execution) recordFailure(format string, arguments ...any) {
+	execution.mutex.Lock()
+	defer execution.mutex.Unlock()
+	execution.failures = append(execution.failures, fmt.Sprintf(format, arguments...))
 }
 
 // adminClient returns a client of one daemon's administration API.
-func (stage *Execution) adminClient(daemon *dogwoodsite.Daemon) *dogwoodadminapi.Client {
-	return dogwoodadminapi.NewClient(stage.transport, []netip.AddrPort{daemon.Admin}, stage.site.AdminKey)
+func (execution *Execution) adminClient(daemon *dogwoodsite.Daemon) *dogwoodadminapi.Client {
+	return dogwoodadminapi.NewClient(execution.transport, []netip.AddrPort{daemon.Admin}, execution.site.AdminKey)
 }
 
 // runningDaemon returns the n-th running daemon, modulo their number.
-func (stage *Execution) runningDaemon(n int) (*dogwoodsite.Daemon, error) {
+func (execution *Execution) runningDaemon(n int) (*dogwoodsite.Daemon, error) {
 	var alive []*dogwoodsite.Daemon
-	for _, daemon := range stage.site.Daemons() {
+	for _, daemon := range execution.site.Daemons() {
 		if daemon.Alive() {
 			alive = append(alive, daemon)
 		}
@@ -102,25 +102,25 @@
 
 // awaitPropagation waits until every running daemon has a change in force and records how long that
 // took.
-func (stage *Execution) awaitPropagation(ctx context.Context, accepted time.Time, version uint64) error {
+func (execution *Execution) awaitPropagation(ctx context.Context, accepted time.Time, version uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, propagationTimeout)
 	defer cancel()
-	for _, daemon := range stage.site.Daemons() {
-		if err := stage.awaitVersion(ctx, daemon, version); err != nil {
+	for _, daemon := range execution.site.Daemons() {
+		if err := execution.awaitVersion(ctx, daemon, version); err != nil {
 			return err
 		}
 	}
 	spread := time.Since(accepted)
-	stage.mutex.Lock()
-	defer stage.mutex.Unlock()
-	stage.configSpread = max(stage.configSpread, spread)
-	stage.acceptedVersion = max(stage.acceptedVersion, version)
+	execution.mutex.Lock()
+	defer execution.mutex.Unlock()
+	execution.configSpread = max(execution.configSpread, spread)
+	execution.acceptedVersion = max(execution.acceptedVersion, version)
 	return nil
 }
 
 // awaitVersion waits until the daemon has the version in force or has ended.
-func (stage *Execution) awaitVersion(ctx context.Context, daemon *dogwoodsite.Daemon, version uint64) error {
-	client := stage.adminClient(daemon)
+func (execution *Execution) awaitVersion(ctx context.Context, daemon *dogwoodsite.Daemon, version uint64) error {
+	client := execution.adminClient(daemon)
 	for daemon.Alive() {
 		changes, err := client.Changes(ctx, version-1)
 		if err == nil && len(changes.Changes) > 0 {
@@ -136,81 +136,81 @@
 }
 
 func takeOut(dataCentre dogwoodfleet.DataCentre) stepFunc {
-	return func(ctx context.Context, stage *Execution) error {
-		return stage.takeOut(ctx, 0, dataCentre)
+	return func(ctx context.Context, execution *Execution) error {
+		return execution.takeOut(ctx, 0, dataCentre)
 	}
 }
 
-func (stage *Execution) takeOut(ctx context.Context, daemonIndex int, dataCentre dogwoodfleet.DataCentre) error {
-	daemon, err := stage.runningDaemon(daemonIndex)
+func (execution *Execution) takeOut(ctx context.Context, daemonIndex int, dataCentre dogwoodfleet.DataCentre) error {
+	daemon, err := execution.runningDaemon(daemonIndex)
 	if err != nil {
 		return err
 	}
 	move := dogwoodadminapi.Move{ID: uuid.NewString(), Author: "measure", DataCentre: dataCentre}
-	accepted, err := stage.adminClient(daemon).TakeOut(ctx, move)
+	accepted, err := execution.adminClient(daemon).TakeOut(ctx, move)
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	at := time.Now()
-	stage.mutex.Lock()
-	stage.takenOut[dataCentre] = at
-	stage.mutex.Unlock()
+	execution.mutex.Lock()
+	execution.takenOut[dataCentre] = at
+	execution.mutex.Unlock()
 	if !accepted.Kept {
-		stage.recordEvent("(not yet kept)")
+		execution.recordEvent("(not yet kept)")
 		return nil
 	}
-	return stage.awaitPropagation(ctx, at, accepted.Version)
+	return execution.awaitPropagation(ctx, at, accepted.Version)
 }
 
 func bringBack(dataCentre dogwoodfleet.DataCentre) stepFunc {
-	return func(ctx context.Context, stage *Execution) error {
-		daemon, err := stage.runningDaemon(1)
+	return func(ctx context.Context, execution *Execution) error {
+		daemon, err := execution.runningDaemon(1)
 		if err != nil {
 			return err
 		}
-		stage.finishTakeOut(dataCentre)
+		execution.finishTakeOut(dataCentre)
 		move := dogwoodadminapi.Move{ID: uuid.NewString(), Author: "measure", DataCentre: dataCentre}
-		accepted, err := stage.adminClient(daemon).BringBack(ctx, move)
+		accepted, err := execution.adminClient(daemon).BringBack(ctx, move)
 		if err != nil {
 			return Error.Wrap(err)
 		}
-		return stage.awaitPropagation(ctx, time.Now(), accepted.Version)
+		return execution.awaitPropagation(ctx, time.Now(), accepted.Version)
 	}
 }
 
 // finishTakeOut records how long after its take-out the data centre still received new work. It is
 // called before the data centre is brought back into service.
-func (stage *Execution) finishTakeOut(dataCentre dogwoodfleet.DataCentre) {
-	stage.mutex.Lock()
-	at, isOut := stage.takenOut[dataCentre]
-	delete(stage.takenOut, dataCentre)
-	stage.mutex.Unlock()
+func (execution *Execution) finishTakeOut(dataCentre dogwoodfleet.DataCentre) {
+	execution.mutex.Lock()
+	at, isOut := execution.takenOut[dataCentre]
+	delete(execution.takenOut, dataCentre)
+	execution.mutex.Unlock()
 	if !isOut {
 		return
 	}
-	delay := max(0, stage.lastNewWork(dataCentre).Sub(at))
-	stage.mutex.Lock()
-	defer stage.mutex.Unlock()
-	stage.newWorkAfterTakeOut = max(stage.newWorkAfterTakeOut, delay)
+	delay := max(0, execution.lastNewWork(dataCentre).Sub(at))
+	execution.mutex.Lock()
+	defer execution.mutex.Unlock()
+	execution.newWorkAfterTakeOut = max(execution.newWorkAfterTakeOut, delay)
 }
 
 // finishTakeOuts calls finishTakeOut for all data centres that are still out of service.
-func (stage *Execution) finishTakeOuts() {
-	stage.mutex.Lock()
+func (execution *Execution) finishTakeOuts() {
+	execution.mutex.Lock()
 	var dataCentres []dogwoodfleet.DataCentre
-	for dataCentre := range stage.takenOut {
+	for dataCentre := range execution.takenOut {
 		dataCentres = append(dataCentres, dataCentre)
 	}
-	stage.mutex.Unlock()
+	execution.mutex.Unlock()
 	for _, dataCentre := range dataCentres {
-		stage.finishTakeOut(dataCentre)
+		execution.finishTakeOut(dataCentre)
 	}
 }
 
 // lastNewWork returns the time of the latest arrival of new work at the endpoints of a data centre.
-func (stage *Execution) lastNewWork(dataCentre dogwoodfleet.DataCentre) time.Time {
+func (execution *Execution) lastNewWork(dataCentre dogwoodfleet.DataCentre) time.Time {
 	dataCentreOf := map[dogwoodfleet.EndpointID]dogwoodfleet.DataCentre{}
-	for _, vm := range stage.site.VMs() {
+	for _, vm := range execution.site.VMs() {
 		dataCentreOf[dogwoodfleet.EndpointID(vm.Name)] = vm.Place.DataCentre
 	}
 	var last time.Time
@@ -219,10 +219,10 @@
 			last = at
 		}
 	}
-	for _, engine := range stage.site.Engines {
+	for _, engine := range execution.site.Engines {
 		observe(engine.ID(), engine.LastNewWork())
 	}
-	for _, server := range stage.site.Plain {
+	for _, server := range execution.site.Plain {
 		observe(server.ID(), server.LastNewWork())
 	}
 	return last
@@ -230,17 +230,17 @@
 
 // replaceDaemon shuts a daemon down gracefully and starts it again.
 func replaceDaemon(daemon int) stepFunc {
-	return func(ctx context.Context, stage *Execution) error {
-		replaced := stage.site.Daemons()[daemon]
+	return func(ctx context.Context, execution *Execution) error {
+		replaced := execution.site.Daemons()[daemon]
 		stop := dogwoodjudge.Stop{Entry: replaced.Serve.String(), From: time.Now()}
 		stopCtx, cancel := context.WithTimeout(ctx, shutdownTimeout)
 		defer cancel()
 		err := replaced.Stop(stopCtx)
 		stop.To = time.Now()
-		stage.mutex.Lock()
-		stage.stops = append(stage.stops, stop)
-		stage.mutex.Unlock()
-		stage.recordEvent(fmt.Sprintf("daemon %d down after %s", daemon+1, stop.To.Sub(stop.From).Round(time.Millisecond)))
+		execution.mutex.Lock()
+		execution.stops = append(execution.stops, stop)
+		execution.mutex.Unlock()
+		execution.recordEvent(fmt.Sprintf("daemon %d down after %s", daemon+1, stop.To.Sub(stop.From).Round(time.Millisecond)))
 		if err != nil {
 			return Error.Wrap(err)
 		}
--- a/dogwoodload/dogwoodsoakcaller/caller.go
+++ b/dogwoodload/dogwoodsoakcaller/caller.go
@@ -25,7 +25,7 @@
 // Daemon holds the addresses of a daemon that callers use.
 type Daemon struct {
 	Name string
-	// Address is the address that the directory returns; callers connect to the proxy at By instead.
+	// Address is the address that the directory returns; callers connect to the proxy at ProxyAddress instead.
 	Address, ProxyAddress netip.AddrPort
 	// Directory is the address of the daemon's directory, which callers query without a proxy.
 	Directory netip.AddrPort
@@ -53,7 +53,7 @@
 	Daemons     []Daemon
 	Kinds       []Kind
 	Keys        []string
-	// Every is the mean time between two requests of one caller.
+	// MeanInterval is the mean time between two requests of one caller.
 	MeanInterval time.Duration
 }
 
--- a/dogwoodload/dogwoodsoakcheck/history.go
+++ b/dogwoodload/dogwoodsoakcheck/history.go
@@ -20,10 +20,10 @@
 	ColdPerSecond, ColdOvershoot, ColdSlack float64
 	// AnswerSlack is how long after its time limit a request may end.
 	AnswerSlack time.Duration
-	// Configuration is how long after a change a daemon may still be applying it. For the operators' rows,
+	// ChangeWindow is how long after a change a daemon may still be applying it. For the operators' rows,
 	// TextSlack is added.
 	ChangeWindow, TextSlack time.Duration
-	// TakesFor is how long after the signal to stop a daemon still accepts requests, StopSlack by how much
+	// AcceptsFor is how long after the signal to stop a daemon still accepts requests, StopSlack by how much
 	// a request may outlast it.
 	AcceptsFor, StopSlack time.Duration
 	// Recovery is the time after the last fault by which requests must be served again, ServedShare the
@@ -84,7 +84,7 @@
 // Fault is a period in which one or all daemons lacked something that they depend on, or in which requests
 // to an endpoint, or its answers, were delayed.
 type Fault struct {
-	// Daemon is the affected daemon, or Everybody; it is empty for a fault of an endpoint.
+	// Daemon is the affected daemon, or AllDaemons; it is empty for a fault of an endpoint.
 	Daemon   string
 	Endpoint string
 	From, To time.Time
@@ -92,7 +92,7 @@
 	Planned bool
 }
 
-// Everybody stands for all daemons where a fault or a change names the one that it affects.
+// AllDaemons stands for all daemons where a fault or a change names the one that it affects.
 const AllDaemons = "everybody"
 
 // Withdrawal is a key that was withdrawn and later restored.
@@ -110,7 +110,7 @@
 
 // Change is a change of the operators' rows or of a daemon's settings.
 type Change struct {
-	// Daemon is the daemon whose settings changed, or Everybody for the operators' rows.
+	// Daemon is the daemon whose settings changed, or AllDaemons for the operators' rows.
 	Daemon string
 	// From is just before the change was sent, To when the store had accepted it or the daemon was signalled.
 	From, To time.Time
--- a/dogwoodload/dogwoodsoakprocess/process.go
+++ b/dogwoodload/dogwoodsoakprocess/process.go
@@ -45,14 +45,14 @@
 	started []*Process
 }
 
-// Start starts a process. It keeps running when the context ends; End kills it.
+// Start starts a process. It keeps running when the context ends; KillAll kills it.
 func (group *Group) Start(ctx context.Context, spec Spec) (*Process, error) {
 	log, err := os.OpenFile(spec.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	defer func() { _ = log.Close() }() // the process has a duplicate of it
-	// The context's end must not kill the process: the soak's work ends first, then End ends the processes.
+	// The context's end must not kill the process: the soak's work ends first, then KillAll ends the processes.
 	command := exec.CommandContext(context.WithoutCancel(ctx), spec.Path, spec.Arguments...) //nolint:gosec // G204: the soak's own programs
 	command.Env = append([]string{"PATH=" + os.Getenv("PATH")}, spec.Environment...)
 	command.Stdout, command.Stderr = log, log
@@ -77,7 +77,7 @@
 	return process, nil
 }
 
-// End kills all running processes and waits for them.
+// KillAll kills all running processes and waits for them.
 func (group *Group) KillAll() {
 	group.mutex.Lock()
 	started := group.started
--- a/dogwoodload/dogwoodsoakprocess/process_test.go
+++ b/dogwoodload/dogwoodsoakprocess/process_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// End kills running and frozen processes and copes with those that have already ended. The output of a process is in
+// KillAll kills running and frozen processes and copes with those that have already ended. The output of a process is in
 // its log.
-func TestEndKillsAllProcesses(t *testing.T) {
+func TestKillAllKillsAllProcesses(t *testing.T) {
 	directory := t.TempDir()
 	var group Group
 	start := func(name, command string) *Process {
--- a/dogwoodload/dogwoodsoakproxy/proxy.go
+++ b/dogwoodload/dogwoodsoakproxy/proxy.go
@@ -26,7 +26,7 @@
 	Refused bool
 	// Mute holds back all data in both directions.
 	Mute bool
-	// MuteBack holds back only the data that the target sends.
+	// MuteFromTarget holds back only the data that the target sends.
 	MuteFromTarget bool
 	// Delay is the delay of each chunk of data.
 	Delay time.Duration
@@ -75,7 +75,7 @@
 // Wait waits until the proxy has stopped and all connections have ended.
 func (proxy *Proxy) Wait() error { return proxy.group.Wait() }
 
-// Set sets the fault that is injected into all connections from now on.
+// SetFault sets the fault that is injected into all connections from now on.
 func (proxy *Proxy) SetFault(fault Fault) {
 	proxy.mutex.Lock()
 	defer proxy.mutex.Unlock()
--- a/dogwoodload/dogwoodstandinrun/run.go
+++ b/dogwoodload/dogwoodstandinrun/run.go
@@ -22,23 +22,23 @@
 	"dogwoodmux.example/platform/dogwoodstandin"
 )
 
-// Verb is the name of the subcommand.
+// Name is the name of the subcommand.
 const Name = "standin"
 
 // The names of the flags, which the soak sets.
 const (
-	FlagListen     = "listen"
-	FlagStore      = "store"
-	FlagRecord     = "record"
-	FlagID         = "id"
-	FlagService    = "service"
-	FlagDataCentre = "datacentre"
-	FlagAnnouncedAddress  = "announced"
-	FlagSlots      = "slots"
-	FlagEvents     = "events"
-	FlagWork       = "work"
-	FlagCold       = "cold"
-	FlagDrain      = "drain"
+	FlagListen           = "listen"
+	FlagStore            = "store"
+	FlagRecord           = "record"
+	FlagID               = "id"
+	FlagService          = "service"
+	FlagDataCentre       = "datacentre"
+	FlagAnnouncedAddress = "announced"
+	FlagSlots            = "slots"
+	FlagEvents           = "events"
+	FlagWork             = "work"
+	FlagCold             = "cold"
+	FlagDrain            = "drain"
 )
 
 // headerTimeout bounds how long a daemon may take to send the headers of a request.
--- a/dogwoodload/dogwoodtrace/body.go
+++ b/dogwoodload/dogwoodtrace/body.go
@@ -12,7 +12,7 @@
 	// minUniqueTokens is the minimum length of a prompt after its shared prefix, so that its marker
 	// fits in.
 	minUniqueTokens = 32
-	// Marker precedes the load ID in a prompt; the engine stand-in repeats the load ID in its
+	// LoadIDMarker precedes the load ID in a prompt; the engine stand-in repeats the load ID in its
 	// answer.
 	LoadIDMarker = "load-id="
 	// PoisonMarker marks prompts that crash the engine that runs them.
--- a/dogwoodload/dogwoodtrace/draw.go
+++ b/dogwoodload/dogwoodtrace/draw.go
@@ -11,7 +11,7 @@
 	"dogwoodmux.example/core/dogwoodsettings"
 )
 
-// Length is a class of prompts. Their lengths are uniformly distributed between the bounds.
+// PromptClass is a class of prompts. Their lengths are uniformly distributed between the bounds.
 type PromptClass struct {
 	Share                float64
 	FromTokens, ToTokens int
@@ -19,7 +19,7 @@
 	Deadline             time.Duration
 }
 
-// Sender is a customer and its share of the requests.
+// TrafficShare is a customer and its share of the requests.
 type TrafficShare struct {
 	Customer dogwoodfleet.Customer
 	Share    float64
@@ -35,15 +35,15 @@
 
 // Spec specifies the trace to draw.
 type Spec struct {
-	Seed   uint64
+	Seed     uint64
 	Duration time.Duration
 	// Rate is the mean number of requests a second of all customers. Arrivals form a Poisson process.
-	Rate    float64
-	Phases  []Phase
+	Rate          float64
+	Phases        []Phase
 	TrafficShares []TrafficShare
-	Engines dogwoodfleet.Service
-	Model   dogwoodfleet.Model
-	Plain   dogwoodfleet.Service
+	Engines       dogwoodfleet.Service
+	Model         dogwoodfleet.Model
+	Plain         dogwoodfleet.Service
 	PromptClasses []PromptClass
 	// LookupShare and HoldShare are the shares of lookups and holds, which go to the plain service,
 	// among all requests.
@@ -54,7 +54,7 @@
 	Prefixes     int
 	PrefixTokens int
 	PrefixShare  float64
-	// HoldsAgain is the share of holds that the caller sends a second time with the same key.
+	// DuplicateHoldShare is the share of holds that the caller sends a second time with the same key.
 	DuplicateHoldShare float64
 }
 
@@ -62,9 +62,9 @@
 // customer's rate doesn't change the requests of the others.
 func Draw(spec *Spec) *Trace {
 	var trace Trace
-	for index, sender := range spec.TrafficShares {
+	for index, trafficShare := range spec.TrafficShares {
 		random := rand.New(rand.NewPCG(spec.Seed, uint64(index)+1))
-		trace.Arrivals = append(trace.Arrivals, spec.drawArrivals(sender, random)...)
+		trace.Arrivals = append(trace.Arrivals, spec.drawArrivals(trafficShare, random)...)
 	}
 	trace.Sort()
 	for i := range trace.Arrivals {
@@ -92,21 +92,21 @@
 	return nil
 }
 
-func (spec *Spec) drawArrivals(sender TrafficShare, random *rand.Rand) []Arrival {
+func (spec *Spec) drawArrivals(trafficShare TrafficShare, random *rand.Rand) []Arrival {
 	var arrivals []Arrival
 	holds := 0
 	for at := time.Duration(0); ; {
-		rate := spec.Rate * sender.Share * spec.rateFactor(sender.Customer, at)
+		rate := spec.Rate * trafficShare.Share * spec.rateFactor(trafficShare.Customer, at)
 		at += time.Duration(random.ExpFloat64() / max(rate, 1e-3) * float64(time.Second))
 		if at >= spec.Duration {
 			return arrivals
 		}
 		arrival := spec.drawArrival(random)
 		arrival.At = dogwoodsettings.Duration(at)
-		arrival.Customer = sender.Customer
+		arrival.Customer = trafficShare.Customer
 		if arrival.Kind == Hold {
 			holds++
-			arrival.Key = fmt.Sprintf("%s-%d-%d", sender.Customer, spec.Seed, holds)
+			arrival.Key = fmt.Sprintf("%s-%d-%d", trafficShare.Customer, spec.Seed, holds)
 			if random.Float64() < spec.DuplicateHoldShare {
 				duplicate := arrival
 				duplicate.At += dogwoodsettings.Duration(random.Int64N(int64(2 * time.Second)))
--- a/dogwoodload/dogwoodtrace/trace_test.go
+++ b/dogwoodload/dogwoodtrace/trace_test.go
@@ -12,9 +12,9 @@
 func testSpec(seed uint64) *Spec {
 	return &Spec{
 		Seed: seed, Duration: 10 * time.Second, Rate: 100,
-		TrafficShares:     []TrafficShare{{"a", 0.7}, {"b", 0.3}},
-		PromptClasses:     []PromptClass{{Share: 0.8, FromTokens: 200, ToTokens: 1000, MaxTokens: 32, Deadline: time.Second}, {Share: 0.2, FromTokens: 1001, ToTokens: 64000, MaxTokens: 64, Deadline: time.Minute}},
-		LookupShare: 0.1, HoldShare: 0.1, DuplicateHoldShare: 0.5, PlainDeadline: time.Second,
+		TrafficShares: []TrafficShare{{"a", 0.7}, {"b", 0.3}},
+		PromptClasses: []PromptClass{{Share: 0.8, FromTokens: 200, ToTokens: 1000, MaxTokens: 32, Deadline: time.Second}, {Share: 0.2, FromTokens: 1001, ToTokens: 64000, MaxTokens: 64, Deadline: time.Minute}},
+		LookupShare:   0.1, HoldShare: 0.1, DuplicateHoldShare: 0.5, PlainDeadline: time.Second,
 		Prefixes: 3, PrefixTokens: 100, PrefixShare: 0.5,
 	}
 }
--- a/dogwoodlocal/dogwoodenginestandin/engine.go
+++ b/dogwoodlocal/dogwoodenginestandin/engine.go
@@ -32,8 +32,8 @@
 	defaultDecode       = 200
 	defaultMaxBatch     = 16
 	defaultColdLimit    = 2
-	defaultColdFor      = 3 * time.Second
-	defaultLoadFor      = 500 * time.Millisecond
+	defaultColdDuration = 3 * time.Second
+	defaultLoadDuration = 500 * time.Millisecond
 	defaultRestartAfter = time.Second
 )
 
@@ -63,10 +63,10 @@
 	PrefillTokensPerSecond float64
 	DecodeTokensPerSecond  float64
 	MaxBatch               int
-	// ColdLimit is how many concurrent requests the engine can take for ColdFor after a start.
-	ColdLimit int
-	ColdDuration   time.Duration
-	// LoadFor is how long the engine takes to load a model that it was ordered to load.
+	// ColdLimit is how many concurrent requests the engine can take for ColdDuration after a start.
+	ColdLimit    int
+	ColdDuration time.Duration
+	// LoadDuration is how long the engine takes to load a model that it was ordered to load.
 	LoadDuration time.Duration
 	// RestartAfter is how long the engine is down after a crash that a request or overload caused.
 	RestartAfter time.Duration
@@ -157,8 +157,8 @@
 	setDefault(&options.DecodeTokensPerSecond, defaultDecode)
 	setDefault(&options.MaxBatch, defaultMaxBatch)
 	setDefault(&options.ColdLimit, defaultColdLimit)
-	setDefault(&options.ColdDuration, defaultColdFor)
-	setDefault(&options.LoadDuration, defaultLoadFor)
+	setDefault(&options.ColdDuration, defaultColdDuration)
+	setDefault(&options.LoadDuration, defaultLoadDuration)
 	setDefault(&options.RestartAfter, defaultRestartAfter)
 }
 
--- a/dogwoodlocal/dogwoodenginestandin/faults.go
+++ b/dogwoodlocal/dogwoodenginestandin/faults.go
@@ -65,7 +65,7 @@
 	})
 }
 
-// Leave sets whether the engine reports that it is leaving. It keeps running its requests.
+// SetLeaving sets whether the engine reports that it is leaving. It keeps running its requests.
 func (engine *Engine) SetLeaving(leaving bool) {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
@@ -112,7 +112,7 @@
 	return false
 }
 
-// RanRecord records that the engine began a request.
+// RunRecord records that the engine began a request.
 type RunRecord struct {
 	RequestID dogwoodfleet.RequestID
 	// Tag is the tag of the request's answer, its load ID if it has one.
@@ -149,7 +149,7 @@
 	return engine.counts.byRequest[id]
 }
 
-// RunsOf returns how often the engine began a caller's request, identified by its tag.
+// RunsByTag returns how often the engine began a caller's request, identified by its tag.
 func (engine *Engine) RunsByTag(tag string) int {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
--- a/dogwoodlocal/dogwoodinterleave/harness_test.go
+++ b/dogwoodlocal/dogwoodinterleave/harness_test.go
@@ -84,7 +84,7 @@
 		LoseRequests: probability(),
 		LoseAnswers:  probability(),
 		LateWrites:   probability(),
-		MaxLateness:       time.Duration(1 + random.Int64N(int64(5*time.Second))),
+		MaxLateness:  time.Duration(1 + random.Int64N(int64(5*time.Second))),
 		StaleReads:   probability(),
 		Delay:        time.Duration(1 + random.Int64N(int64(300*time.Millisecond))),
 	}
--- a/dogwoodlocal/dogwoodplainstandin/faults.go
+++ b/dogwoodlocal/dogwoodplainstandin/faults.go
@@ -102,7 +102,7 @@
 	return server.runsByKey[key]
 }
 
-// RunsOf returns how often the server ran a call with the load ID.
+// RunsByLoadID returns how often the server ran a call with the load ID.
 func (server *Server) RunsByLoadID(loadID string) int {
 	server.mutex.Lock()
 	defer server.mutex.Unlock()
--- a/dogwoodlocal/dogwoodplainstandin/plain.go
+++ b/dogwoodlocal/dogwoodplainstandin/plain.go
@@ -32,7 +32,7 @@
 const (
 	defaultLatency      = 5 * time.Millisecond
 	defaultColdLimit    = 2
-	defaultColdFor      = 3 * time.Second
+	defaultColdDuration = 3 * time.Second
 	defaultRestartAfter = time.Second
 	// crashFactor is the multiple of its cold limit above which a cold server crashes.
 	crashFactor = 4
@@ -44,10 +44,10 @@
 type Options struct {
 	ID      dogwoodfleet.EndpointID
 	Latency time.Duration
-	// ColdLimit is the number of concurrent requests that the server can handle for ColdFor
+	// ColdLimit is the number of concurrent requests that the server can handle for ColdDuration
 	// after a start.
 	ColdLimit    int
-	ColdDuration      time.Duration
+	ColdDuration time.Duration
 	RestartAfter time.Duration
 	// Listener accepts the connections; nil means a free port on loopback.
 	Listener net.Listener
@@ -77,7 +77,7 @@
 	lastNewWork    time.Time
 }
 
-// RanRecord is one call that the server ran.
+// RunRecord is one call that the server ran.
 type RunRecord struct {
 	Method, Path string
 	Key, LoadID  string
@@ -95,7 +95,7 @@
 func Start(ctx context.Context, options Options) (*Server, error) {
 	setDefault(&options.Latency, defaultLatency)
 	setDefault(&options.ColdLimit, defaultColdLimit)
-	setDefault(&options.ColdDuration, defaultColdFor)
+	setDefault(&options.ColdDuration, defaultColdDuration)
 	setDefault(&options.RestartAfter, defaultRestartAfter)
 	if options.Listener == nil {
 		listener, err := dogwoodnetwork.Listen(ctx)
--- a/dogwoodlocal/dogwoodplatformstandin/platform.go
+++ b/dogwoodlocal/dogwoodplatformstandin/platform.go
@@ -26,9 +26,9 @@
 	// Key is the bearer key that every call must send; empty means that none is needed.
 	Key  string
 	Seed uint64
-	// WeightLoads bounds the loads that the weight store admits per WeightEvery; 0 means no
+	// WeightLoads bounds the loads that the weight store admits per WeightLoadWindow; 0 means no
 	// bound.
-	WeightLoads int
+	WeightLoads      int
 	WeightLoadWindow time.Duration
 }
 
@@ -177,7 +177,7 @@
 	platform.vmListVersion++
 }
 
-// VMsDown makes the VM list fail every call as unavailable (true) or answer again (false).
+// SetVMsDown makes the VM list fail every call as unavailable (true) or answer again (false).
 func (platform *Platform) SetVMsDown(down bool) {
 	platform.mutex.Lock()
 	defer platform.mutex.Unlock()
--- a/dogwoodlocal/dogwoodplatformstandin/store.go
+++ b/dogwoodlocal/dogwoodplatformstandin/store.go
@@ -52,9 +52,9 @@
 	// effect.
 	LoseAnswers float64
 	// LateWrites is the share of calls whose answer is lost (Unknown) while a write takes
-	// effect only later, after a random time up to LateBy.
-	LateWrites float64
-	MaxLateness     time.Duration
+	// effect only later, after a random time up to MaxLateness.
+	LateWrites  float64
+	MaxLateness time.Duration
 	// StaleReads is the share of reads that return an older state of the row or table.
 	StaleReads float64
 	// Delay bounds the duration of a call; each call takes a random time up to it.
--- a/dogwoodlocal/dogwoodsite/shape.go
+++ b/dogwoodlocal/dogwoodsite/shape.go
@@ -21,9 +21,9 @@
 	Name        string
 	Region      dogwoodfleet.Region
 	DataCentres []dogwoodfleet.DataCentre
-	// Link is the one-way latency between data centres, CallerLink that between clients
+	// LinkLatency is the one-way latency between data centres, CallerLatency that between clients
 	// and daemons.
-	LinkLatency       time.Duration
+	LinkLatency   time.Duration
 	CallerLatency time.Duration
 	// Pool is the engine pool, Plain the plain service.
 	Pool    dogwoodfleet.Service
@@ -40,7 +40,7 @@
 	{
 		Name: Hinokuni, Region: "kyushu",
 		DataCentres: []dogwoodfleet.DataCentre{"fukuoka-a", "kumamoto-b", "oita-c"},
-		LinkLatency:        500 * time.Microsecond, CallerLatency: 3 * time.Millisecond,
+		LinkLatency: 500 * time.Microsecond, CallerLatency: 3 * time.Millisecond,
 		Pool: "model-pool", Engines: 16, Model: "katsura", Plain: "lot-desk", Servers: 3,
 		Customers: []dogwoodfleet.Customer{
 			"hinokuni", "kurume", "oita", "kagoshima", "dealer-1", "dealer-2", "dealer-3", "dealer-4", "dealer-5", "dealer-6",
@@ -49,7 +49,7 @@
 	{
 		Name: Laurentide, Region: "qc-est",
 		DataCentres: []dogwoodfleet.DataCentre{"qc-est-a", "qc-est-b", "qc-est-c"},
-		LinkLatency:        1500 * time.Microsecond, CallerLatency: time.Millisecond,
+		LinkLatency: 1500 * time.Microsecond, CallerLatency: time.Millisecond,
 		Pool: "redacteur", Engines: 16, Model: "erable", Plain: "registre", Servers: 3,
 		Customers: []dogwoodfleet.Customer{
 			"laval", "montreal", "quebec", "gatineau", "sherbrooke", "levis", "saguenay", "trois-rivieres", "terrebonne", "longueuil",
--- a/dogwoodlocal/dogwoodsite/site.go
+++ b/dogwoodlocal/dogwoodsite/site.go
@@ -51,7 +51,7 @@
 	NoDelays bool
 	// Base is the network of the site; nil means TCP sockets on loopback.
 	Base Base
-	// Edit changes the operators' text before the site starts.
+	// EditText changes the operators' text before the site starts.
 	EditText func(text *dogwoodsettings.Text)
 }
 
@@ -289,7 +289,7 @@
 }
 
 // CallerDial connects to a daemon as a client outside the data centres does, with the
-// latency Shape.CallerLink.
+// latency Shape.CallerLatency.
 func (site *Site) CallerDial(ctx context.Context, network, address string) (net.Conn, error) {
 	if site.options.NoDelays {
 		return site.options.Base.DialContext(ctx, network, address)
