--- a/core/dogwooddaemon/owner.go
+++ b/core/dogwooddaemon/owner.go
@@ -52,10 +52,10 @@
 	kernel.Go("renew grants", started.owners.RunRenewals)
 	kernel.Go("expire grants", started.owners.RunExpiry)
 	kernel.Go("probe dependencies", started.owners.RunProbes)
-	kernel.Go("apply lifted convictions", func(ctx context.Context) error {
+	kernel.Go("lifted convictions", func(ctx context.Context) error {
 		return changes.applyLifts(ctx, started.local.LiftConviction)
 	})
-	kernel.Go("fetch suspects", func(ctx context.Context) error {
+	kernel.Go("known suspects", func(ctx context.Context) error {
 		select {
 		case <-changes.duty.Ready():
 			suspects.fetchNotices(ctx)
