--- a/core/decision/dogwoodhubs/hubs.go
+++ b/core/decision/dogwoodhubs/hubs.go
@@ -26,8 +26,8 @@
 
 const (
 	// smallFleetSize is the number of daemons up to which all are hubs. It is also the minimum
-	// number of hubs of typical size in a larger fleet, over all data centres: one that dies takes
-	// a twelfth of the requests with it. A larger daemon counts as several.
+	// number of hubs of typical size in a larger fleet, over all data centres, so that the death of
+	// a typical one affects at most a twelfth of the requests. A larger daemon counts as several.
 	smallFleetSize = 12
 	// minHubsPerDataCentre is the minimum number of hubs in a data centre, so that its leaves and
 	// callers can fail over when one dies.
--- a/core/decision/dogwoodhubs/hubs_test.go
+++ b/core/decision/dogwoodhubs/hubs_test.go
@@ -126,8 +126,8 @@
 }
 
 // Hubs that were promoted while others were down become leaves again once those are back. Only the
-// last hub may do so, and only if it isn't needed when the load grows a little; otherwise hubs
-// would be promoted and demoted indefinitely.
+// lowest-ranked hub may do so, and only if it isn't needed when the load grows a little; otherwise
+// hubs would be promoted and demoted indefinitely.
 func TestOnlyLowestRankedHubIsSpare(t *testing.T) {
 	daemons := newFleet(20)
 	candidates := slices.SortedFunc(slices.Values(inDataCentre(daemons, "a")), Compare)
@@ -199,7 +199,7 @@
 	}
 }
 
-// When engines fail and six of sixty daemons have nearly all requests, these six must be able to
+// When engines fail and six of sixty daemons receive nearly all requests, these six must be able to
 // use most of the fleet-wide retry allowance. The shares of all daemons must never add up to more
 // than the allowance.
 func TestAllowanceSharesSumToAtMostOne(t *testing.T) {
--- a/core/decision/dogwoodlimit/limiter_test.go
+++ b/core/decision/dogwoodlimit/limiter_test.go
@@ -29,8 +29,8 @@
 }
 
 // Guards against a crash loop: an endpoint that has just started crashes under full load. It must
-// stay at the cold limit until it reports that it is warm, and then get twice as much for each
-// round of good answers.
+// stay at the cold limit until it reports that it is warm. Then each round of good answers doubles
+// its limit.
 func TestColdLimitDoublesOnGoodAnswersOnly(t *testing.T) {
 	limiter := New(2, 16, start)
 	now := start.Add(reportLag + time.Second)
@@ -105,8 +105,8 @@
 	}
 }
 
-// Guards against requests that pile up at a slow endpoint, and against one that has recovered and
-// does not get its full limit back.
+// Guards against requests that pile up at a slow endpoint, and against a limit that stays low after
+// the endpoint has recovered.
 func TestSlowAnswersLowerAndGoodAnswersRaiseLimit(t *testing.T) {
 	limiter, now := newWarmLimiter()
 	for range 4 {
--- a/core/decision/dogwoodmemory/ledger.go
+++ b/core/decision/dogwoodmemory/ledger.go
@@ -17,7 +17,7 @@
 // not reached the engine yet. The rules are:
 //
 //   - An answer only counts for events before it was requested.
-//   - An expired hold still counts, and can be renewed, until the request is returned for
+//   - An expired hold still counts, and can be renewed, until Reconcile returns the request for
 //     cancelling.
 //   - Memory is granted again only after a later answer no longer lists the request, or after
 //     the engine process is gone.
--- a/core/decision/dogwoodmemory/ledger_test.go
+++ b/core/decision/dogwoodmemory/ledger_test.go
@@ -22,8 +22,9 @@
 }
 
 // Guards against cancelling a stream in use: the entry daemon pauses for some seconds, the hold
-// expires, and the renewal arrives after a reconciliation with the engine's list. The stream must
-// continue within the grace. Once it was returned for cancelling, the late renewal must fail.
+// expires, and the renewal arrives after a reconciliation with the engine's list. If the renewal
+// arrives within the grace, the stream must continue. Once Reconcile has returned the stream for
+// cancelling, the late renewal must fail.
 func TestRenewalAfterExpiry(t *testing.T) {
 	tests := []struct {
 		name        string
--- a/core/decision/dogwoodmemory/reconcile.go
+++ b/core/decision/dogwoodmemory/reconcile.go
@@ -8,7 +8,7 @@
 	"dogwoodmux.example/core/dogwoodfleet"
 )
 
-// Listed is one request in an engine's list of what holds its memory.
+// Listed is one request in an engine's list of the requests that hold its memory.
 type Listed struct {
 	Request dogwoodfleet.RequestID
 	Tokens  int
@@ -54,8 +54,7 @@
 // ordered by request. An orphan is returned again for each report that still lists it.
 func (ledger *Ledger) Reconcile(report Report, now time.Time) []Orphan {
 	if !report.Asked.After(ledger.lastAsked) {
-		// If answers arrive out of order, the older one would bring back requests that have
-		// ended.
+		// If answers arrive out of order, the older one would re-add requests that have ended.
 		return nil
 	}
 	ledger.lastAsked = report.Asked
--- a/core/decision/dogwoodmemory/unclaimed_test.go
+++ b/core/decision/dogwoodmemory/unclaimed_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Guards against holding the memory of a long request for too long: a daemon fails that was both
-// the entry daemon of a million-token request and the owner of one of its engines, and the engine's
-// new owner finds a stream that no daemon announces. It must wait for the announcement while the
-// holder may be alive, but only as long as for an expired lease once the holder is known to be
-// dead.
+// Guards against holding the memory of a long request for too long. The daemon that fails was both
+// the entry daemon of a million-token request and the owner of one of its engines, so the engine's
+// new owner finds a stream that no daemon announces. The new owner must wait for the announcement
+// while the holder may be alive, but only as long as for an expired lease once the holder is known
+// to be dead.
 func TestStreamOfDeadHolderIsCancelledSooner(t *testing.T) {
 	start := time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 	tests := []struct {
--- a/core/decision/dogwoodpacking/choose.go
+++ b/core/decision/dogwoodpacking/choose.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// plainOvercommit is the share of its slots that a plain endpoint is given on top of them:
-	// its calls are so short that a slot is free before another daemon could announce it.
-	// Engines are not overcommitted; requests that they can't run now wait at the daemon, which
-	// can still send them to the first engine that becomes free.
+	// plainOvercommit is the number of requests that a plain endpoint may get beyond its slots, as
+	// a share of its slots. Its calls are so short that a slot is free before another daemon could
+	// announce it. Engines are not overcommitted; requests that they can't run now wait at the
+	// daemon, which can still send them to the first engine that becomes free.
 	plainOvercommit = 0.5
 	// maxSurveyed is the number of available engines that a decision examines. In a pool of
 	// thousands, each daemon examines a different subset, which is large enough to contain a
@@ -65,7 +65,7 @@
 	TooLarge Refusal = "TooLarge"
 )
 
-// Placement is the decision where a request goes.
+// Placement is the decision on where a request is sent.
 type Placement struct {
 	Endpoint Endpoint
 	// Helpers prefill the prompt together with Endpoint; those with tokens also hold a part of it.
--- a/core/decision/dogwoodpacking/cold.go
+++ b/core/decision/dogwoodpacking/cold.go
@@ -56,8 +56,8 @@
 
 // SetSenders sets which daemons accept callers. An endpoint's limit is divided among them, in
 // addition to the limit on all known requests. An endpoint that is new, or that all daemons
-// avoided until the same moment, looks empty to each of them, and all waiting requests were sent
-// there within 50 ms: one endpoint got 34 requests where it could have taken 30 while cold.
+// avoided until the same moment, looks empty to each of them. Without the division, they sent all
+// waiting requests there within 50 ms: an endpoint that could handle 30 while cold got 34.
 //
 // A daemon sends a cold endpoint no more than its share in any second, since announcements may
 // be late for longer than warmWindow. A daemon on standby learns of the others' requests too
--- a/core/decision/dogwoodpacking/cold_test.go
+++ b/core/decision/dogwoodpacking/cold_test.go
@@ -6,9 +6,9 @@
 )
 
 // Under a burst, many daemons receive each other's announcements late while an endpoint starts
-// and is cold. It looks empty to each of them: in one second it got 35 requests where its limit
-// was 17, with some tolerance. Together the daemons must stay within one and a half times the
-// limit, and a standby daemon must send it nothing.
+// and is cold. It looks empty to each of them: in one second it got 35 requests, although its limit
+// was 17 with some tolerance. Together the daemons must stay within one and a half times the limit,
+// and a standby daemon must send it nothing.
 func TestDaemonsWithDelayedAnnouncementsLimitColdEndpoint(t *testing.T) {
 	const daemons, coldRate = 8, 17
 	now := time.Now()
--- a/core/decision/dogwoodpacking/engines.go
+++ b/core/decision/dogwoodpacking/engines.go
@@ -12,7 +12,7 @@
 	// packShare is the share of an engine's slots that answers are packed into. The rest is for
 	// requests that other daemons have not announced yet.
 	packShare = 0.85
-	// aimShare is the share of its aim within which the prefill of a prompt must end as predicted.
+	// aimShare is the share of a prompt's aim within which its prefill must be predicted to end.
 	// The rest is for network latency and for effects that the prediction does not cover.
 	aimShare = 0.5
 	// pauseShare is the share of the longest acceptable pause that may be used up.
@@ -27,9 +27,10 @@
 	// at almost the same time. Daemons that did not see each other's work placed them on every
 	// engine at once, ahead of all short prompts, which got no answer for five seconds.
 	minSeenShare = 0.5
-	// slackShare is the share of its aim within which the prefill of a waiting prompt must end as
-	// predicted if a later prompt is prefilled before it: helpers prefill their parts before their
-	// own prompts. The rest is for effects that the prediction does not cover.
+	// slackShare is the share of a waiting prompt's aim within which its prefill must be predicted
+	// to end if a later prompt is prefilled ahead of it. Later prompts can be ahead because helpers
+	// prefill their parts before their own prompts. The rest is for effects that the prediction
+	// does not cover.
 	slackShare = 0.55
 	// unlimitedSlack is the slack of an engine where no prompt waits.
 	unlimitedSlack = time.Hour
@@ -50,10 +51,11 @@
 	slack    time.Duration
 	slowness float64
 	failing  bool
-	// hasWaiting is true while a prompt whose answer will be decoded here has not been prefilled.
+	// hasWaiting is true while a prompt whose answer will be decoded here has not been prefilled
+	// yet.
 	hasWaiting bool
-	// packed is true once the engine has as many requests as this daemon packs on one engine,
-	// inOwnGroup if the engine belongs to this daemon's group.
+	// packed is true once the engine has as many requests as this daemon packs on one engine.
+	// inOwnGroup is true if the engine belongs to this daemon's group.
 	packed, inOwnGroup bool
 }
 
@@ -93,8 +95,8 @@
 }
 
 // keepsPauses reports whether a part can be prefilled here without delaying a waiting prompt beyond
-// its slack or an answer beyond its longest acceptable pause. pause is the longest acceptable one
-// of an answer that is added; 0 if none is added or it has no limit.
+// its slack or an answer beyond its longest acceptable pause. pause is the longest acceptable pause
+// of an answer that will also be decoded here; 0 if there is none or it has no limit.
 func (engine *engine) keepsPauses(prefill, pause time.Duration) bool {
 	if prefill > engine.slack {
 		return false
@@ -121,7 +123,7 @@
 	predicted time.Duration
 }
 
-// search holds the state of finding the best way to prefill one prompt.
+// search holds the state of the search for the best way to prefill one prompt.
 type search struct {
 	now     time.Time
 	request *PlacementRequest
--- a/core/decision/dogwoodpacking/health.go
+++ b/core/decision/dogwoodpacking/health.go
@@ -41,10 +41,10 @@
 	health.failuresAt = now
 }
 
-// learnFirstToken updates the slowness with the observed over the predicted time to the first
-// token of a long prompt. It is the only indication that an engine which only prefills is
-// slow. Other prompts that are prefilled before it can multiply this time, so it has less weight
-// than the pace of decoding.
+// learnFirstToken updates the slowness with the ratio of the observed to the predicted time to the
+// first token of a long prompt. This ratio is the only indication that an engine which only
+// prefills is slow. Other prompts that are prefilled before it can multiply this time, so it has
+// less weight than the pace of decoding.
 func (health *health) learnFirstToken(predicted, observed time.Duration) {
 	if predicted <= 0 {
 		return
@@ -53,8 +53,8 @@
 }
 
 // learnPace updates the slowness with the pace at which an engine decodes: a short pause between
-// two events of one answer over the time of a pass without prefill; 0 if unknown. First tokens of
-// short prompts are not used: after a restart of all daemons they are late for seconds
+// two events of one answer divided by the time of a pass without prefill; 0 if unknown. First
+// tokens of short prompts are not used: after a restart of all daemons they are late for seconds
 // because the engines continue with old answers, and engines that were considered slow got no
 // requests.
 func (health *health) learnPace(pace float64) {
--- a/core/decision/dogwoodpacking/leastbad.go
+++ b/core/decision/dogwoodpacking/leastbad.go
@@ -12,11 +12,12 @@
 	// inTimeLoss is the loss of a request that uses up its whole aim. It makes the earlier of
 	// two placements in time preferable.
 	inTimeLoss = 0.1
-	// toleratedLoss is the additional loss, by a later first token or to other requests, with
-	// which a late request still accepts a placement. A first token after three times the aim
-	// has this additional loss.
+	// toleratedLoss bounds the loss beyond lateLoss at which a late request still accepts a
+	// placement. The additional loss comes from a later first token or from harm to other requests.
+	// A first token after three times the aim adds this much.
 	toleratedLoss = 0.15
-	// waitShare is the share of its aim during which a request waits for a placement in time.
+	// waitShare is the share of a request's aim during which the request waits for a placement in
+	// time.
 	waitShare = 0.5
 	// avoidLoss is the additional loss of a primary engine that failed recently or is already
 	// packed.
--- a/core/decision/dogwoodpacking/load.go
+++ b/core/decision/dogwoodpacking/load.go
@@ -36,18 +36,20 @@
 	return load
 }
 
-// helperLoad estimates what an engine prefills before a part that it gets as a helper: only earlier
-// parts of other engines' prompts, since an engine prefills these before its own prompts. When all
-// of them were treated as one queue, a helper with a prompt of its own looked busy for seconds,
-// and joint prompts were prefilled only by the few engines without one.
+// helperLoad estimates what an engine prefills before a new part that it gets as a helper. These
+// are only the earlier parts of other engines' prompts, since an engine prefills parts before its
+// own prompts. When parts and own prompts were treated as one queue, a helper with a prompt of its
+// own looked busy for seconds, and joint prompts were prefilled only by the few engines without
+// one.
 func (state *endpointState) helperLoad(now time.Time, load dogwoodenginetime.Load) dogwoodenginetime.Load {
 	state.pendingPrefills = state.pendingPrefills[:0]
 	load.Queued, load.QueuedTokens = state.backlog(now)
 	return load
 }
 
-// backlog returns the time until the engine has prefilled the pending prompts collected so far and
-// the parts that it helps with, and the tokens of those not prefilled yet.
+// backlog adds the parts that the engine prefills as a helper to pendingPrefills. It returns the
+// time until all of pendingPrefills are prefilled and the number of tokens in those that are not
+// prefilled yet.
 func (state *endpointState) backlog(now time.Time) (queued time.Duration, tokens int) {
 	for _, work := range state.helpedWork {
 		if !work.Writing {
@@ -69,7 +71,7 @@
 }
 
 // waitingShare is the minimum share of the prefill time of all unanswered prompts that counts as
-// queued: the engine may be slower than before.
+// queued. It is needed because the engine may have become slower.
 const waitingShare = 0.1
 
 func (state *endpointState) addPending(work *Work) {
--- a/core/decision/dogwoodpacking/slack.go
+++ b/core/decision/dogwoodpacking/slack.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// slack returns how long the prompts that wait here can be delayed, given the prefill time that is
-// queued: 0 once a prompt is late. Helpers prefill parts before the prompts that wait. Without this
-// limit each later part delayed a prompt that was already late, for up to eight seconds.
+// slack returns how long the prompts that wait here can be delayed beyond the queued prefill time,
+// or 0 once a prompt is late. A helper prefills parts of other engines' prompts before the prompts
+// that wait at it. Without this limit, each additional part delayed a prompt that was already late,
+// for up to eight seconds.
 func (state *endpointState) slack(now time.Time, queued time.Duration) time.Duration {
 	slack := unlimitedSlack
 	include := func(work *Work) {
@@ -22,7 +23,7 @@
 	return slack
 }
 
-// hasWaiting reports whether a prompt whose answer will be decoded here has not been prefilled.
+// hasWaiting reports whether a prompt whose answer will be decoded here has not been prefilled yet.
 func (state *endpointState) hasWaiting() bool {
 	for _, work := range state.work {
 		if !work.Writing {
--- a/core/decision/dogwoodpacking/worklist.go
+++ b/core/decision/dogwoodpacking/worklist.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// workList holds the requests at one endpoint, each once. It is about as long as the endpoint
-// has slots. Each decision iterates over it several times, which takes more than twice as long
-// with a map.
+// workList holds the requests at one endpoint, each once. Its length is about the number of the
+// endpoint's slots. Each decision iterates over it several times, which takes more than twice as
+// long with a map.
 type workList []*Work
 
-// put adds work or replaces what has its ID.
+// put adds work, replacing any entry with the same ID.
 func (workList *workList) put(work *Work) {
 	if i := workList.index(work.ID); i >= 0 {
 		(*workList)[i] = work
--- a/core/decision/dogwoodplacement/placement.go
+++ b/core/decision/dogwoodplacement/placement.go
@@ -8,8 +8,8 @@
 //
 // Without this package, an engine that restarts holds what its image contains, and callers of
 // its previous model wait forever. A roll-out that replaces all engines at once leaves the model
-// without a warm engine. A data centre that leaves for minutes makes two models exchange
-// engines back and forth, and each move loads many gigabytes from a store that sustains few
+// without a warm engine. When a data centre is unavailable for minutes, engines are moved from one
+// model to another and back, and each move loads many gigabytes from a store that sustains few
 // loads at a time.
 //
 // An engine counts as serving a model while it is in force, reachable and warm, is not loading,
@@ -107,14 +107,15 @@
 type Planner struct {
 	orders map[dogwoodfleet.EndpointID]issuedOrder
 	// modelSince is when each engine was first seen with its current model.
-	modelSince map[dogwoodfleet.EndpointID]modelSince
+	modelSince map[dogwoodfleet.EndpointID]observedModel
 	// servingSince is when the first engine was seen serving each version.
 	servingSince map[versionKey]time.Time
 	// failed holds the versions that an engine did not load within LoadTimeout.
 	failed map[versionKey]bool
 }
 
-type modelSince struct {
+// observedModel is an engine's model and when the engine was first seen with it.
+type observedModel struct {
 	model dogwoodfleet.Model
 	at    time.Time
 }
@@ -123,7 +124,7 @@
 func New() *Planner {
 	return &Planner{
 		orders:       map[dogwoodfleet.EndpointID]issuedOrder{},
-		modelSince:   map[dogwoodfleet.EndpointID]modelSince{},
+		modelSince:   map[dogwoodfleet.EndpointID]observedModel{},
 		servingSince: map[versionKey]time.Time{},
 		failed:       map[versionKey]bool{},
 	}
@@ -165,7 +166,7 @@
 			continue
 		}
 		if known, found := planner.modelSince[engine.Endpoint]; !found || known.model != engine.Holds.Model {
-			planner.modelSince[engine.Endpoint] = modelSince{model: engine.Holds.Model, at: now}
+			planner.modelSince[engine.Endpoint] = observedModel{model: engine.Holds.Model, at: now}
 		}
 		order, ordered := planner.orders[engine.Endpoint]
 		switch {
--- a/core/decision/dogwoodplacement/placement_test.go
+++ b/core/decision/dogwoodplacement/placement_test.go
@@ -23,7 +23,7 @@
 	stuck bool
 }
 
-// simulation drives a planner against engines.
+// simulation runs a planner with simulated engines.
 type simulation struct {
 	planner         *Planner
 	models          []Model
@@ -172,8 +172,8 @@
 }
 
 // Guards against moving engines between models when a data centre with half of one model's engines
-// leaves for two minutes. The moves and their reversal would each load for longer than the
-// outage.
+// is unavailable for two minutes. Loading for the moves would take longer than the outage, and so
+// would loading for their reversal.
 func TestShortOutageMovesNoEngine(t *testing.T) {
 	models := []Model{{Holding: holding("a", "1"), Replicas: 4}, {Holding: holding("b", "1"), Replicas: 2}}
 	simulation := newSimulation(models, append(repeat(holding("a", "1"), 4), repeat(holding("b", "1"), 3)...)...)
--- a/core/decision/dogwoodplacement/plan.go
+++ b/core/decision/dogwoodplacement/plan.go
@@ -50,7 +50,8 @@
 }
 
 // shareShortage lowers the wanted replicas to the number of engines if that is smaller. It takes
-// one replica at a time from the model with the most, and among equals from the last configured.
+// one replica at a time from the model with the most replicas. If several have the most, it takes
+// from the one that is configured last.
 func (plan *plan) shareShortage() {
 	wanted := 0
 	for index := range plan.models {
@@ -161,8 +162,8 @@
 }
 
 // firstSurplus returns the first engine that its model can spare, or nil if there is none. Unless
-// urgent is set, the engine must have held its model for MinDwell, so that models do not exchange
-// engines back and forth when a data centre leaves for some minutes.
+// urgent is set, the engine must have held its model for MinDwell, so that engines aren't moved to
+// another model and back when a data centre is unavailable for some minutes.
 func (plan *plan) firstSurplus(urgent bool) *plannedEngine {
 	for _, engine := range plan.engines {
 		if engine.model == nil || engine.waiting || plan.assignedCount(engine.model) <= engine.model.Replicas {
@@ -239,7 +240,8 @@
 }
 
 // minServing returns how many engines of a model must keep serving during a roll-out: the
-// configured replicas if there are surplus engines, else all but one. A single engine may stop.
+// configured replicas if there are surplus engines, else all but one. A model's only engine may
+// stop serving.
 func minServing(model *Model, assigned int) int {
 	if assigned > model.Replicas {
 		return model.Replicas
--- a/core/edge/dogwoodpeer/peer.go
+++ b/core/edge/dogwoodpeer/peer.go
@@ -1,8 +1,8 @@
 // Package dogwoodpeer carries calls between daemons: net/rpc over one authenticated TCP
 // connection for each peer.
 //
-// A call is bounded by its context. This package never retries a call of which bytes may
-// have been sent, because only the caller can decide whether running it twice is safe.
+// A call is bounded by its context. This package never retries a call if any of its bytes may have
+// been sent, because only the caller can decide whether running it twice is safe.
 //
 // A connection on which calls are pending while nothing arrives is pinged. If the ping is
 // not answered, the connection is dropped, its calls fail with an unknown outcome and the
@@ -83,8 +83,8 @@
 	return err.Err
 }
 
-// RemoteError is an error that the peer's method returned. Methods report the outcomes
-// that callers distinguish in their replies, so a RemoteError is an unexpected fault.
+// RemoteError is an error that the peer's method returned. Outcomes that callers distinguish are
+// reported in the method's reply, so a RemoteError is an unexpected fault.
 type RemoteError struct {
 	Method string
 	Text   string
--- a/core/state/dogwoodcopy/copy.go
+++ b/core/state/dogwoodcopy/copy.go
@@ -114,8 +114,9 @@
 }
 
 // Since returns the changes after a version, or the whole table if these are no longer known,
-// and a channel that is closed at the next answer. It is confirmed as of the last answer from
-// the store itself. It returns false if the store itself has never confirmed the copy.
+// and a channel that is closed at the next answer. The returned answer is confirmed as of the last
+// answer from the store itself. Since returns false if the store itself has never confirmed the
+// copy.
 func (table *Copy) Since(version int64) (Answer, <-chan struct{}, bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -124,9 +125,9 @@
 	return answer, table.updated, table.hasStoreAnswer && table.historyStart >= 0
 }
 
-// Latest is like Since, but confirmed as of the last answer from the store or a peer. Its
-// answer must be sent only to daemons that don't forward it; otherwise two daemons could
-// confirm to each other what neither has learned from the store. It returns false before the
+// Latest is like Since, but the returned answer is confirmed as of the last answer from the store
+// or a peer. It must be sent only to daemons that don't forward it; otherwise two daemons could
+// confirm to each other what neither has learned from the store. Latest returns false before the
 // first answer.
 func (table *Copy) Latest(version int64) (Answer, <-chan struct{}, bool) {
 	table.mutex.Lock()
--- a/dogwoodload/dogwoodsender/sender.go
+++ b/dogwoodload/dogwoodsender/sender.go
@@ -193,7 +193,8 @@
 }
 
 // CheckPlain returns an error unless the content is the plain service's answer to the arrival. The
-// answer to a lookup has its load ID, and the answer to a hold repeats the body that was sent.
+// answer to a lookup contains the arrival's load ID, and the answer to a hold repeats the body that
+// was sent.
 func CheckPlain(arrival *dogwoodtrace.Arrival, content string) error {
 	if arrival.Kind == dogwoodtrace.Hold {
 		if got, want := strings.TrimSpace(content), arrival.Body(); got != want {
--- a/dogwoodload/dogwoodsoak/site.go
+++ b/dogwoodload/dogwoodsoak/site.go
@@ -17,7 +17,7 @@
 	"dogwoodmux.example/platform/dogwoodstandin"
 )
 
-// standinPort is where a stand-in listens on its own address.
+// standinPort is the port of every stand-in. Each stand-in has its own IP address.
 const standinPort = 9000
 
 // startTimeout bounds how long a process takes until it listens.
